--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -19,7 +19,7 @@
 		return
 	}
 	plan := t.planner.Next(now, startsMost)
-	t.preempt(plan.Preempts, now)
+	t.preempt(plan.Preemptions, now)
 	if len(plan.Starts) == 0 {
 		return
 	}
@@ -38,7 +38,7 @@
 	}
 	if !t.save(changes, func() { t.sendIntended(changes) }) {
 		for _, c := range changes {
-			t.planner.Release(now, c.e.id, c.task, planner.End{Requeue: true})
+			t.planner.Release(now, c.e.id, c.task, planner.AttemptResult{Requeue: true})
 		}
 	}
 	// More may be startable than one plan holds; the next event or tick goes on.
@@ -61,14 +61,14 @@
 }
 
 // preempt checkpoints and stops tasks that make room for more urgent ones.
-func (t *term) preempt(list []planner.Preempt, now time.Time) {
+func (t *term) preempt(list []planner.Preemption, now time.Time) {
 	for _, p := range list {
 		e := t.live[p.Job]
 		if e == nil || e.tasks[p.Task].Phase != intended || e.tasks[p.Task].stop != "" {
 			continue
 		}
 		t.o.Metrics.Counter("task.preempted").Inc(1)
-		t.yield(e, p.Task, "preempted for "+p.For, now)
+		t.yield(e, p.Task, "preempted for "+p.ForJob, now)
 	}
 }
 
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e, err := ask(ctx, t, func() planner.Explanation { return t.planner.Why(time.Now(), id) })
+	e, err := ask(ctx, t, func() planner.Explanation { return t.planner.Explain(time.Now(), id) })
 	if err != nil {
 		return nil, lookFault(err)
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -56,7 +56,7 @@
 	if len(t.refusals) == stateRefusals {
 		t.refusals = slices.Delete(t.refusals, 0, 1)
 	}
-	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.Refused})
+	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.RefusalReason})
 }
 
 // State gives the operators' view of the zone; only its owner has one.
