--- a/planner/admit.go
+++ b/planner/admit.go
@@ -112,9 +112,9 @@
 		if q.Pool != "" {
 			e.pool = q.Pool
 		}
-		p.ledger.Set(e.pool, q.Most, q.Borrow)
+		p.ledger.SetLimit(e.pool, q.Most, q.Borrow)
 	}
-	p.ledger.Join(e.pool)
+	p.ledger.AddMember(e.pool)
 	switch {
 	case e.strategy != "":
 	case e.service():
@@ -215,7 +215,7 @@
 func (p *Planner) forget(e *entry) {
 	if len(e.pending) == 0 && len(e.running) == 0 {
 		p.unreserve(e.reservation)
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		delete(p.jobs, e.id)
 	}
 }
--- a/planner/next.go
+++ b/planner/next.go
@@ -92,7 +92,7 @@
 		return e.wait(now, waitsStop)
 	case e.effect.MostRunning > 0 && p.tally(e.decision.Rule).running+count > e.effect.MostRunning:
 		return e.wait(now, waitsLimit)
-	case !p.ledger.Within(e.pool, e.charge.Times(count)) && !p.ledger.MayBorrow(e.pool):
+	case !p.ledger.Fits(e.pool, e.charge.Times(count)) && !p.ledger.CanBorrow(e.pool):
 		return e.wait(now, waitsQuota)
 	case e.spec.Gang:
 		nodes := p.index.Gang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources { return p.room(now, e, n) })
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -68,12 +68,12 @@
 	p.terms = queue.Terms{
 		Share: func(pool string) float64 {
 			has, _ := p.index.Totals()
-			return p.ledger.Share(pool, has)
+			return p.ledger.DominantShare(pool, has)
 		},
-		Within: func(k *queue.Key) bool { return p.ledger.Within(k.Pool, k.Each.Times(max(k.Gang, 1))) },
+		Within: func(k *queue.Key) bool { return p.ledger.Fits(k.Pool, k.Each.Times(max(k.Gang, 1))) },
 	}
 	for team := range o.Quotas {
-		p.ledger.Join(team)
+		p.ledger.AddMember(team)
 	}
 	p.setQuotas()
 	return p
@@ -81,7 +81,7 @@
 
 func (p *Planner) setQuotas() {
 	for team, most := range p.options.Quotas {
-		p.ledger.Set(team, most, true)
+		p.ledger.SetLimit(team, most, true)
 	}
 }
 
@@ -89,13 +89,13 @@
 // that was accepted is never refused afterwards, and what runs keeps its worker.
 func (p *Planner) SetRules(l *rule.List) {
 	p.options.Rules = l
-	p.ledger.Unlimit()
+	p.ledger.ClearLimits()
 	p.setQuotas()
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		e := p.jobs[id]
 		p.queue.Remove(&e.item)
 		p.countPending(e, -len(e.pending))
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		p.decide(e)
 		p.countPending(e, len(e.pending))
 		p.enqueue(e)
@@ -146,13 +146,13 @@
 func (p *Planner) take(e *entry, index int, workerID string) *task {
 	t := &task{
 		entry: e, index: index, worker: workerID, charge: e.charge, pool: e.pool, rule: e.decision.Rule, started: p.now, at: len(p.running),
-		end: p.now.Add(e.estimate.High), borrowed: !p.ledger.Within(e.pool, e.charge),
+		end: p.now.Add(e.estimate.High), borrowed: !p.ledger.Fits(e.pool, e.charge),
 	}
 	p.running = append(p.running, t)
 	p.held[workerID] = append(p.held[workerID], t)
 	e.running[index] = t
 	e.on[workerID]++
-	p.ledger.Take(t.pool, t.charge)
+	p.ledger.Charge(t.pool, t.charge)
 	p.tally(t.rule).running++
 	if n := p.index.Node(workerID); n != nil {
 		t.zone = n.Info.Zone
@@ -177,7 +177,7 @@
 	if t.entry.on[t.worker]--; t.entry.on[t.worker] == 0 {
 		delete(t.entry.on, t.worker)
 	}
-	p.ledger.Give(t.pool, t.charge)
+	p.ledger.Release(t.pool, t.charge)
 	p.tally(t.rule).running--
 	p.untally(t.rule)
 	if n := p.index.Node(t.worker); n != nil {
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -107,7 +107,7 @@
 }
 
 func (p *Planner) mayReclaim(now time.Time, e *entry) bool {
-	return now.Sub(e.waitsSince) >= reclaimAfter && p.ledger.Within(e.pool, e.charge.Times(e.tasksNext()))
+	return now.Sub(e.waitsSince) >= reclaimAfter && p.ledger.Fits(e.pool, e.charge.Times(e.tasksNext()))
 }
 
 // yields reports whether a task may be preempted at all: services, sessions and what is not
@@ -125,7 +125,7 @@
 }
 
 func (p *Planner) borrowedFrom(e *entry) func(*task) bool {
-	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Over(t.pool) }
+	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Exceeded(t.pool) }
 }
 
 // lost is the work that is lost at worst, in core seconds. A gang is lost whole.
