--- a/owner/owner.go
+++ b/owner/owner.go
@@ -71,8 +71,8 @@
 	Revision int64
 	// Confirmed reports whether the store surely kept the tenure until no longer ago than grace.
 	Confirmed func(grace time.Duration) bool
-	// Lost reports that the tenure has ended, as a commit or a worker has told.
-	Lost func()
+	// ReportLost reports that the tenure has ended, as a commit or a worker has told.
+	ReportLost func()
 }
 
 // Compare gives the condition that holds while the tenure lasts.
@@ -158,8 +158,8 @@
 // Self gives this VM's entry.
 func (g *Group) Self() Node { return g.self }
 
-// Owned gives the last known owner of the cell and its fencing token.
-func (g *Group) Owned() (node Node, fence int64, ok bool) {
+// Owner gives the last known owner of the cell and its fencing token.
+func (g *Group) Owner() (node Node, fence int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.owner == nil {
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -66,7 +66,7 @@
 	s.Workers[1].Open, s.Workers[2].Info.Leaving, s.Workers[3].Probe = false, true, true
 	s.Ejections = []fleet.Ejection{{ID: s.Workers[1].Info.ID, Zone: s.Zone, State: fleet.Ejected, Since: now, Until: now.Add(time.Minute), Reason: `3 failures, the last of job "<b>"`}}
 	s.Refusals = []scheduler.Refusal{{At: now, Team: "<i>", Class: "sweep", Rule: "full", Reason: "fits no worker & never will"}}
-	s.Ends = []scheduler.End{{Job: "alappuzha-hall.1a", Ended: now, Outcome: job.Unknown, Reason: `<img src="x" onerror="alert(1)">`}}
+	s.Ends = []scheduler.EndedJob{{Job: "alappuzha-hall.1a", Ended: now, Outcome: job.Unknown, Reason: `<img src="x" onerror="alert(1)">`}}
 	return c
 }
 
