--- a/share/loan.go
+++ b/share/loan.go
@@ -9,20 +9,20 @@
 type LoanRequest struct {
 	// Gate is the borrower.
 	Gate string `json:"gate" msgpack:"g"`
-	// Want is how many slots it can use, on any of Targets.
+	// Want is how many slots the borrower can use, on any of Targets.
 	Want    int      `json:"want" msgpack:"w"`
 	Targets []Target `json:"targets" msgpack:"t"`
-	// Renew lists loans of this lender that are in use and soon over.
+	// Renew lists loans of this lender that are in use and about to expire.
 	Renew []uint64 `json:"renew,omitempty" msgpack:"r,omitempty"`
 }
 
-// Target names a target and its slots.
+// Target identifies a target and its number of slots.
 type Target struct {
 	ID    string `json:"id" msgpack:"i"`
 	Slots int    `json:"slots" msgpack:"s"`
 }
 
-// Loan lends slots of one target. The borrower counts Life from before it sent the Ask.
+// Loan lends slots of one target. The borrower counts TTL from before it sent the request.
 type Loan struct {
 	ID     uint64        `json:"id" msgpack:"i"`
 	Target string        `json:"target" msgpack:"t"`
@@ -30,30 +30,30 @@
 	TTL    time.Duration `json:"life" msgpack:"l"`
 }
 
-// LoanReply answers an Ask.
+// LoanReply answers a LoanRequest.
 type LoanReply struct {
 	Loans []Loan `json:"loans" msgpack:"l"`
 }
 
-// LoanReturn gives loans back before their time.
+// LoanReturn returns loans before they expire.
 type LoanReturn struct {
 	Gate string   `json:"gate" msgpack:"g"`
 	IDs  []uint64 `json:"ids" msgpack:"i"`
 }
 
-// LoanReturnReply answers a Return.
+// LoanReturnReply answers a LoanReturn.
 type LoanReturnReply struct{}
 
-// lent is a loan on its lender's side.
-type lent struct {
+// outgoingLoan is the lender's record of a loan.
+type outgoingLoan struct {
 	id       uint64
 	borrower string
 	slots    int
 	expires  time.Time
 }
 
-// borrowed is a loan on its borrower's side.
-type borrowed struct {
+// incomingLoan is the borrower's record of a loan.
+type incomingLoan struct {
 	id      uint64
 	lender  string
 	slots   int
@@ -62,128 +62,129 @@
 	used    time.Time
 }
 
-// Lend lends what this gate can spare, and keeps a reserve so that a burst here is served at once.
-func (h *Allocator) Lend(ask *LoanRequest, now time.Time) LoanReply {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Lend lends the slots that this gate can spare. It keeps a reserve so that a local burst is served at once.
+func (a *Allocator) Lend(req *LoanRequest, now time.Time) LoanReply {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var out LoanReply
-	if !h.opts.Valid() || ask.Gate == h.id {
+	if !a.opts.Valid() || req.Gate == a.id {
 		return out
 	}
-	h.move(now)
-	if !h.lists(ask.Gate) {
+	a.advance(now)
+	if !a.listsGate(req.Gate) {
 		return out
 	}
-	spare := h.spare(ask.Targets, now)
-	out.Loans = h.renewed(ask, spare < 0, now)
-	want := min(ask.Want, spare)
-	for _, t := range ask.Targets {
-		if want <= 0 || len(out.Loans) >= maxLoans {
+	spare := a.spareSlots(req.Targets, now)
+	out.Loans = a.renewLoans(req, spare < 0, now)
+	want := min(req.Want, spare)
+	for _, t := range req.Targets {
+		if want <= 0 || len(out.Loans) >= maxLoansPerReply {
 			break
 		}
-		u := h.use(t.ID, now)
+		u := a.usageOf(t.ID, now)
 		u.slots = t.Slots
-		n := min(want, h.limit(t.ID, t.Slots)-u.own-u.lentOut())
-		if n <= 0 || len(u.lent) >= maxLoansOfTarget {
+		n := min(want, a.shareLimit(t.ID, t.Slots)-u.ownInUse-u.lentSlots())
+		if n <= 0 || len(u.lent) >= maxLoansPerTarget {
 			continue
 		}
-		h.serial++
-		// The lender counts longer than the borrower: from later, and with the drift of both clocks.
-		u.lent = append(u.lent, lent{h.serial, ask.Gate, n, now.Add(h.opts.LoanTTL + h.opts.ClockDrift)})
-		out.Loans = append(out.Loans, Loan{ID: h.serial, Target: t.ID, Slots: n, TTL: h.opts.LoanTTL})
+		a.lastLoanID++
+		// The lender's copy expires later than the borrower's: it starts later, and ClockDrift covers the drift of
+		// both clocks.
+		u.lent = append(u.lent, outgoingLoan{a.lastLoanID, req.Gate, n, now.Add(a.opts.LoanTTL + a.opts.ClockDrift)})
+		out.Loans = append(out.Loans, Loan{ID: a.lastLoanID, Target: t.ID, Slots: n, TTL: a.opts.LoanTTL})
 		want -= n
 	}
 	return out
 }
 
-// renewed lengthens loans. A lender that is short itself lets every other one run out, so that its
-// slots come back little by little instead of all at once.
-func (h *Allocator) renewed(ask *LoanRequest, short bool, now time.Time) []Loan {
-	if len(ask.Renew) == 0 {
+// renewLoans extends loans. A lender that is itself short of slots renews only every second loan, so that its slots
+// return gradually instead of all at once.
+func (a *Allocator) renewLoans(req *LoanRequest, short bool, now time.Time) []Loan {
+	if len(req.Renew) == 0 {
 		return nil
 	}
-	asked := make(map[uint64]bool, len(ask.Renew))
-	for i, id := range ask.Renew {
-		asked[id] = !short || i%2 == 0
+	renewable := make(map[uint64]bool, len(req.Renew))
+	for i, id := range req.Renew {
+		renewable[id] = !short || i%2 == 0
 	}
 	var out []Loan
-	for target, u := range h.uses {
+	for target, u := range a.usages {
 		u.prune(now)
 		for i := range u.lent {
 			l := &u.lent[i]
-			if asked[l.id] && l.borrower == ask.Gate && len(out) < maxLoans {
-				l.expires = now.Add(h.opts.LoanTTL + h.opts.ClockDrift)
-				out = append(out, Loan{ID: l.id, Target: target, Slots: l.slots, TTL: h.opts.LoanTTL})
+			if renewable[l.id] && l.borrower == req.Gate && len(out) < maxLoansPerReply {
+				l.expires = now.Add(a.opts.LoanTTL + a.opts.ClockDrift)
+				out = append(out, Loan{ID: l.id, Target: target, Slots: l.slots, TTL: a.opts.LoanTTL})
 			}
 		}
 	}
 	return out
 }
 
-// Renewals gives the loans that are in use and have lived a quarter of their time, by lender.
-func (h *Allocator) Renewals(now time.Time) map[string]*LoanRequest {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Renewals returns requests, by lender, to renew the loans that are in use and have used up a quarter of their TTL.
+func (a *Allocator) Renewals(now time.Time) map[string]*LoanRequest {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var out map[string]*LoanRequest
-	for target, u := range h.uses {
+	for target, u := range a.usages {
 		u.prune(now)
 		for _, b := range u.borrowed {
-			if b.expires.Sub(now) > h.opts.LoanTTL*3/4 || (b.inUse == 0 && now.Sub(b.used) >= h.opts.LoanIdleTimeout) {
+			if b.expires.Sub(now) > a.opts.LoanTTL*3/4 || (b.inUse == 0 && now.Sub(b.used) >= a.opts.LoanIdleTimeout) {
 				continue
 			}
 			if out == nil {
 				out = make(map[string]*LoanRequest)
 			}
-			ask := out[b.lender]
-			if ask == nil {
-				ask = &LoanRequest{Gate: h.id}
-				out[b.lender] = ask
+			req := out[b.lender]
+			if req == nil {
+				req = &LoanRequest{Gate: a.id}
+				out[b.lender] = req
 			}
-			ask.Renew = append(ask.Renew, b.id)
-			ask.Targets = append(ask.Targets, Target{target, u.slots})
+			req.Renew = append(req.Renew, b.id)
+			req.Targets = append(req.Targets, Target{target, u.slots})
 		}
 	}
-	for _, ask := range out {
-		slices.Sort(ask.Renew)
+	for _, req := range out {
+		slices.Sort(req.Renew)
 	}
 	return out
 }
 
-// lists reports whether the newest table lists a gate.
-func (h *Allocator) lists(gate string) bool {
-	newest := h.newest()
-	return newest != nil && newest.has(gate)
+// listsGate reports whether the newest table lists a gate.
+func (a *Allocator) listsGate(gate string) bool {
+	newest := a.newest()
+	return newest != nil && newest.lists(gate)
 }
 
-func (h *Allocator) spare(targets []Target, now time.Time) int {
+func (a *Allocator) spareSlots(targets []Target, now time.Time) int {
 	total, idle := 0, 0
 	for _, t := range targets {
-		u := h.use(t.ID, now)
-		limit := h.limit(t.ID, t.Slots)
+		u := a.usageOf(t.ID, now)
+		limit := a.shareLimit(t.ID, t.Slots)
 		total += limit
-		idle += max(0, limit-u.own-u.lentOut())
+		idle += max(0, limit-u.ownInUse-u.lentSlots())
 	}
-	return idle - (total+reservePart-1)/reservePart
+	return idle - (total+reserveDivisor-1)/reserveDivisor
 }
 
-// AddBorrowed takes over the loans that answer an Ask sent at the given time.
-func (h *Allocator) AddBorrowed(lender string, loans *LoanReply, asked, now time.Time) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// AddBorrowed records the loans of a reply to a request sent at sentAt, and returns the number of new slots.
+func (a *Allocator) AddBorrowed(lender string, loans *LoanReply, sentAt, now time.Time) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	n := 0
 	for _, l := range loans.Loans {
-		expires := asked.Add(l.TTL)
-		u := h.use(l.Target, now)
-		if old := u.find(lender, l.ID); old != nil {
+		expires := sentAt.Add(l.TTL)
+		u := a.usageOf(l.Target, now)
+		if old := u.findLoan(lender, l.ID); old != nil {
 			if expires.After(old.expires) {
 				old.expires = expires
 			}
 			continue
 		}
-		if l.Slots <= 0 || !now.Before(expires) || len(u.borrowed) >= maxLoansOfTarget {
+		if l.Slots <= 0 || !now.Before(expires) || len(u.borrowed) >= maxLoansPerTarget {
 			continue
 		}
-		u.borrowed = append(u.borrowed, &borrowed{
+		u.borrowed = append(u.borrowed, &incomingLoan{
 			id: l.ID, lender: lender, slots: l.Slots, expires: expires, used: now,
 		})
 		n += l.Slots
@@ -191,7 +192,7 @@
 	return n
 }
 
-func (u *use) find(lender string, id uint64) *borrowed {
+func (u *targetUsage) findLoan(lender string, id uint64) *incomingLoan {
 	for _, b := range u.borrowed {
 		if b.lender == lender && b.id == id {
 			return b
@@ -200,16 +201,17 @@
 	return nil
 }
 
-// ReturnIdle drops the loans that have not been used for a while, and gives what to return, by lender.
-func (h *Allocator) ReturnIdle(now time.Time) map[string]*LoanReturn {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// ReturnIdle drops loans that were not used for LoanIdleTimeout, and returns the messages that return them, by
+// lender.
+func (a *Allocator) ReturnIdle(now time.Time) map[string]*LoanReturn {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var out map[string]*LoanReturn
-	for _, u := range h.uses {
+	for _, u := range a.usages {
 		u.prune(now)
 		kept := u.borrowed[:0]
 		for _, b := range u.borrowed {
-			if b.inUse > 0 || now.Sub(b.used) < h.opts.LoanIdleTimeout {
+			if b.inUse > 0 || now.Sub(b.used) < a.opts.LoanIdleTimeout {
 				kept = append(kept, b)
 				continue
 			}
@@ -217,7 +219,7 @@
 				out = make(map[string]*LoanReturn)
 			}
 			if out[b.lender] == nil {
-				out[b.lender] = &LoanReturn{Gate: h.id}
+				out[b.lender] = &LoanReturn{Gate: a.id}
 			}
 			out[b.lender].IDs = append(out[b.lender].IDs, b.id)
 		}
@@ -226,15 +228,15 @@
 	return out
 }
 
-// AcceptReturn takes loans back that their borrower has given up.
-func (h *Allocator) AcceptReturn(r *LoanReturn, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// AcceptReturn releases loans that their borrower has returned.
+func (a *Allocator) AcceptReturn(r *LoanReturn, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	ids := make(map[uint64]bool, len(r.IDs))
 	for _, id := range r.IDs {
 		ids[id] = true
 	}
-	for _, u := range h.uses {
+	for _, u := range a.usages {
 		u.prune(now)
 		kept := u.lent[:0]
 		for _, l := range u.lent {
--- a/share/options.go
+++ b/share/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are what a Holder is made of.
+// Options configure an Allocator.
 type Options struct {
 	Valid           func() bool
 	MemberSince     func() int64
@@ -12,20 +12,20 @@
 	RemovalGrace    time.Duration
 }
 
-// Option sets up a Holder.
+// Option sets one of the Options.
 type Option func(*Options)
 
-// Valid sets the function that tells whether the gate holds its membership; without it, nothing may
-// be used.
+// Valid sets the function that reports whether the gate is currently a member of its zone. While it returns false, the
+// gate may use no slot.
 func Valid(f func() bool) Option { return func(o *Options) { o.Valid = f } }
 
-// MemberSince sets the function that gives the table version with which the present membership began;
-// it is asked after Valid.
+// MemberSince sets the function that returns the table version at which the current membership began. It is called
+// after Valid.
 func MemberSince(f func() int64) Option { return func(o *Options) { o.MemberSince = f } }
 
-// LoanTTL sets how long a loan holds, and how much longer its lender keeps it charged.
-func LoanTTL(life, drift time.Duration) Option {
-	return func(o *Options) { o.LoanTTL, o.ClockDrift = life, drift }
+// LoanTTL sets how long a borrower may use a loan, and how much longer the lender keeps it charged.
+func LoanTTL(ttl, drift time.Duration) Option {
+	return func(o *Options) { o.LoanTTL, o.ClockDrift = ttl, drift }
 }
 
 // RemovalGrace sets how long the last requests and loans of a removed gate may still occupy targets.
--- a/share/report.go
+++ b/share/report.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Report is how this gate stands with its zone's gates.
+// Report describes how far this gate and the other gates of its zone agree, and its use of slots.
 type Report struct {
-	// Valid says whether the gate holds its membership.
+	// Valid is set while the gate is a member of its zone.
 	Valid bool `json:"valid"`
-	// Version is the newest table known, Agreed the newest that all have confirmed; zero means none.
+	// Version is the newest known table, Agreed the newest that all gates have confirmed; zero means none.
 	Version int64 `json:"version"`
 	Agreed  int64 `json:"agreed"`
-	// SettlingMillis is how long requests of removed gates are still waited for.
+	// SettlingMillis is how much longer this gate waits for requests of removed gates.
 	SettlingMillis int64 `json:"settlingMillis,omitempty"`
 	// Missing lists the gates that have not confirmed the newest table.
 	Missing []string `json:"missing,omitempty"`
-	// Used counts the slots of its own share that are taken, Lent and Borrowed those of loans.
+	// Used counts slots in use from the gate's own share, Lent and Borrowed those of loans.
 	Used     int `json:"used"`
 	Lent     int `json:"lent"`
 	Borrowed int `json:"borrowed"`
 }
 
-// Report tells of this gate's shares.
-func (h *Allocator) Report(now time.Time) Report {
-	valid := h.opts.Valid()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.move(now)
+// Report returns the current state of this gate's shares.
+func (a *Allocator) Report(now time.Time) Report {
+	valid := a.opts.Valid()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advance(now)
 	r := Report{Valid: valid}
-	if h.base != nil {
-		r.Agreed = h.base.Version
+	if a.base != nil {
+		r.Agreed = a.base.Version
 	}
-	if t := h.newest(); t != nil {
+	if t := a.newest(); t != nil {
 		r.Version = t.Version
-		r.Missing = h.missing(t)
-		if t != h.base {
-			r.SettlingMillis = max(0, h.settled.Sub(now).Milliseconds())
+		r.Missing = a.unconfirmedBy(t)
+		if t != a.base {
+			r.SettlingMillis = max(0, a.graceEnds.Sub(now).Milliseconds())
 		}
 	}
-	for _, u := range h.uses {
+	for _, u := range a.usages {
 		u.prune(now)
-		r.Used += u.own
-		r.Lent += u.lentOut()
+		r.Used += u.ownInUse
+		r.Lent += u.lentSlots()
 		for _, b := range u.borrowed {
 			r.Borrowed += b.slots
 		}
@@ -47,11 +47,11 @@
 	return r
 }
 
-// missing lists the other gates of t that have not confirmed it.
-func (h *Allocator) missing(t *Table) []string {
+// unconfirmedBy returns the other gates of t that have not confirmed it.
+func (a *Allocator) unconfirmedBy(t *Table) []string {
 	var out []string
 	for _, gate := range t.Gates {
-		if gate != h.id && h.confirmed[gate].Version != t.Version {
+		if gate != a.id && a.confirmed[gate].Version != t.Version {
 			out = append(out, gate)
 		}
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -13,281 +13,283 @@
 	"pgregory.net/rapid"
 )
 
-// The properties run from a fixed seed, so that a verdict does not change from run to run. This one once failed.
+// The properties run from a fixed seed, one that has failed before, so that every run gives the same verdict.
 func init() { _ = flag.Set("rapid.seed", "17184353011144794677") }
 
 const (
-	leaseTime  = time.Second
-	maxRequest = 3 * time.Second
-	loanLife   = 3 * time.Second
-	loanDrift  = 300 * time.Millisecond
-	settleTime = 4 * time.Second
-	pauseStep  = 100 * time.Millisecond
-	worldSteps = 3000
-	worlds     = 100
+	leaseTime     = time.Second
+	maxRequest    = 3 * time.Second
+	loanTTL       = 3 * time.Second
+	loanDrift     = 300 * time.Millisecond
+	gracePeriod   = 4 * time.Second
+	pauseInterval = 100 * time.Millisecond
+	simSteps      = 3000
+	simulations   = 100
 )
 
-var worldTargets = []Target{{"a", 1}, {"b", 5}, {"c", 8}}
+var simTargets = []Target{{"a", 1}, {"b", 5}, {"c", 8}}
 
-// plant is a fault put into every gate of a world.
-type plant struct {
-	greedy    bool // takes its new share at once
-	hasty     bool // does not wait for the requests of removed gates
-	forgetful bool // forgets what it lent
+// faults are safeguards to switch off in every gate of a simulation.
+type faults struct {
+	movesAtOnce   bool // uses its new share at once
+	noGracePeriod bool // does not wait for the requests of removed gates
+	forgetsLoans  bool // drops its records of outgoing loans
 }
 
-type sim struct {
-	holder *Allocator
-	valid  time.Time
-	frozen time.Time
-	joined int64
-	dead   bool
+type simGate struct {
+	allocator   *Allocator
+	leaseUntil  time.Time
+	pausedUntil time.Time
+	memberSince int64
+	stopped     bool
 }
 
-type flight struct {
-	gate   *sim
+type simRequest struct {
+	gate   *simGate
 	slot   *Slot
 	target string
 	end    time.Time
 }
 
-// world is a zone: its gates, their table with its history, and messages that are late or lost.
-type world struct {
-	draw    func(n int) int
-	plant   plant
-	now     time.Time
-	gates   map[string]*sim
-	born    int
-	tables  []Table
-	flights []flight
-	mail    []func()
-	served  int
+// simulation is a zone with its gates, the history of their table, and messages that may be late or lost.
+type simulation struct {
+	draw         func(n int) int
+	faults       faults
+	now          time.Time
+	gates        map[string]*simGate
+	gatesCreated int
+	tables       []Table
+	requests     []simRequest
+	messages     []func()
+	sent         int
 }
 
-func newWorld(draw func(int) int, p plant) *world {
-	return &world{draw: draw, plant: p, now: time.Unix(1000, 0), gates: make(map[string]*sim), tables: []Table{{}}}
+func newSimulation(draw func(int) int, f faults) *simulation {
+	return &simulation{
+		draw: draw, faults: f, now: time.Unix(1000, 0), gates: make(map[string]*simGate), tables: []Table{{}},
+	}
 }
 
-func (w *world) table() Table { return w.tables[len(w.tables)-1] }
+func (sim *simulation) table() Table { return sim.tables[len(sim.tables)-1] }
 
-func (w *world) change(gates []string) {
-	w.tables = append(w.tables, Table{Version: w.table().Version + 1, Gates: gates})
+func (sim *simulation) setGates(gates []string) {
+	sim.tables = append(sim.tables, Table{Version: sim.table().Version + 1, Gates: gates})
 }
 
-// join lists a new gate, or one again that was removed but lives.
-func (w *world) join() {
-	if len(w.table().Gates) >= 3 {
+// join adds a new gate to the table, or one that was removed but still runs.
+func (sim *simulation) join() {
+	if len(sim.table().Gates) >= 3 {
 		return
 	}
-	id := w.any()
-	if id == "" || w.draw(2) == 0 || slices.Contains(w.table().Gates, id) {
-		w.born++
-		id = fmt.Sprint("g", w.born)
-		s, settle := &sim{}, settleTime
-		if w.plant.hasty {
-			settle = 0
+	id := sim.anyRunning()
+	if id == "" || sim.draw(2) == 0 || slices.Contains(sim.table().Gates, id) {
+		sim.gatesCreated++
+		id = fmt.Sprint("g", sim.gatesCreated)
+		s, grace := &simGate{}, gracePeriod
+		if sim.faults.noGracePeriod {
+			grace = 0
 		}
-		s.holder = New(id, LoanTTL(loanLife, loanDrift), RemovalGrace(settle), Valid(func() bool { return w.now.Before(s.valid) }),
-			MemberSince(func() int64 { return s.joined }))
-		w.gates[id] = s
+		s.allocator = New(id, LoanTTL(loanTTL, loanDrift), RemovalGrace(grace),
+			Valid(func() bool { return sim.now.Before(s.leaseUntil) }), MemberSince(func() int64 { return s.memberSince }))
+		sim.gates[id] = s
 	}
-	w.change(append(slices.Clone(w.table().Gates), id))
-	w.gates[id].valid, w.gates[id].joined = w.now.Add(leaseTime), w.table().Version
+	sim.setGates(append(slices.Clone(sim.table().Gates), id))
+	sim.gates[id].leaseUntil, sim.gates[id].memberSince = sim.now.Add(leaseTime), sim.table().Version
 }
 
-// any draws a gate that lives and is awake, listed or not, or gives nothing.
-func (w *world) any() string {
-	id := fmt.Sprint("g", max(1, w.born-w.draw(6)))
-	if s := w.gates[id]; s == nil || s.dead || w.now.Before(s.frozen) {
+// anyRunning draws a gate that is running and not paused, listed or not, or returns an empty id.
+func (sim *simulation) anyRunning() string {
+	id := fmt.Sprint("g", max(1, sim.gatesCreated-sim.draw(6)))
+	if s := sim.gates[id]; s == nil || s.stopped || sim.now.Before(s.pausedUntil) {
 		return ""
 	}
 	return id
 }
 
-// remove takes a gate whose lease has lapsed out of the table.
-func (w *world) remove() {
-	for _, id := range w.table().Gates {
-		if !w.now.Before(w.gates[id].valid) {
-			w.change(slices.DeleteFunc(slices.Clone(w.table().Gates), func(g string) bool { return g == id }))
+// removeLapsed removes the first gate with an expired lease from the table.
+func (sim *simulation) removeLapsed() {
+	for _, id := range sim.table().Gates {
+		if !sim.now.Before(sim.gates[id].leaseUntil) {
+			sim.setGates(slices.DeleteFunc(slices.Clone(sim.table().Gates), func(g string) bool { return g == id }))
 			return
 		}
 	}
 }
 
-func (w *world) learn(s *sim) {
-	s.holder.SetTable(w.tables[len(w.tables)-1-w.draw(min(3, len(w.tables)))], w.now)
-	if t := s.holder.newest(); w.plant.greedy && t != nil && t.has(s.holder.id) {
+func (sim *simulation) learnTable(s *simGate) {
+	s.allocator.SetTable(sim.tables[len(sim.tables)-1-sim.draw(min(3, len(sim.tables)))], sim.now)
+	if t := s.allocator.newest(); sim.faults.movesAtOnce && t != nil && t.lists(s.allocator.id) {
 		base := *t
-		s.holder.base, s.holder.pending = &base, nil
+		s.allocator.base, s.allocator.pending = &base, nil
 	}
 }
 
-// leave is a planned stop: the gate says that it has left, and is taken out of the table at once.
-func (w *world) leave(id string, s *sim) {
-	if !slices.Contains(w.table().Gates, id) || !s.holder.Leave(w.now) {
+// leave simulates a planned stop: the gate announces that it has left and is removed from the table at once.
+func (sim *simulation) leave(id string, s *simGate) {
+	if !slices.Contains(sim.table().Gates, id) || !s.allocator.Leave(sim.now) {
 		return
 	}
-	c := s.holder.Confirmation(w.now)
-	for _, other := range w.table().Gates {
-		w.gates[other].holder.AddConfirmation(c, w.now)
+	c := s.allocator.Confirmation(sim.now)
+	for _, other := range sim.table().Gates {
+		sim.gates[other].allocator.AddConfirmation(c, sim.now)
 	}
-	s.dead = true
-	w.change(slices.DeleteFunc(slices.Clone(w.table().Gates), func(g string) bool { return g == id }))
+	s.stopped = true
+	sim.setGates(slices.DeleteFunc(slices.Clone(sim.table().Gates), func(g string) bool { return g == id }))
 }
 
-func (w *world) heartbeat(s *sim) {
-	c := s.holder.Confirmation(w.now)
-	to := w.gates[w.table().Gates[w.draw(len(w.table().Gates))]]
-	w.mail = append(w.mail, func() { to.holder.AddConfirmation(c, w.now) })
+func (sim *simulation) heartbeat(s *simGate) {
+	c := s.allocator.Confirmation(sim.now)
+	to := sim.gates[sim.table().Gates[sim.draw(len(sim.table().Gates))]]
+	sim.messages = append(sim.messages, func() { to.allocator.AddConfirmation(c, sim.now) })
 }
 
-func (w *world) borrow(id string, s *sim) {
-	lender := w.table().Gates[w.draw(len(w.table().Gates))]
-	asked, from := w.now, w.gates[lender]
-	ask := &LoanRequest{Gate: id, Want: 1 + w.draw(8), Targets: worldTargets}
-	w.mail = append(w.mail, func() {
-		loans := from.holder.Lend(ask, w.now)
-		if w.plant.forgetful {
-			for _, u := range from.holder.uses {
+func (sim *simulation) borrow(id string, s *simGate) {
+	lender := sim.table().Gates[sim.draw(len(sim.table().Gates))]
+	sentAt, from := sim.now, sim.gates[lender]
+	req := &LoanRequest{Gate: id, Want: 1 + sim.draw(8), Targets: simTargets}
+	sim.messages = append(sim.messages, func() {
+		loans := from.allocator.Lend(req, sim.now)
+		if sim.faults.forgetsLoans {
+			for _, u := range from.allocator.usages {
 				u.lent = nil
 			}
 		}
-		w.mail = append(w.mail, func() { s.holder.AddBorrowed(lender, &loans, asked, w.now) })
+		sim.messages = append(sim.messages, func() { s.allocator.AddBorrowed(lender, &loans, sentAt, sim.now) })
 	})
 }
 
-func (w *world) extend(s *sim) {
-	asks := s.holder.Renewals(w.now)
-	for _, lender := range slices.Sorted(maps.Keys(asks)) {
-		ask, asked, from := asks[lender], w.now, w.gates[lender]
-		w.mail = append(w.mail, func() {
-			loans := from.holder.Lend(ask, w.now)
-			w.mail = append(w.mail, func() { s.holder.AddBorrowed(lender, &loans, asked, w.now) })
+func (sim *simulation) renewLoans(s *simGate) {
+	reqs := s.allocator.Renewals(sim.now)
+	for _, lender := range slices.Sorted(maps.Keys(reqs)) {
+		req, sentAt, from := reqs[lender], sim.now, sim.gates[lender]
+		sim.messages = append(sim.messages, func() {
+			loans := from.allocator.Lend(req, sim.now)
+			sim.messages = append(sim.messages, func() { s.allocator.AddBorrowed(lender, &loans, sentAt, sim.now) })
 		})
 	}
 }
 
-func (w *world) start(s *sim) {
-	t := worldTargets[w.draw(len(worldTargets))]
-	end := w.now.Add(time.Duration(1+w.draw(int(maxRequest/time.Millisecond))) * time.Millisecond)
-	slot, ok := s.holder.Acquire(t.ID, t.Slots, end, w.now)
+func (sim *simulation) sendRequest(s *simGate) {
+	t := simTargets[sim.draw(len(simTargets))]
+	end := sim.now.Add(time.Duration(1+sim.draw(int(maxRequest/time.Millisecond))) * time.Millisecond)
+	slot, ok := s.allocator.Acquire(t.ID, t.Slots, end, sim.now)
 	if !ok {
 		return
 	}
-	if w.draw(10) == 0 { // Paused between taking the slot and sending, while the others go on.
-		s.frozen = w.now.Add(time.Duration(w.draw(2500)) * time.Millisecond)
-		for w.now.Before(s.frozen) {
-			w.renew()
-			w.advance(pauseStep)
+	if sim.draw(10) == 0 { // Paused between acquiring the slot and sending, while the other gates run.
+		s.pausedUntil = sim.now.Add(time.Duration(sim.draw(2500)) * time.Millisecond)
+		for sim.now.Before(s.pausedUntil) {
+			sim.renewLeases()
+			sim.advance(pauseInterval)
 			for range 10 {
-				w.act()
+				sim.stepOnce()
 			}
 		}
-		if !w.now.Before(end) || !s.holder.CanSend(slot, end) {
-			s.holder.Release(slot, w.now)
+		if !sim.now.Before(end) || !s.allocator.CanSend(slot, end) {
+			s.allocator.Release(slot, sim.now)
 			return
 		}
 	}
-	w.flights = append(w.flights, flight{s, slot, t.ID, end})
-	w.served++
+	sim.requests = append(sim.requests, simRequest{s, slot, t.ID, end})
+	sim.sent++
 }
 
-func (w *world) advance(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.flights = slices.DeleteFunc(w.flights, func(f flight) bool {
-		over := !w.now.Before(f.end)
+func (sim *simulation) advance(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	sim.requests = slices.DeleteFunc(sim.requests, func(f simRequest) bool {
+		over := !sim.now.Before(f.end)
 		if over {
-			f.gate.holder.Release(f.slot, w.now)
+			f.gate.allocator.Release(f.slot, sim.now)
 		}
 		return over
 	})
 }
 
-func (w *world) deliver() {
-	if len(w.mail) == 0 {
+func (sim *simulation) deliver() {
+	if len(sim.messages) == 0 {
 		return
 	}
-	i := w.draw(len(w.mail))
-	m := w.mail[i]
-	w.mail = slices.Delete(w.mail, i, i+1)
-	if w.draw(8) > 0 {
+	i := sim.draw(len(sim.messages))
+	m := sim.messages[i]
+	sim.messages = slices.Delete(sim.messages, i, i+1)
+	if sim.draw(8) > 0 {
 		m()
 	}
 }
 
-func (w *world) act() {
-	switch k := w.draw(200); {
+func (sim *simulation) stepOnce() {
+	switch k := sim.draw(200); {
 	case k < 1:
-		w.join()
+		sim.join()
 	case k < 4:
-		w.remove()
+		sim.removeLapsed()
 	case k < 24:
-		w.renew()
-		w.advance(time.Duration(1+w.draw(200)) * time.Millisecond)
+		sim.renewLeases()
+		sim.advance(time.Duration(1+sim.draw(200)) * time.Millisecond)
 	case k < 74:
-		w.deliver()
+		sim.deliver()
 	default:
-		if id := w.any(); id != "" && len(w.table().Gates) > 0 {
-			w.actOf(id, w.gates[id], k)
+		if id := sim.anyRunning(); id != "" && len(sim.table().Gates) > 0 {
+			sim.stepGate(id, sim.gates[id], k)
 		}
 	}
 }
 
-// renew renews the leases of the gates that are awake; a lease that has lapsed stays so.
-func (w *world) renew() {
-	for _, id := range w.table().Gates {
-		s := w.gates[id]
-		if !s.dead && !w.now.Before(s.frozen) && w.now.Before(s.valid) && w.draw(8) > 0 {
-			s.valid = w.now.Add(leaseTime)
+// renewLeases renews the leases of the gates that are not paused; an expired lease stays expired.
+func (sim *simulation) renewLeases() {
+	for _, id := range sim.table().Gates {
+		s := sim.gates[id]
+		if !s.stopped && !sim.now.Before(s.pausedUntil) && sim.now.Before(s.leaseUntil) && sim.draw(8) > 0 {
+			s.leaseUntil = sim.now.Add(leaseTime)
 		}
 	}
 }
 
-func (w *world) actOf(id string, s *sim, k int) {
+func (sim *simulation) stepGate(id string, s *simGate, k int) {
 	switch {
 	case k == 74:
-		if w.draw(3) == 0 {
-			s.dead = w.draw(3) == 0
-			s.frozen = w.now.Add(3 * leaseTime)
+		if sim.draw(3) == 0 {
+			s.stopped = sim.draw(3) == 0
+			s.pausedUntil = sim.now.Add(3 * leaseTime)
 		}
 	case k == 75:
-		if w.draw(3) == 0 {
-			w.leave(id, s)
+		if sim.draw(3) == 0 {
+			sim.leave(id, s)
 		}
 	case k < 95:
-		w.learn(s)
+		sim.learnTable(s)
 	case k < 130:
-		w.heartbeat(s)
+		sim.heartbeat(s)
 	case k < 136:
-		w.borrow(id, s)
+		sim.borrow(id, s)
 	case k < 138:
-		w.extend(s)
+		sim.renewLoans(s)
 	case k < 140:
-		idle := s.holder.ReturnIdle(w.now)
+		idle := s.allocator.ReturnIdle(sim.now)
 		for _, lender := range slices.Sorted(maps.Keys(idle)) {
 			r := idle[lender]
-			w.mail = append(w.mail, func() { w.gates[lender].holder.AcceptReturn(r, w.now) })
+			sim.messages = append(sim.messages, func() { sim.gates[lender].allocator.AcceptReturn(r, sim.now) })
 		}
 	default:
-		w.start(s)
+		sim.sendRequest(s)
 	}
 }
 
-// run gives an error at the first instant at which a target has more requests than slots.
-func (w *world) run(steps int) error {
+// run returns an error as soon as a target has more requests than slots.
+func (sim *simulation) run(steps int) error {
 	for i := range steps {
-		if err := w.step(i); err != nil {
+		if err := sim.step(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) step(i int) error {
-	w.act()
-	for _, t := range worldTargets {
+func (sim *simulation) step(i int) error {
+	sim.stepOnce()
+	for _, t := range simTargets {
 		n := 0
-		for _, f := range w.flights {
+		for _, f := range sim.requests {
 			if f.target == t.ID {
 				n++
 			}
@@ -299,43 +301,41 @@
 	return nil
 }
 
-// The caller sees a target that is overrun, or refuses for want of a slot.
-// Gates join, die, freeze past their leases, learn tables late or not at all, and confirm and lend by
-// messages that are late, reordered or lost. At no instant may the gates together use more slots of a
-// target than it has, because each moves to a new share only when nobody can hold the old one.
+// Guards against a target getting more requests than it has slots. Gates join, crash, pause past their leases, learn
+// tables late or not at all, and exchange confirmations and loans by messages that are delayed, reordered or lost.
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 2))
-		if err := newWorld(rng.IntN, plant{}).run(worldSteps); err != nil {
+		if err := newSimulation(rng.IntN, faults{}).run(simSteps); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-// The same worlds, with one safeguard taken out of every gate, must show the overrun.
+// With one safeguard removed from every gate, the same simulations must find a target with too many requests.
 func TestPlantedFaultsAreCaught(t *testing.T) {
-	for name, p := range map[string]plant{
-		"none": {}, "greedy": {greedy: true}, "hasty": {hasty: true}, "forgetful": {forgetful: true},
+	for name, p := range map[string]faults{
+		"none": {}, "uses its new share at once": {movesAtOnce: true},
+		"no grace period": {noGracePeriod: true}, "forgets loans": {forgetsLoans: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			caught, served := 0, 0
-			for seed := range uint64(worlds) {
-				w := newWorld(rand.New(rand.NewPCG(seed, 1)).IntN, p)
-				if w.run(worldSteps) != nil {
+			for seed := range uint64(simulations) {
+				sim := newSimulation(rand.New(rand.NewPCG(seed, 1)).IntN, p)
+				if sim.run(simSteps) != nil {
 					caught++
 				}
-				served += w.served
+				served += sim.sent
 			}
-			t.Logf("%d of %d worlds show the fault, %d requests", caught, worlds, served)
+			t.Logf("%d of %d simulations show the fault, %d requests", caught, simulations, served)
 			is.New(t).Equal(caught > 0, name != "none")
 		})
 	}
 }
 
-// The caller sees a target of one slot get two requests.
-// Gate a knows table 2, which lists a, b and c; c has confirmed it and died. Gate b never saw table 2,
-// moves from 1 to 3 and confirms 3. Its claim never shrank to its share of table 2, so that a may not
-// take the confirmation of the later table for one of table 2.
+// Guards against a target of one slot getting two requests. Gate a knows table 2, which lists a, b and c; c has
+// confirmed it and crashed. Gate b never saw table 2, moves from 1 to 3 and confirms 3. It was never limited by table
+// 2, so a must not count its confirmation of table 3 for table 2.
 func TestLaterConfirmationDoesNotCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -363,17 +363,18 @@
 	is.Equal(a.Limit(target, 1, now), 0)
 }
 
-// The caller sees targets refuse for want of a slot after the gates of a zone were replaced.
-// All gates died, and two new ones know nothing of the requests that those left at the targets. They
-// must wait these out; beside a gate that knows the earlier tables, its word is enough.
+// Guards against overfilled targets after all gates of a zone crashed. Two new gates know nothing of the requests
+// that the old ones left at the targets, and must wait for them to end unless a gate that knows the earlier tables
+// vouches for it.
 func TestNewGatesWaitForEarlierOnes(t *testing.T) {
 	for name, c := range map[string]struct {
 		before []string
 		left   bool
 		want   int
 	}{
-		"all new": {nil, false, 0}, "one knows": {[]string{"a"}, false, 4},
-		"one knows a dead one": {[]string{"a", "x"}, false, 0}, "one knows that the other left": {[]string{"a", "x"}, true, 4},
+		"all new": {nil, false, 0}, "one knows the earlier table": {[]string{"a"}, false, 4},
+		"one knows a crashed gate":           {[]string{"a", "x"}, false, 0},
+		"one knows that the other gate left": {[]string{"a", "x"}, true, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -400,38 +401,37 @@
 	}
 }
 
-// The caller's check meets a full target because a gate came back from a pause.
-// While it was paused its lease lapsed, it was removed, its loan ended, or it was even listed again.
-// Whatever it held before the pause must not count any more.
+// Guards against a full target after a gate resumes from a pause. During the pause its lease expired, it was removed,
+// its loan expired, or it was even listed again; what it held before the pause must not count any more.
 func TestAfterPause(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name string
-		// pause changes the world while gate a, which holds all 8 slots, is paused with an unsent request.
+		// pause changes the state while gate a, which holds all 8 slots, is paused with an unsent request.
 		pause             func(h *Allocator, valid *bool, since *int64)
 		holds, knows      bool
 		limit, lentByPeer int
 	}{
-		{"nothing happened", func(*Allocator, *bool, *int64) {}, true, true, 8, 0},
-		{"lease lapsed", func(_ *Allocator, valid *bool, _ *int64) { *valid = false }, false, true, 0, 0},
-		{"listed again unseen", func(_ *Allocator, _ *bool, since *int64) { *since = 9 }, false, false, 0, 0},
+		{"no change", func(*Allocator, *bool, *int64) {}, true, true, 8, 0},
+		{"lease expired", func(_ *Allocator, valid *bool, _ *int64) { *valid = false }, false, true, 0, 0},
+		{"listed again, table not seen", func(_ *Allocator, _ *bool, since *int64) { *since = 9 }, false, false, 0, 0},
 		{"listed again, table seen", func(h *Allocator, _ *bool, since *int64) {
 			*since = 9
 			h.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, false, false, 0, 0},
-		{"removal seen", func(h *Allocator, _ *bool, _ *int64) {
+		{"removal was seen", func(h *Allocator, _ *bool, _ *int64) {
 			h.SetTable(Table{8, []string{"b"}}, now)
 			h.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, true, false, 0, 0},
-		{"answer to an ask is late", func(h *Allocator, _ *bool, _ *int64) {
+		{"late reply to a loan request", func(h *Allocator, _ *bool, _ *int64) {
 			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second), now)
 		}, true, true, 8, 0},
-		{"answer to a renewal is late", func(h *Allocator, _ *bool, _ *int64) {
+		{"late reply to a renewal", func(h *Allocator, _ *bool, _ *int64) {
 			loans := &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}
 			h.AddBorrowed("b", loans, now.Add(-time.Second/2), now)
 			h.AddBorrowed("b", loans, now.Add(-time.Second*9/10), now)
 		}, true, true, 10, 2},
-		{"answer to an ask is in time", func(h *Allocator, _ *bool, _ *int64) {
+		{"timely reply to a loan request", func(h *Allocator, _ *bool, _ *int64) {
 			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second/2), now)
 		}, true, true, 10, 2},
 	}
@@ -461,22 +461,22 @@
 	}
 }
 
-// A gate that is not a member must not lend: its siblings may already use what it would give.
+// A gate that is not a member must not lend: other gates may already use the slots that it would lend.
 func TestLendNeedsMembership(t *testing.T) {
 	is := is.New(t)
 	now, valid := time.Unix(1000, 0), true
 	h := New("a", RemovalGrace(0), Valid(func() bool { return valid }))
 	h.SetTable(Table{7, []string{"a", "b"}}, now)
 	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
-	ask := &LoanRequest{Gate: "b", Want: 9, Targets: []Target{{"t", 8}}}
+	req := &LoanRequest{Gate: "b", Want: 9, Targets: []Target{{"t", 8}}}
 	valid = false
-	is.Equal(len(h.Lend(ask, now).Loans), 0)
+	is.Equal(len(h.Lend(req, now).Loans), 0)
 	valid = true
-	is.Equal(h.Lend(ask, now).Loans[0].Slots, 3) // Four are its share, one it keeps.
+	is.Equal(h.Lend(req, now).Loans[0].Slots, 3) // Its share is four, of which it reserves one.
 }
 
-// A renewed loan stays charged to its lender for as long as the borrower may use it; one that is not
-// renewed comes back; and a lender that is short itself renews only some.
+// A renewed loan must stay charged to its lender for as long as the borrower may use it. A loan that is not renewed
+// returns, and a lender that is itself short of slots renews only some.
 func TestRenewal(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -501,8 +501,8 @@
 	is.True(second.ID != first.ID)
 }
 
-// A gate must not say that it has left while its requests or loans may occupy targets, and once it has
-// said so it uses nothing more.
+// A gate must not announce that it has left while its requests or loans may occupy targets, and must use nothing
+// after.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/share/table.go
+++ b/share/table.go
@@ -8,14 +8,14 @@
 
 // Table is the gate table of a zone.
 type Table struct {
-	// Version grows with each change; it need not grow by one.
+	// Version increases with each change, not necessarily by one.
 	Version int64 `json:"version" msgpack:"v"`
-	// Gates are the ids of the gates, in the same order for everyone.
+	// Gates holds the ids of the gates, in the same order on every gate.
 	Gates []string `json:"gates" msgpack:"g"`
 }
 
-// ShareOf gives how many of a target's slots the table allots to a gate. Each gate gets the whole part;
-// the rest goes round from a start that the target's id decides, so that no gate gets all the rests.
+// ShareOf returns how many of a target's slots the table allots to a gate. Slots that do not divide evenly go to
+// consecutive gates from a start derived from the target's id, so that no gate gets the extra slot of every target.
 func (t *Table) ShareOf(gate, target string, slots int) int {
 	n := len(t.Gates)
 	i := slices.Index(t.Gates, gate)
@@ -29,22 +29,21 @@
 	return slots / n
 }
 
-func (t *Table) has(gate string) bool { return slices.Contains(t.Gates, gate) }
+func (t *Table) lists(gate string) bool { return slices.Contains(t.Gates, gate) }
 
-// lacks reports whether a gate of other is missing from t that has not left by itself.
-func (t *Table) lacks(other *Table, left map[string]bool) bool {
-	return slices.ContainsFunc(other.Gates, func(gate string) bool { return !t.has(gate) && !left[gate] })
+// dropsGateOf reports whether t lacks a gate of other that did not leave by a planned stop.
+func (t *Table) dropsGateOf(other *Table, left map[string]bool) bool {
+	return slices.ContainsFunc(other.Gates, func(gate string) bool { return !t.lists(gate) && !left[gate] })
 }
 
-// Confirmation is what a gate tells the others of its zone.
+// Confirmation tells the other gates of the zone by which table this gate limits its use.
 type Confirmation struct {
 	Gate string `json:"gate" msgpack:"g"`
-	// Version is the newest table of whose share the gate uses no more than its own.
+	// Version is the newest table whose share the gate does not exceed.
 	Version int64 `json:"version" msgpack:"v"`
-	// KnowsHistory says that the gate knows the earlier tables, and that nothing is left at the targets of
-	// gates that were removed.
+	// KnowsHistory is set if the gate knows the earlier tables, and if no requests of removed gates remain at the
+	// targets.
 	KnowsHistory bool `json:"knows" msgpack:"k"`
-	// Left says that the gate uses nothing any more and never will, so that nobody need wait for its
-	// last requests.
+	// Left is set if the gate uses no slots and never will again, so that no gate has to wait for its last requests.
 	Left bool `json:"left,omitempty" msgpack:"l,omitempty"`
 }
