--- a/permit/doc.go
+++ b/permit/doc.go
@@ -1,3 +1,3 @@
-// Package permit asks a queue's policy service which workers may run a step, and spreads these
-// questions over the entry VMs, of which the service answers one at a time.
+// Package permit asks a queue's policy service which workers may run a step. It distributes these requests over the
+// entry VMs, because the service answers only one request at a time per VM.
 package permit
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// MaxWorkers is how many workers one question may name.
+// MaxWorkers is how many workers one request may name.
 const MaxWorkers = 100
 
-// ErrBusy means that the service declined the question because too many wait.
+// ErrBusy is returned if the service rejects a request because too many are waiting.
 var ErrBusy = errors.New("policy service is busy")
 
 // Request asks which of the workers may run a step of an occurrence of a work.
@@ -20,18 +20,18 @@
 	Workers    []string `msgpack:"w"`
 }
 
-// Grant lets one worker run the step for a while.
+// Grant permits one worker to run the step for a limited time.
 type Grant struct {
 	Worker string `msgpack:"w"`
 	Ticket string `msgpack:"t"`
 }
 
-// Response lists the workers that may run the step; those that were named and are not in it may not.
+// Response lists the workers that may run the step. Requested workers that it does not list may not.
 type Response struct {
 	Grants []Grant `msgpack:"g"`
-	// TicketTTL is how long the tickets may be used from when they were made.
+	// TicketTTL is how long the tickets are valid from their creation.
 	TicketTTL time.Duration `msgpack:"v"`
 }
 
-// AskFunc puts a question to the service.
+// AskFunc sends a request to the service.
 type AskFunc func(ctx context.Context, q *Request) (*Response, error)
