--- a/share/share_test.go
+++ b/share/share_test.go
@@ -65,9 +65,7 @@
 }
 
 func newSimulation(draw func(int) int, f faults) *simulation {
-	return &simulation{
-		draw: draw, faults: f, now: time.Unix(1000, 0), gates: make(map[string]*simGate), tables: []Table{{}},
-	}
+	return &simulation{draw: draw, faults: f, now: time.Unix(1000, 0), gates: make(map[string]*simGate), tables: []Table{{}}}
 }
 
 func (sim *simulation) table() Table { return sim.tables[len(sim.tables)-1] }
