--- a/admission/admission.go
+++ b/admission/admission.go
@@ -8,21 +8,22 @@
 	"turmericgap/job"
 )
 
-// Worker is what a worker offers.
+// Worker describes the capacity of one worker.
 type Worker struct {
 	Pool     string
 	Labels   []string
 	Capacity job.Resources
 }
 
-// InfeasibleReason tells why a work's steps can never start on the workers of its pool, each of them empty; an empty
-// reason means that they can. A pool without workers says nothing, since its workers may be about to come.
+// InfeasibleReason returns why a work's steps could not start on the workers of its pool even if all of them were
+// empty, or an empty string if they could. A pool without workers gives no reason, since its workers may be about
+// to join.
 //
-// The load that it answers is work that asks for a label that no worker has, or for more than the largest one
-// holds. Accepted, it would wait for ever, and its caller with it; told at once, the caller can ask for what
-// there is. Only what is certain counts: a step that fits an empty worker is admitted however full it is now.
+// Work that asks for a label that no worker has, or for more than the largest worker holds, would wait forever if it
+// were accepted. Rejected at once, its caller can ask for what is available. Only certainty counts: a step that fits
+// an empty worker is admitted, however full that worker is now.
 func InfeasibleReason(pool string, steps []job.Step, workers iter.Seq[Worker]) string {
-	places := make([]int, len(steps))
+	fitting := make([]int, len(steps))
 	known := false
 	for w := range workers {
 		if w.Pool != pool {
@@ -30,22 +31,22 @@
 		}
 		known = true
 		for i := range steps {
-			places[i] += placesOn(&steps[i], &w)
+			fitting[i] += countFitting(&steps[i], &w)
 		}
 	}
 	if !known {
 		return ""
 	}
 	for i := range steps {
-		if reason := short(&steps[i], places[i]); reason != "" {
+		if reason := shortageReason(&steps[i], fitting[i]); reason != "" {
 			return fmt.Sprintf("step %d: %s", i, reason)
 		}
 	}
 	return ""
 }
 
-// placesOn counts the tasks of a step that an empty worker holds, as far as the step needs.
-func placesOn(s *job.Step, w *Worker) int {
+// countFitting returns how many tasks of a step fit on the empty worker, at most as many as the step can place there.
+func countFitting(s *job.Step, w *Worker) int {
 	if s.Label != "" && !slices.Contains(w.Labels, s.Label) {
 		return 0
 	}
@@ -53,20 +54,20 @@
 	if s.Filler {
 		need.Millicores = 0
 	}
-	most := s.Tasks
+	limit := s.Tasks
 	if s.MostPerWorker > 0 {
-		most = min(most, s.MostPerWorker)
+		limit = min(limit, s.MostPerWorker)
 	}
 	n := 0
-	for n < most && need.Times(n+1).Fits(w.Capacity) {
+	for n < limit && need.Times(n+1).Fits(w.Capacity) {
 		n++
 	}
 	return n
 }
 
-// short tells why so many places are too few. The tasks of a gang need theirs at the same time, others one after
-// the other.
-func short(s *job.Step, places int) string {
+// shortageReason returns why the given number of places is too small. The tasks of a gang need all places at the same
+// time; others can run one after the other.
+func shortageReason(s *job.Step, places int) string {
 	switch {
 	case places == 0 && s.Label != "":
 		return fmt.Sprintf("no worker that has the label %q is large enough", s.Label)
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -10,19 +10,19 @@
 	"turmericgap/job"
 )
 
-// Work that no worker can ever run is told so at once, with the reason; work that has to wait for room is not.
+// Guards against accepting work that no worker can ever run. Work that only has to wait for room must be accepted.
 func TestHopeless(t *testing.T) {
-	has := job.Resources{Millicores: 16000, MemoryMB: 64000}
+	capacity := job.Resources{Millicores: 16000, MemoryMB: 64000}
 	workers := []Worker{
-		{Pool: "desk", Labels: []string{"a", "r1"}, Capacity: has},
-		{Pool: "desk", Labels: []string{"b", "r2"}, Capacity: has},
+		{Pool: "desk", Labels: []string{"a", "r1"}, Capacity: capacity},
+		{Pool: "desk", Labels: []string{"b", "r2"}, Capacity: capacity},
 		{Pool: "other", Labels: []string{"gpu", "r3"}, Capacity: job.Resources{Millicores: 64000, MemoryMB: 64000, Accelerators: 4}},
 	}
 	each := func(cores int64) job.Resources { return job.Resources{Millicores: cores * 1000, MemoryMB: 100} }
 	for name, c := range map[string]struct {
 		pool string
 		step job.Step
-		says string
+		want string
 	}{
 		"fits":                       {"desk", job.Step{Tasks: 100, Each: each(16)}, ""},
 		"label is there":             {"desk", job.Step{Tasks: 1, Each: each(1), Label: "b"}, ""},
@@ -40,8 +40,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			reason := InfeasibleReason(c.pool, []job.Step{{Tasks: 1}, c.step}, slices.Values(workers))
-			is.Equal(reason == "", c.says == "")
-			is.True(strings.Contains(reason, c.says))
+			is.Equal(reason == "", c.want == "")
+			is.True(strings.Contains(reason, c.want))
 			is.Equal(reason != "", strings.HasPrefix(reason, "step 1: "))
 		})
 	}
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,2 +1,3 @@
-// Package admission decides which work cannot be done at all. It does no input or output.
+// Package admission decides which work can never run, and how much new work an overloaded owner rejects. It performs
+// no I/O.
 package admission
