--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,3 +1,3 @@
-// Package quota counts what each pool holds against what it may hold. A pool is a team, or what a
-// rule names. Idle capacity may be borrowed beyond the quota, and is given back when it is needed.
+// Package quota tracks the resources that each pool uses against its quota. A pool is a team, or a name set by a
+// rule. A pool may borrow idle capacity beyond its quota, and gives it back when others need it.
 package quota
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -2,22 +2,22 @@
 
 import "turmericgap/job"
 
-// Ledger holds the pools that have a quota or hold something. It is not safe for concurrent use.
+// Ledger tracks the pools that have a quota, tasks or members. It is not safe for concurrent use.
 type Ledger struct {
 	pools map[string]*pool
 }
 
 type pool struct {
-	limited bool
-	most    job.Resources
-	borrow  bool
-	holds   job.Resources
-	tasks   int
-	// members counts the jobs that name the pool.
+	limited   bool
+	limit     job.Resources
+	canBorrow bool
+	usage     job.Resources
+	tasks     int
+	// members counts the jobs that use the pool.
 	members int
 }
 
-// New makes a ledger without quotas.
+// New returns a Ledger without quotas.
 func New() *Ledger { return &Ledger{pools: map[string]*pool{}} }
 
 func (l *Ledger) pool(name string) *pool {
@@ -29,91 +29,92 @@
 	return p
 }
 
-// SetLimit bounds a pool; borrow lets it go beyond most while capacity is idle. A part that is zero
-// allows nothing of it.
-func (l *Ledger) SetLimit(name string, most job.Resources, borrow bool) {
+// SetLimit sets a pool's quota; borrow lets the pool exceed it while capacity is idle. A resource whose limit is zero
+// may not be used at all.
+func (l *Ledger) SetLimit(name string, limit job.Resources, borrow bool) {
 	p := l.pool(name)
-	p.limited, p.most, p.borrow = true, most, borrow
+	p.limited, p.limit, p.canBorrow = true, limit, borrow
 }
 
-// ClearLimits forgets all quotas; what is held stays counted.
+// ClearLimits removes all quotas; current usage stays counted.
 func (l *Ledger) ClearLimits() {
 	for _, p := range l.pools {
 		p.limited = false
 	}
 }
 
-// AddMember keeps a pool known until as many calls of Leave.
+// AddMember keeps a pool in the ledger until RemoveMember is called as often.
 func (l *Ledger) AddMember(name string) { l.pool(name).members++ }
 
-// RemoveMember ends one Join; a pool without members that holds nothing is forgotten.
+// RemoveMember undoes one AddMember. A pool without members and tasks is removed.
 func (l *Ledger) RemoveMember(name string) {
 	l.pool(name).members--
-	l.sweep(name)
+	l.removeIfUnused(name)
 }
 
-func (l *Ledger) sweep(name string) {
+func (l *Ledger) removeIfUnused(name string) {
 	if p := l.pools[name]; p.tasks == 0 && p.members == 0 {
 		delete(l.pools, name)
 	}
 }
 
-// Charge charges a task to a pool.
+// Charge adds a task's resources to a pool's usage.
 func (l *Ledger) Charge(name string, r job.Resources) {
 	p := l.pool(name)
-	p.holds, p.tasks = p.holds.Plus(r), p.tasks+1
+	p.usage, p.tasks = p.usage.Plus(r), p.tasks+1
 }
 
-// Release frees what a task was charged with.
+// Release removes a task's resources from a pool's usage.
 func (l *Ledger) Release(name string, r job.Resources) {
 	p := l.pool(name)
-	p.holds, p.tasks = p.holds.Minus(r), p.tasks-1
-	l.sweep(name)
+	p.usage, p.tasks = p.usage.Minus(r), p.tasks-1
+	l.removeIfUnused(name)
 }
 
-// Fits reports whether the pool could hold r more within its quota.
+// Fits reports whether the pool could use r more within its quota.
 func (l *Ledger) Fits(name string, r job.Resources) bool {
 	p, ok := l.pools[name]
-	return !ok || !p.limited || p.holds.Plus(r).Fits(p.most)
+	return !ok || !p.limited || p.usage.Plus(r).Fits(p.limit)
 }
 
-// CanBorrow reports whether the pool may go beyond its quota.
+// CanBorrow reports whether the pool may exceed its quota.
 func (l *Ledger) CanBorrow(name string) bool {
 	p, ok := l.pools[name]
-	return !ok || !p.limited || p.borrow
+	return !ok || !p.limited || p.canBorrow
 }
 
-// Exceeded reports whether the pool holds more than its quota.
+// Exceeded reports whether the pool uses more than its quota.
 func (l *Ledger) Exceeded(name string) bool {
 	p, ok := l.pools[name]
-	return ok && p.limited && !p.holds.Fits(p.most)
+	return ok && p.limited && !p.usage.Fits(p.limit)
 }
 
-// Usage gives what the pool holds.
+// Usage returns the resources that the pool uses.
 func (l *Ledger) Usage(name string) job.Resources {
 	if p, ok := l.pools[name]; ok {
-		return p.holds
+		return p.usage
 	}
 	return job.Resources{}
 }
 
-// DominantShare is the largest part of its quota that the pool holds, or of all if it has no quota.
+// DominantShare returns the largest fraction that the pool uses of any resource, relative to its quota, or to all
+// capacity if it has none.
 func (l *Ledger) DominantShare(name string, all job.Resources) float64 {
 	p, ok := l.pools[name]
 	if !ok {
 		return 0
 	}
 	if p.limited {
-		all = p.most
+		all = p.limit
 	}
 	share := 0.0
-	part := func(holds, most int64) {
-		if holds > 0 {
-			share = max(share, float64(holds)/float64(max(most, 1)))
+	consider := func(used, limit int64) {
+		if used > 0 {
+			share = max(share, float64(used)/float64(max(limit, 1)))
 		}
 	}
-	part(p.holds.Millicores, all.Millicores)
-	part(p.holds.MemoryMB, all.MemoryMB)
-	part(p.holds.Accelerators, all.Accelerators)
+	consider(p.usage.Millicores, all.Millicores)
+	consider(p.usage.MemoryMB, all.MemoryMB)
+	consider(p.usage.Accelerators, all.Accelerators)
 	return share
 }
