--- a/aging/aging.go
+++ b/aging/aging.go
@@ -7,176 +7,177 @@
 const (
 	// meanWeight is the weight of the newest work in the mean size of its queue's works.
 	meanWeight = 0.05
-	// waitLeast and waitMost bound how many objectives after it is due a work's turn comes.
-	waitLeast = 0.1
-	waitMost  = 2
-	// recentSizes is how many works tell which sizes are large, knownSizes how many are needed for that.
-	recentSizes = 64
-	knownSizes  = 20
-	// largestShare and largeShare are the parts of the works that count as the largest, and as large.
+	// minWaitFactor and maxWaitFactor bound how long a work waits for its turn once it is due, in objectives.
+	minWaitFactor = 0.1
+	maxWaitFactor = 2
+	// sampleSize is how many recent works determine which sizes are large, minSamples how many are needed to tell.
+	sampleSize = 64
+	minSamples = 20
+	// largestShare is the fraction of the works that count as Largest, largeShare that of Large and Largest together.
 	largestShare = 0.1
 	largeShare   = 0.3
-	// arrivalWeight is the weight of the newest work in the part of its queue's works that a class is:
-	// about as many works count as tell the sizes.
-	arrivalWeight = 1.0 / recentSizes
-	// leastArrival bounds how rare a class is taken to be, so that one turn of it does not count as a
-	// hundred of the others.
-	leastArrival = 0.02
+	// arrivalWeight is the weight of the newest work in the arrival share of its class: the arrival shares cover
+	// about as many works as the size samples.
+	arrivalWeight = 1.0 / sampleSize
+	// minArrivalShare bounds how rare a class is assumed to be, so that one start of a rare class does not cost as
+	// much as a hundred starts of the others.
+	minArrivalShare = 0.02
 )
 
-// Class is a class of sizes.
+// Class is a size class of works.
 type Class int
 
 const (
-	// Usual is the seven smallest tenths of a queue's works.
+	// Usual is the smallest 70% of a queue's works.
 	Usual Class = iota
-	// Large is the fifth below the largest tenth.
+	// Large is the 20% below Largest.
 	Large
-	// Largest is the largest tenth.
+	// Largest is the largest 10%.
 	Largest
-	// NumClasses counts the classes.
+	// NumClasses is the number of classes.
 	NumClasses
 )
 
-// String names the class in logs.
+// String returns the name of the class in logs.
 func (c Class) String() string { return [NumClasses]string{"usual", "large", "largest"}[c] }
 
-// SizeStats learns how large the works of each queue are, and shares the turns between their classes.
+// SizeStats learns the work sizes of each queue, and divides the starts of works fairly between size classes.
 type SizeStats struct {
-	queues map[string]*queue
+	queues map[string]*queueStats
 }
 
-type queue struct {
-	mean   float64
-	recent []float64
-	next   int
-	// largeFrom and largestFrom are where the classes begin.
-	largeFrom, largestFrom float64
-	// arrivals is the part of the works that each class is.
-	arrivals [NumClasses]float64
-	// turns is how far each class is with its turns: the class that is least far has the next one.
-	turns [NumClasses]float64
+type queueStats struct {
+	mean      float64
+	recent    []float64
+	nextIndex int
+	// largeMin and largestMin are the smallest sizes of Large and Largest.
+	largeMin, largestMin float64
+	// arrivalShares is the fraction of arriving works in each class.
+	arrivalShares [NumClasses]float64
+	// virtualTimes holds the virtual time of each class; the class with the smallest one starts a work next.
+	virtualTimes [NumClasses]float64
 }
 
-// New returns Sizes that have learned nothing.
-func New() *SizeStats { return &SizeStats{queues: make(map[string]*queue)} }
+// New returns a SizeStats without observations.
+func New() *SizeStats { return &SizeStats{queues: make(map[string]*queueStats)} }
 
-// Observe takes in the size of a work that was accepted, in core-seconds.
-func (z *SizeStats) Observe(name string, size float64) {
-	q := z.queues[name]
+// Observe records the size of an accepted work, in core-seconds.
+func (s *SizeStats) Observe(name string, size float64) {
+	q := s.queues[name]
 	if q == nil {
-		q = &queue{mean: size, arrivals: [NumClasses]float64{1 - largeShare, largeShare - largestShare, largestShare}}
-		z.queues[name] = q
+		q = &queueStats{mean: size, arrivalShares: [NumClasses]float64{1 - largeShare, largeShare - largestShare, largestShare}}
+		s.queues[name] = q
 	}
 	q.mean += meanWeight * (size - q.mean)
-	if len(q.recent) < recentSizes {
+	if len(q.recent) < sampleSize {
 		q.recent = append(q.recent, size)
 	} else {
-		q.recent[q.next] = size
-		q.next = (q.next + 1) % recentSizes
+		q.recent[q.nextIndex] = size
+		q.nextIndex = (q.nextIndex + 1) % sampleSize
 	}
-	q.divide()
-	c := q.class(size)
-	for other := range q.arrivals {
-		q.arrivals[other] -= arrivalWeight * q.arrivals[other]
+	q.updateBounds()
+	c := q.classOf(size)
+	for other := range q.arrivalShares {
+		q.arrivalShares[other] -= arrivalWeight * q.arrivalShares[other]
 	}
-	q.arrivals[c] += arrivalWeight
+	q.arrivalShares[c] += arrivalWeight
 }
 
-// Class gives the class of a work of that size among the latest of its queue; while few are known it is Usual.
-func (z *SizeStats) Class(name string, size float64) Class {
-	if q := z.queues[name]; q != nil {
-		return q.class(size)
+// Class returns the class of a size among the recent works of its queue, or Usual while too few works are known.
+func (s *SizeStats) Class(name string, size float64) Class {
+	if q := s.queues[name]; q != nil {
+		return q.classOf(size)
 	}
 	return Usual
 }
 
-// divide finds where the classes of sizes begin.
-func (q *queue) divide() {
+// updateBounds recomputes the bounds between the classes.
+func (q *queueStats) updateBounds() {
 	sorted := slices.Sorted(slices.Values(q.recent))
 	at := func(share float64) float64 { return sorted[int((1-share)*float64(len(sorted)-1))] }
-	q.largeFrom, q.largestFrom = at(largeShare), at(largestShare)
+	q.largeMin, q.largestMin = at(largeShare), at(largestShare)
 }
 
-func (q *queue) class(size float64) Class {
+func (q *queueStats) classOf(size float64) Class {
 	switch {
-	case len(q.recent) < knownSizes || size < q.largeFrom:
+	case len(q.recent) < minSamples || size < q.largeMin:
 		return Usual
-	case size < q.largestFrom:
+	case size < q.largestMin:
 		return Large
 	}
 	return Largest
 }
 
-// WaitFactor gives how long a work may wait for its turn among those of its class, in objectives: most callers
-// are served if works that are small beside the others of their queue go first.
-func (z *SizeStats) WaitFactor(name string, size float64) float64 {
-	q := z.queues[name]
+// WaitFactor returns how long a work may wait among the works of its class, in objectives. Putting works that are
+// small for their queue first serves the most callers.
+func (s *SizeStats) WaitFactor(name string, size float64) float64 {
+	q := s.queues[name]
 	if q == nil || q.mean <= 0 {
 		return 1
 	}
-	return min(max(size/q.mean, waitLeast), waitMost)
+	return min(max(size/q.mean, minWaitFactor), maxWaitFactor)
 }
 
-// Order gives the order in which works of a queue have their turns, as indices into their classes, which are
-// given in the order of Wait.
+// Order returns the order in which works of a queue start, as indices into waiting, which holds their classes in the
+// order of WaitFactor.
 //
-// The load that it answers is more work than room or permits, for as long as it lasts. By the order of Wait
-// alone all turns go to small works, and large ones become late before theirs comes: hardly any of the largest
-// tenth would be served where most of all are. Turns are shared by start-time fair queueing, each class as often as its works arrive. That needs nothing but what waits
-// now: no work must be seen to be lost first, and a new owner shares as well as the one before it.
-func (z *SizeStats) Order(name string, waiting []Class) []int {
-	q := z.queues[name]
+// It protects against a lasting excess of work over capacity or permits. The order of WaitFactor alone would start
+// only small works: large ones would be late before their turn came, and hardly any of the Largest class would be
+// served. Start-time fair queueing starts works of each class as often as they arrive. It needs only the works that
+// wait now: no work has to be lost first, and a new owner orders them as well as the previous one.
+func (s *SizeStats) Order(name string, waiting []Class) []int {
+	q := s.queues[name]
 	if q == nil {
-		q = &queue{}
+		q = &queueStats{}
 	}
-	var of [NumClasses][]int
+	var byClass [NumClasses][]int
 	for i, c := range waiting {
-		of[c] = append(of[c], i)
+		byClass[c] = append(byClass[c], i)
 	}
-	q.catchUp(&of)
-	turns := q.turns
+	q.advanceIdle(&byClass)
+	times := q.virtualTimes
 	order := make([]int, 0, len(waiting))
 	for range waiting {
-		c := first(&of, &turns)
-		order = append(order, of[c][0])
-		of[c] = of[c][1:]
-		turns[c] += q.turn(c)
+		c := nextClass(&byClass, &times)
+		order = append(order, byClass[c][0])
+		byClass[c] = byClass[c][1:]
+		times[c] += q.startCost(c)
 	}
 	return order
 }
 
-// first gives the class that has the next turn, the smaller works' one of those that are equally far.
-func first(of *[NumClasses][]int, turns *[NumClasses]float64) Class {
+// nextClass returns the waiting class with the smallest virtual time, and the class of smaller works if several are
+// equal.
+func nextClass(byClass *[NumClasses][]int, times *[NumClasses]float64) Class {
 	best := NumClasses
 	for c := range NumClasses {
-		if len(of[c]) > 0 && (best == NumClasses || turns[c] < turns[best]) {
+		if len(byClass[c]) > 0 && (best == NumClasses || times[c] < times[best]) {
 			best = c
 		}
 	}
 	return best
 }
 
-// catchUp sets classes of which nothing waits no further back than those of which something does. Turns that
-// a class had no use for would else be owed to it, and it alone would have all of them one day.
-func (q *queue) catchUp(of *[NumClasses][]int) {
-	least := first(of, &q.turns)
+// advanceIdle raises the virtual time of idle classes to that of the next waiting class. Otherwise a class would save
+// up unused starts, and later take all starts for a long time.
+func (q *queueStats) advanceIdle(byClass *[NumClasses][]int) {
+	least := nextClass(byClass, &q.virtualTimes)
 	if least == NumClasses {
 		return
 	}
 	for c := range NumClasses {
-		if len(of[c]) == 0 {
-			q.turns[c] = max(q.turns[c], q.turns[least])
+		if len(byClass[c]) == 0 {
+			q.virtualTimes[c] = max(q.virtualTimes[c], q.virtualTimes[least])
 		}
 	}
 }
 
-// turn is how far one turn brings a class.
-func (q *queue) turn(c Class) float64 { return 1 / max(q.arrivals[c], leastArrival) }
+// startCost is how far one start advances the virtual time of a class.
+func (q *queueStats) startCost(c Class) float64 { return 1 / max(q.arrivalShares[c], minArrivalShare) }
 
-// RecordStart takes in that a work of a class has had its turn.
-func (z *SizeStats) RecordStart(name string, c Class) {
-	if q := z.queues[name]; q != nil {
-		q.turns[c] += q.turn(c)
+// RecordStart records that a work of a class was started.
+func (s *SizeStats) RecordStart(name string, c Class) {
+	if q := s.queues[name]; q != nil {
+		q.virtualTimes[c] += q.startCost(c)
 	}
 }
--- a/aging/aging_test.go
+++ b/aging/aging_test.go
@@ -8,84 +8,84 @@
 	"pgregory.net/rapid"
 )
 
-// sizes has seen a queue's works of 1 to 10, many times.
-func sizes() *SizeStats {
-	z := New()
+// newTestStats returns a SizeStats that has seen works of sizes 1 to 10 many times.
+func newTestStats() *SizeStats {
+	s := New()
 	for range 50 {
 		for size := range 10 {
-			z.Observe("rosters", float64(size+1))
+			s.Observe("rosters", float64(size+1))
 		}
 	}
-	return z
+	return s
 }
 
-// A small work's turn comes early, a large one's later, within bounds.
-func TestWait(t *testing.T) {
+// Small works may wait less than large ones, within bounds.
+func TestWaitFactor(t *testing.T) {
 	is := is.New(t)
-	z := sizes()
-	is.True(z.WaitFactor("rosters", 1) < z.WaitFactor("rosters", 5))
-	is.True(z.WaitFactor("rosters", 5) < z.WaitFactor("rosters", 9))
-	is.Equal(z.WaitFactor("rosters", 0.01), waitLeast)
-	is.Equal(z.WaitFactor("rosters", 1000), float64(waitMost))
-	is.Equal(z.WaitFactor("unknown", 1), 1.0)
+	s := newTestStats()
+	is.True(s.WaitFactor("rosters", 1) < s.WaitFactor("rosters", 5))
+	is.True(s.WaitFactor("rosters", 5) < s.WaitFactor("rosters", 9))
+	is.Equal(s.WaitFactor("rosters", 0.01), minWaitFactor)
+	is.Equal(s.WaitFactor("rosters", 1000), float64(maxWaitFactor))
+	is.Equal(s.WaitFactor("unknown", 1), 1.0)
 }
 
-// begin gives n turns to works of all classes that wait without end, and counts them by class.
-func begin(z *SizeStats, n int, waiting ...Class) map[Class]int {
+// countStarts simulates n starts while works of the given classes always wait, and counts the starts by class.
+func countStarts(s *SizeStats, n int, waiting ...Class) map[Class]int {
 	got := make(map[Class]int)
 	for range n {
-		c := waiting[z.Order("rosters", waiting)[0]]
-		z.RecordStart("rosters", c)
+		c := waiting[s.Order("rosters", waiting)[0]]
+		s.RecordStart("rosters", c)
 		got[c]++
 	}
 	return got
 }
 
-// An overload lasts, so that works of all classes wait at each moment, the small ones with the earlier turn. By
-// that turn alone no large work would ever begin. Each class has turns as often as its works arrive.
-func TestLargeWorksHaveTheirTurns(t *testing.T) {
+// Under lasting overload, works of all classes always wait and small ones come first by WaitFactor alone, so that no
+// large work would ever start. Each class must start as often as its works arrive.
+func TestLargeWorksStart(t *testing.T) {
 	is := is.New(t)
-	z := sizes()
-	arrive := make(map[Class]int)
+	s := newTestStats()
+	arrivals := make(map[Class]int)
 	for i := range 100 {
 		size := float64(i%10 + 1)
-		z.Observe("rosters", size)
-		arrive[z.Class("rosters", size)]++
+		s.Observe("rosters", size)
+		arrivals[s.Class("rosters", size)]++
 	}
-	got := begin(z, 100, Usual, Usual, Usual, Large, Largest)
+	got := countStarts(s, 100, Usual, Usual, Usual, Large, Largest)
 	for c := range NumClasses {
-		is.True(arrive[c] > 0)
-		is.True(math.Abs(float64(got[c]-arrive[c])) <= 5)
+		is.True(arrivals[c] > 0)
+		is.True(math.Abs(float64(got[c]-arrivals[c])) <= 5)
 	}
 }
 
-// No large work waits for an hour. If the turns that their class did not use were owed to it, large works alone
-// would begin for long, and all small ones wait.
-func TestUnusedTurnsAreNotOwed(t *testing.T) {
+// No large work waits for an hour. If their class saved up its unused starts, only large works would start for a long
+// time afterwards, and all small ones would wait.
+func TestIdleClassSavesNoStarts(t *testing.T) {
 	is := is.New(t)
-	z := sizes()
-	begin(z, 1000, Usual)
-	got := begin(z, 100, Usual, Large)
+	s := newTestStats()
+	countStarts(s, 1000, Usual)
+	got := countStarts(s, 100, Usual, Large)
 	is.True(got[Usual] >= 70)
 	is.True(got[Large] >= 17)
 }
 
-// A class that has the cell for itself for long is not made to wait for that either.
-func TestUsedTurnsAreNotHeldAgainst(t *testing.T) {
+// A class that was the only one to start works for a long time must not have to wait for that later.
+func TestPastStartsAreNotPenalized(t *testing.T) {
 	is := is.New(t)
-	z := sizes()
-	begin(z, 1000, Largest)
-	got := begin(z, 100, Usual, Largest)
+	s := newTestStats()
+	countStarts(s, 1000, Largest)
+	got := countStarts(s, 100, Usual, Largest)
 	is.True(got[Largest] >= 8)
 }
 
-func TestShareKeepsTheOrderOfAClass(t *testing.T) {
+func TestOrderIsStableWithinClass(t *testing.T) {
 	for name, waiting := range map[string][]Class{
 		"nothing waits": {}, "one class": {Large, Large, Large}, "all": {Usual, Largest, Usual, Large, Usual, Largest, Large},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			order := sizes().Order("rosters", waiting)
+			order := newTestStats().Order("rosters", waiting)
 			is.Equal(len(order), len(waiting))
 			last := map[Class]int{Usual: -1, Large: -1, Largest: -1}
 			for _, i := range order {
@@ -96,49 +96,50 @@
 	}
 }
 
-// Works of a queue may have two sizes only. The larger ones are then all in one class, which is no tenth of them.
+// If the works of a queue have only two sizes, all larger ones are in one class, which is far more than a tenth of
+// them.
 func TestSharesFollowArrivals(t *testing.T) {
 	is := is.New(t)
-	z := New()
+	s := New()
 	for i := range 400 {
-		z.Observe("rosters", float64(1+i%2))
+		s.Observe("rosters", float64(1+i%2))
 	}
-	small, large := z.Class("rosters", 1), z.Class("rosters", 2)
+	small, large := s.Class("rosters", 1), s.Class("rosters", 2)
 	is.True(small != large)
-	got := begin(z, 100, small, large)
+	got := countStarts(s, 100, small, large)
 	is.True(got[large] >= 45 && got[large] <= 55)
 }
 
-// Works of one class wait all the time, those of the others come and go as they like. Whatever they do, the class
-// has its share of the turns, but for those that each of the others may be ahead by.
+// Works of one class always wait, and works of the others come and go at random. The class must get its share of the
+// starts, except for one start that each other class may be ahead by.
 func TestWaitingClassAlwaysHasItsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		z := New()
+		s := New()
 		for _, size := range rapid.SliceOfN(rapid.Float64Range(1, 1000), 30, 200).Draw(t, "sizes") {
-			z.Observe("rosters", size)
+			s.Observe("rosters", size)
 		}
 		waits := Class(rapid.IntRange(0, int(NumClasses)-1).Draw(t, "class"))
-		const turns = 200
+		const starts = 200
 		got := 0
-		for range turns {
+		for range starts {
 			waiting := []Class{waits}
 			for c := range NumClasses {
 				if c != waits && rapid.Bool().Draw(t, "waits") {
 					waiting = append(waiting, c)
 				}
 			}
-			c := waiting[z.Order("rosters", waiting)[0]]
-			z.RecordStart("rosters", c)
+			c := waiting[s.Order("rosters", waiting)[0]]
+			s.RecordStart("rosters", c)
 			if c == waits {
 				got++
 			}
 		}
-		q, all := z.queues["rosters"], 0.0
+		q, all := s.queues["rosters"], 0.0
 		for c := range NumClasses {
-			all += 1 / q.turn(c)
+			all += 1 / q.startCost(c)
 		}
-		if want := turns / q.turn(waits) / all; float64(got) < want-float64(NumClasses) {
-			t.Fatalf("%v had %d of %d turns, its share is %.1f", waits, got, turns, want)
+		if want := starts / q.startCost(waits) / all; float64(got) < want-float64(NumClasses) {
+			t.Fatalf("%v had %d of %d starts, its share is %.1f", waits, got, starts, want)
 		}
 	})
 }
--- a/aging/doc.go
+++ b/aging/doc.go
@@ -1,3 +1,3 @@
-// Package aging decides in which order the works of a queue have their turns: the small ones first, and each
-// class of sizes as often as its works arrive. It does no input or output.
+// Package aging decides in which order the works of a queue start: small ones first, and works of each size class as
+// often as they arrive. It performs no I/O.
 package aging
