--- a/rule/action.go
+++ b/rule/action.go
@@ -17,10 +17,10 @@
 
 var kinds = map[string]Kind{}
 
-// Register makes a kind of action known; it is called from the init of its package.
+// Register adds a kind of action. It is called from the init function of the package that implements it.
 func Register(k Kind) { kinds[k.Name] = k }
 
-// Kinds gives the names of all registered kinds in order.
+// Kinds returns the sorted names of all registered kinds.
 func Kinds() []string {
 	names := make([]string, 0, len(kinds))
 	for name := range kinds {
@@ -30,23 +30,23 @@
 	return names
 }
 
-// Decode fills into with an action's parameters and refuses unknown ones.
-func Decode(with json.RawMessage, into any) finding.List {
+// Decode decodes an action's parameters into target, and reports unknown fields.
+func Decode(with json.RawMessage, target any) finding.List {
 	var l finding.List
 	if len(with) == 0 {
 		return l
 	}
 	dec := json.NewDecoder(bytes.NewReader(with))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(target); err != nil {
 		l.Add("with", "%s", err.Error())
 	}
 	return l
 }
 
-// CheckMin adds a finding unless value is at least least.
-func CheckMin(l *finding.List, place string, value, least int64) {
-	if value < least {
-		l.Add("with."+place, "must be at least %d", least)
+// CheckMin adds a finding if value is smaller than minimum.
+func CheckMin(l *finding.List, field string, value, minimum int64) {
+	if value < minimum {
+		l.Add("with."+field, "must be at least %d", minimum)
 	}
 }
--- a/rule/condition.go
+++ b/rule/condition.go
@@ -13,36 +13,36 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// condition is a compiled When; the zero value always holds.
+// condition is a compiled When; the zero value matches every request.
 type condition struct {
 	program *vm.Program
-	// test is nil, or must hold wherever the program does; if exact, it decides alone.
-	test  test
-	exact bool
-	parts []part
+	// predicate is nil, or a necessary condition for the program to hold. If exact is set, it decides alone.
+	predicate predicate
+	exact     bool
+	parts     []conjunct
 }
 
-// part is one of the conjuncts of a condition, kept for explanations.
-type part struct {
+// conjunct is one operand of the top-level conjunction of a condition, kept for explanations.
+type conjunct struct {
 	text    string
 	fields  []string
 	program *vm.Program
 }
 
-// functions are the builtins that conditions may call. The others are disabled: now() would make
-// decisions differ between processes, and repeat() and the like would let a rule take any time.
-var functions = []string{"len", "lower", "upper", "trim", "abs", "max", "min", "hasPrefix", "hasSuffix"}
+// allowedBuiltins are the builtins that conditions may call. All others are disabled: now() would make decisions
+// differ between processes, and functions such as repeat() would let a rule run for an unbounded time.
+var allowedBuiltins = []string{"len", "lower", "upper", "trim", "abs", "max", "min", "hasPrefix", "hasSuffix"}
 
-var machines = sync.Pool{New: func() any { return new(vm.VM) }}
+var vmPool = sync.Pool{New: func() any { return new(vm.VM) }}
 
-func compile(text string) (*vm.Program, error) {
+func compileProgram(text string) (*vm.Program, error) {
 	opts := []expr.Option{expr.Env(&Request{}), expr.AsBool(), expr.DisableAllBuiltins()}
-	for _, f := range functions {
+	for _, f := range allowedBuiltins {
 		opts = append(opts, expr.EnableBuiltin(f))
 	}
 	program, err := expr.Compile(text, opts...)
 	if err != nil {
-		return nil, describe(err)
+		return nil, formatError(err)
 	}
 	return program, nil
 }
@@ -56,56 +56,56 @@
 		return c, fmt.Errorf("must be at most %d bytes", MaxWhenBytes)
 	}
 	var err error
-	if c.program, err = compile(when); err != nil {
+	if c.program, err = compileProgram(when); err != nil {
 		return c, err
 	}
 	tree, err := parser.Parse(when)
 	if err != nil {
-		return c, describe(err)
+		return c, formatError(err)
 	}
-	c.test, c.exact = native(tree.Node)
-	c.split(tree.Node)
+	c.predicate, c.exact = compilePredicate(tree.Node)
+	c.addParts(tree.Node)
 	return c, nil
 }
 
-// split fills the parts with the conjuncts of a checked tree.
-func (c *condition) split(n ast.Node) {
+// addParts appends the conjuncts of a type-checked tree to the parts.
+func (c *condition) addParts(n ast.Node) {
 	if b, ok := n.(*ast.BinaryNode); ok && (b.Operator == "&&" || b.Operator == "and") {
-		c.split(b.Left)
-		c.split(b.Right)
+		c.addParts(b.Left)
+		c.addParts(b.Right)
 		return
 	}
-	p := part{text: n.String()}
-	ast.Walk(&n, &names{fields: &p.fields})
+	p := conjunct{text: n.String()}
+	ast.Walk(&n, &fieldCollector{fields: &p.fields})
 	var err error
-	if p.program, err = compile(p.text); err == nil {
+	if p.program, err = compileProgram(p.text); err == nil {
 		c.parts = append(c.parts, p)
 	}
 }
 
-// describe gives a compiler's error in one line with its place.
-func describe(err error) error {
-	var at *file.Error
-	if errors.As(err, &at) {
-		return fmt.Errorf("line %d column %d: %s", at.Line, at.Column+1, at.Message)
+// formatError returns a compile error in one line with its position.
+func formatError(err error) error {
+	var position *file.Error
+	if errors.As(err, &position) {
+		return fmt.Errorf("line %d column %d: %s", position.Line, position.Column+1, position.Message)
 	}
 	return errors.New(strings.ReplaceAll(err.Error(), "\n", " "))
 }
 
-func (c *condition) holds(r *Request) bool {
-	if c.test != nil {
-		if held := c.test(r); !held || c.exact {
-			return held
+func (c *condition) matches(r *Request) bool {
+	if c.predicate != nil {
+		if holds := c.predicate(r); !holds || c.exact {
+			return holds
 		}
 	}
-	return c.program == nil || run(c.program, r)
+	return c.program == nil || evaluate(c.program, r)
 }
 
-// run counts a program that fails, such as by a division by zero, as not holding.
-func run(program *vm.Program, r *Request) bool {
-	m, _ := machines.Get().(*vm.VM)
-	defer machines.Put(m)
+// evaluate treats a program that fails, for example by dividing by zero, as not holding.
+func evaluate(program *vm.Program, r *Request) bool {
+	m, _ := vmPool.Get().(*vm.VM)
+	defer vmPool.Put(m)
 	out, err := m.Run(program, r)
-	held, _ := out.(bool)
-	return err == nil && held
+	holds, _ := out.(bool)
+	return err == nil && holds
 }
--- a/rule/effect.go
+++ b/rule/effect.go
@@ -2,47 +2,45 @@
 
 import "turmericgap/job"
 
-// Preemption tells what a request may do to others and others to it.
+// Preemption defines whether a request may preempt others and be preempted itself.
 type Preemption struct {
-	// May lets the request preempt lower work.
+	// May allows the request to preempt lower-priority work.
 	May bool
-	// Never keeps the request's tasks from being preempted.
+	// Never protects the request's tasks from preemption.
 	Never bool
-	// EvenNotRepeatable lets the request's tasks be preempted although they are services or not
-	// repeatable.
+	// EvenNotRepeatable allows preemption of the request's tasks although they are services or not repeatable.
 	EvenNotRepeatable bool
 }
 
-// Quota is what the requests of a pool may hold together.
+// Quota limits the resources that the requests of a pool use together.
 type Quota struct {
-	// Pool is charged; empty means the request's team.
+	// Pool is the pool to charge; empty means the request's team.
 	Pool string
 	Most job.Resources
-	// Borrow lets the pool use idle capacity beyond Most, which is taken back by preemption.
+	// Borrow allows the pool to use idle capacity beyond Most, which is taken back by preemption.
 	Borrow bool
 }
 
-// Effect is everything that the actions of one rule ask for; zero values leave the default.
+// Effect combines the effects of all actions of one rule; zero values keep the defaults.
 type Effect struct {
 	// Rule is the id of the rule.
 	Rule string
-	// Refuse is the reason for which the request is refused; empty accepts it.
+	// Refuse is the reason for rejecting the request; empty accepts it.
 	Refuse            string
 	RetryAfterSeconds int64
 	Priority          int
-	// MostPending bounds the tasks that wait under this rule, MostRunning those that run; zero
-	// means no bound.
+	// MostPending limits the pending tasks under this rule, MostRunning the running ones; zero means no limit.
 	MostPending int
 	MostRunning int
-	// Strategy names how workers are chosen; empty means by the kind of the work.
+	// Strategy names how workers are chosen; empty means the default for the kind of work.
 	Strategy string
 	Quota    *Quota
-	// TimeoutSeconds ends an attempt or check that takes longer; zero means never.
+	// TimeoutSeconds ends an attempt or check that takes longer; zero means no timeout.
 	TimeoutSeconds int64
 	Retries        int
 	Preemption     Preemption
-	// Service is the target service that gets the request; empty means the one that it names.
+	// Service is the target service of the request; empty means the service named by the request.
 	Service string
-	// Zones are tried in this order before others.
+	// Zones are tried in this order before all others.
 	Zones []string
 }
--- a/rule/explain.go
+++ b/rule/explain.go
@@ -5,44 +5,44 @@
 	"strings"
 )
 
-// Explanation tells why the rules decide a request as they do.
+// Explanation describes how the rules decide a request.
 type Explanation struct {
 	Version int64 `json:"version"`
-	// DecidedBy is the id of the rule that decided; empty if none holds.
+	// DecidedBy is the id of the rule that decided; empty if no rule matches.
 	DecidedBy string `json:"decided"`
-	// Results holds the rules up to the deciding one, in order.
+	// Results lists the evaluated rules in order, up to the deciding one.
 	Results []RuleResult `json:"asked"`
 }
 
-// RuleResult is what became of one rule.
+// RuleResult is the result of evaluating one rule.
 type RuleResult struct {
 	Rule    string `json:"rule"`
 	Matched bool   `json:"holds"`
-	// FailedCondition is the first part of the condition that does not hold.
+	// FailedCondition is the first part of the condition that was not met.
 	FailedCondition string `json:"failed,omitempty"`
-	// FieldValues are those that the failed part read, such as `class is "sweep"`.
+	// FieldValues lists the values that the failed part read, such as `class is "sweep"`.
 	FieldValues string `json:"values,omitempty"`
 }
 
-// Explain goes through the rules as Decide does, for a past or hypothetical request.
+// Explain evaluates the rules like Decide, for a past or hypothetical request.
 func (l *List) Explain(r *Request) Explanation {
-	x := Explanation{Version: l.document.Version, Results: []RuleResult{}}
+	explanation := Explanation{Version: l.document.Version, Results: []RuleResult{}}
 	for i := range l.rules {
-		c := &l.rules[i]
-		v := RuleResult{Rule: c.effect.Rule, Matched: c.condition.holds(r)}
-		if v.Matched {
-			x.DecidedBy, x.Results = c.effect.Rule, append(x.Results, v)
-			return x
+		rule := &l.rules[i]
+		result := RuleResult{Rule: rule.effect.Rule, Matched: rule.condition.matches(r)}
+		if result.Matched {
+			explanation.DecidedBy, explanation.Results = rule.effect.Rule, append(explanation.Results, result)
+			return explanation
 		}
-		v.FailedCondition, v.FieldValues = c.condition.failed(r)
-		x.Results = append(x.Results, v)
+		result.FailedCondition, result.FieldValues = rule.condition.firstFailed(r)
+		explanation.Results = append(explanation.Results, result)
 	}
-	return x
+	return explanation
 }
 
-func (c *condition) failed(r *Request) (text, values string) {
+func (c *condition) firstFailed(r *Request) (text, values string) {
 	for _, p := range c.parts {
-		if run(p.program, r) {
+		if evaluate(p.program, r) {
 			continue
 		}
 		var read []string
--- a/rule/limit/limit.go
+++ b/rule/limit/limit.go
@@ -1,4 +1,4 @@
-// Package limit is the action that bounds how many tasks run at once under a rule.
+// Package limit implements the action that limits how many tasks run at once under a rule.
 package limit
 
 import (
@@ -8,7 +8,7 @@
 	"turmericgap/rule"
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
 	MostRunning int `json:"mostRunning"`
 }
--- a/rule/place/place.go
+++ b/rule/place/place.go
@@ -1,4 +1,4 @@
-// Package place is the action that sets how workers are chosen.
+// Package place implements the action that sets how workers are chosen.
 package place
 
 import (
@@ -9,7 +9,7 @@
 	"turmericgap/rule"
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
 	Strategy string `json:"strategy"`
 }
--- a/rule/native.go
+++ b/rule/predicate.go
@@ -6,9 +6,9 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// test is a condition, or a necessary part of one, as plain Go. Each of 50 conditions in expr's
-// machine takes about as long as a whole decision may, so that most are decided without it.
-type test func(*Request) bool
+// predicate implements a condition, or a necessary part of one, in plain Go. With 50 rules, each condition evaluated
+// in the expr VM takes about as long as a whole decision may take, so most conditions are decided without it.
+type predicate func(*Request) bool
 
 var textFields = map[string]func(*Request) string{
 	"class":   func(r *Request) string { return r.Class },
@@ -31,7 +31,7 @@
 	"each.accelerators": func(r *Request) int64 { return r.Each.Accelerators },
 }
 
-var boolFields = map[string]test{
+var boolFields = map[string]predicate{
 	"check":      func(r *Request) bool { return r.Check },
 	"gang":       func(r *Request) bool { return r.Gang },
 	"urgent":     func(r *Request) bool { return r.Urgent },
@@ -39,7 +39,8 @@
 	"session":    func(r *Request) bool { return r.Session },
 }
 
-// fieldName gives "class" or "each.millicores" for a node that reads a field, else "".
+// fieldName returns the name of the field that a node reads, such as "class" or "each.millicores", or an empty
+// string.
 func fieldName(n ast.Node) string {
 	switch n := n.(type) {
 	case *ast.IdentifierNode:
@@ -53,18 +54,18 @@
 	return ""
 }
 
-// names collects the fields that a tree reads.
-type names struct{ fields *[]string }
+// fieldCollector collects the names of the fields that a tree reads.
+type fieldCollector struct{ fields *[]string }
 
-// Visit notes one node of the tree.
-func (v *names) Visit(n *ast.Node) {
+// Visit implements ast.Visitor.
+func (v *fieldCollector) Visit(n *ast.Node) {
 	name := fieldName(*n)
 	if _, ok := valueOf(name, &Request{}); ok {
 		*v.fields = append(*v.fields, name)
 	}
 }
 
-// valueOf gives a field's value as it is written in a condition.
+// valueOf returns a field's value as it is written in a condition.
 func valueOf(name string, r *Request) (string, bool) {
 	if get, ok := textFields[name]; ok {
 		return strconv.Quote(get(r)), true
@@ -78,37 +79,37 @@
 	return "", false
 }
 
-// native turns a checked tree into a test, nil if it cannot. A test that is not exact is necessary
-// only: where it fails the condition fails.
-func native(n ast.Node) (t test, exact bool) {
+// compilePredicate compiles a type-checked tree to a predicate, or returns nil if it cannot. A predicate that is not
+// exact is only necessary: if it fails, the condition fails.
+func compilePredicate(n ast.Node) (t predicate, exact bool) {
 	switch n := n.(type) {
 	case *ast.IdentifierNode:
 		t = boolFields[n.Value]
 		return t, t != nil
 	case *ast.UnaryNode:
-		return nativeNot(n)
+		return compileNot(n)
 	case *ast.BinaryNode:
-		return nativeBinary(n)
+		return compileBinary(n)
 	}
 	return nil, false
 }
 
-func nativeNot(n *ast.UnaryNode) (test, bool) {
-	inner, exact := native(n.Node)
+func compileNot(n *ast.UnaryNode) (predicate, bool) {
+	inner, exact := compilePredicate(n.Node)
 	if !exact || (n.Operator != "!" && n.Operator != "not") {
 		return nil, false
 	}
 	return func(r *Request) bool { return !inner(r) }, true
 }
 
-func nativeBinary(n *ast.BinaryNode) (test, bool) {
+func compileBinary(n *ast.BinaryNode) (predicate, bool) {
 	switch n.Operator {
 	case "&&", "and":
-		return nativeAnd(n)
+		return compileAnd(n)
 	case "||", "or":
-		return nativeOr(n)
+		return compileOr(n)
 	case "in":
-		return nativeIn(n)
+		return compileIn(n)
 	}
 	name := fieldName(n.Left)
 	if get, ok := textFields[name]; ok {
@@ -120,9 +121,9 @@
 	return nil, false
 }
 
-func nativeAnd(n *ast.BinaryNode) (test, bool) {
-	left, leftExact := native(n.Left)
-	right, rightExact := native(n.Right)
+func compileAnd(n *ast.BinaryNode) (predicate, bool) {
+	left, leftExact := compilePredicate(n.Left)
+	right, rightExact := compilePredicate(n.Right)
 	switch {
 	case left == nil:
 		return right, false
@@ -132,16 +133,16 @@
 	return func(r *Request) bool { return left(r) && right(r) }, leftExact && rightExact
 }
 
-func nativeOr(n *ast.BinaryNode) (test, bool) {
-	left, leftExact := native(n.Left)
-	right, rightExact := native(n.Right)
+func compileOr(n *ast.BinaryNode) (predicate, bool) {
+	left, leftExact := compilePredicate(n.Left)
+	right, rightExact := compilePredicate(n.Right)
 	if left == nil || right == nil {
 		return nil, false
 	}
 	return func(r *Request) bool { return left(r) || right(r) }, leftExact && rightExact
 }
 
-func nativeIn(n *ast.BinaryNode) (test, bool) {
+func compileIn(n *ast.BinaryNode) (predicate, bool) {
 	get, ok := textFields[fieldName(n.Left)]
 	array, isArray := n.Right.(*ast.ArrayNode)
 	if !ok || !isArray {
@@ -155,10 +156,10 @@
 		}
 		set[text.Value] = struct{}{}
 	}
-	return func(r *Request) bool { _, held := set[get(r)]; return held }, true
+	return func(r *Request) bool { _, found := set[get(r)]; return found }, true
 }
 
-func compareText(n *ast.BinaryNode, get func(*Request) string) (test, bool) {
+func compareText(n *ast.BinaryNode, get func(*Request) string) (predicate, bool) {
 	text, ok := n.Right.(*ast.StringNode)
 	if !ok {
 		return nil, false
@@ -173,7 +174,7 @@
 	return nil, false
 }
 
-func compareNumber(n *ast.BinaryNode, get func(*Request) int64) (test, bool) {
+func compareNumber(n *ast.BinaryNode, get func(*Request) int64) (predicate, bool) {
 	number, ok := n.Right.(*ast.IntegerNode)
 	if !ok {
 		return nil, false
--- a/rule/preempt/preempt.go
+++ b/rule/preempt/preempt.go
@@ -1,4 +1,4 @@
-// Package preempt is the action that lets requests preempt others, or shields them from it.
+// Package preempt implements the action that allows requests to preempt others, or protects them from preemption.
 package preempt
 
 import (
@@ -8,13 +8,13 @@
 	"turmericgap/rule"
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
-	// May lets the request preempt lower work.
+	// May allows the request to preempt lower-priority work.
 	May bool `json:"may,omitempty"`
-	// Never shields the request's tasks.
+	// Never protects the request's tasks from preemption.
 	Never bool `json:"never,omitempty"`
-	// EvenNotRepeatable gives up tasks that are services or not repeatable.
+	// EvenNotRepeatable allows preemption of tasks that are services or not repeatable.
 	EvenNotRepeatable bool `json:"evenNotRepeatable,omitempty"`
 }
 
--- a/rule/queue/queue.go
+++ b/rule/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue is the action that sets a request's priority and the length of its queue.
+// Package queue implements the action that sets a request's priority and the length of its queue.
 package queue
 
 import (
@@ -8,16 +8,16 @@
 	"turmericgap/rule"
 )
 
-// Priorities run from the lowest to the highest, zero being ordinary.
+// Range of priorities; zero is normal.
 const (
 	LowestPriority  = -8
 	HighestPriority = 8
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
 	Priority int `json:"priority"`
-	// MostPending bounds the tasks that wait under this rule; zero means no bound.
+	// MostPending limits the pending tasks under this rule; zero means no limit.
 	MostPending int `json:"mostPending,omitempty"`
 }
 
--- a/rule/quota/quota.go
+++ b/rule/quota/quota.go
@@ -1,4 +1,4 @@
-// Package quota is the action that bounds what a pool of requests may hold together.
+// Package quota implements the action that limits the resources that a pool of requests uses together.
 package quota
 
 import (
@@ -9,12 +9,12 @@
 	"turmericgap/rule"
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
-	// Pool is charged; empty means the request's team.
+	// Pool is the pool to charge; empty means the request's team.
 	Pool string        `json:"pool,omitempty"`
 	Most job.Resources `json:"most"`
-	// Borrow lets the pool use idle capacity beyond Most.
+	// Borrow allows the pool to use idle capacity beyond Most.
 	Borrow bool `json:"borrow,omitempty"`
 }
 
--- a/rule/refuse/refuse.go
+++ b/rule/refuse/refuse.go
@@ -1,4 +1,4 @@
-// Package refuse is the action that refuses requests with a reason.
+// Package refuse implements the action that rejects requests with a reason.
 package refuse
 
 import (
@@ -8,10 +8,10 @@
 	"turmericgap/rule"
 )
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
 	Reason string `json:"reason"`
-	// RetryAfterSeconds tells the caller when to ask again; zero means never.
+	// RetryAfterSeconds tells the caller when to retry; zero means never.
 	RetryAfterSeconds int64 `json:"retryAfterSeconds,omitempty"`
 }
 
--- a/rule/retry/retry.go
+++ b/rule/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry is the action that bounds how long an attempt may take and how often it is retried.
+// Package retry implements the action that limits the run time and the number of retries of attempts.
 package retry
 
 import (
@@ -8,12 +8,12 @@
 	"turmericgap/rule"
 )
 
-// MaxRetries bounds the retries that a rule may ask for.
+// MaxRetries is the maximum number of retries in a rule.
 const MaxRetries = 100
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
-	// TimeoutSeconds ends an attempt that takes longer; zero means never.
+	// TimeoutSeconds ends an attempt that takes longer; zero means no timeout.
 	TimeoutSeconds int64 `json:"timeoutSeconds,omitempty"`
 	Retries        int   `json:"retries,omitempty"`
 }
--- a/rule/route/route.go
+++ b/rule/route/route.go
@@ -1,4 +1,4 @@
-// Package route is the action that sets the target service of a check and the zones preferred.
+// Package route implements the action that sets the target service and the preferred zones of a check.
 package route
 
 import (
@@ -8,13 +8,13 @@
 	"turmericgap/rule"
 )
 
-// MaxZones bounds the zones that a rule may name.
+// MaxZones is the maximum number of zones in a rule.
 const MaxZones = 32
 
-// Parameters of the action.
+// Parameters are the parameters of the action.
 type Parameters struct {
 	Service string `json:"service,omitempty"`
-	// Zones are tried in this order before others.
+	// Zones are tried in this order before all others.
 	Zones []string `json:"zones,omitempty"`
 }
 
--- a/rule/rule.go
+++ b/rule/rule.go
@@ -19,39 +19,39 @@
 	MaxIDBytes   = 64
 )
 
-// Document is the operators' list as it is edited and stored.
+// Document is the list of rules as operators edit it and as it is stored.
 type Document struct {
-	// Version grows with each edit; an older one never replaces a newer.
+	// Version increases with each edit; an older document never replaces a newer one.
 	Version int64  `json:"version" msgpack:"v"`
 	Rules   []Rule `json:"rules" msgpack:"r"`
 }
 
-// Rule decides the requests for which When holds and no earlier rule's does.
+// Rule decides the requests that match When and no earlier rule.
 type Rule struct {
 	ID string `json:"id" msgpack:"i"`
-	// When is a condition over Request; empty always holds.
+	// When is a condition over Request; an empty one matches every request.
 	When string   `json:"when,omitempty" msgpack:"w,omitempty"`
 	Then []Action `json:"then" msgpack:"t"`
 }
 
-// Action is one thing to do, with the parameters of its kind.
+// Action is one action of a rule, with the parameters of its kind.
 type Action struct {
 	Kind string          `json:"kind" msgpack:"k"`
 	With json.RawMessage `json:"with,omitempty" msgpack:"w,omitempty"`
 }
 
-// List is a compiled document. It does not change and is safe for concurrent use.
+// List is a compiled document. It is immutable and safe for concurrent use.
 type List struct {
 	document Document
-	rules    []compiled
+	rules    []compiledRule
 }
 
-type compiled struct {
+type compiledRule struct {
 	condition condition
 	effect    Effect
 }
 
-// Parse compiles a document from JSON; the error is a finding.List with all faults.
+// Parse compiles a document from JSON. Its error is a finding.List with all findings.
 func Parse(raw []byte) (*List, error) {
 	var l finding.List
 	if len(raw) > MaxBytes {
@@ -72,7 +72,7 @@
 	return New(d)
 }
 
-// New compiles a document; the error is a finding.List with all faults.
+// New compiles a document. Its error is a finding.List with all findings.
 func New(d Document) (*List, error) {
 	var l finding.List
 	if d.Version < 0 {
@@ -82,16 +82,16 @@
 		l.Add("rules", "must be at most %d", MaxRules)
 		return nil, l
 	}
-	list := &List{document: d, rules: make([]compiled, len(d.Rules))}
+	list := &List{document: d, rules: make([]compiledRule, len(d.Rules))}
 	seen := make(map[string]int, len(d.Rules))
 	for i := range d.Rules {
-		place := fmt.Sprintf("rules[%d]", i)
+		path := fmt.Sprintf("rules[%d]", i)
 		r := &d.Rules[i]
 		if first, ok := seen[r.ID]; ok {
-			l.Add(place+".id", "is that of rules[%d]", first)
+			l.Add(path+".id", "is that of rules[%d]", first)
 		}
 		seen[r.ID] = i
-		l.AddUnder(place, list.rules[i].compile(r))
+		l.AddUnder(path, list.rules[i].compile(r))
 	}
 	if len(l) > 0 {
 		return nil, l
@@ -99,7 +99,7 @@
 	return list, nil
 }
 
-func (c *compiled) compile(r *Rule) finding.List {
+func (c *compiledRule) compile(r *Rule) finding.List {
 	var l finding.List
 	if r.ID == "" || len(r.ID) > MaxIDBytes {
 		l.Add("id", "must have from 1 to %d bytes", MaxIDBytes)
@@ -113,41 +113,40 @@
 		return l
 	}
 	c.effect.Rule = r.ID
-	done := make([]string, 0, len(r.Then))
+	seen := make([]string, 0, len(r.Then))
 	for i, a := range r.Then {
-		place := fmt.Sprintf("then[%d]", i)
+		path := fmt.Sprintf("then[%d]", i)
 		kind, ok := kinds[a.Kind]
 		switch {
 		case !ok:
-			l.Add(place+".kind", "%q is not one of %q", a.Kind, Kinds())
-		case slices.Contains(done, a.Kind):
-			l.Add(place+".kind", "%q stands twice in this rule", a.Kind)
+			l.Add(path+".kind", "%q is not one of %q", a.Kind, Kinds())
+		case slices.Contains(seen, a.Kind):
+			l.Add(path+".kind", "%q stands twice in this rule", a.Kind)
 		default:
-			l.AddUnder(place, kind.Apply(a.With, &c.effect))
+			l.AddUnder(path, kind.Apply(a.With, &c.effect))
 		}
-		done = append(done, a.Kind)
+		seen = append(seen, a.Kind)
 	}
 	return l
 }
 
-// Document gives what the list was compiled from; it must not be changed.
+// Document returns the document that the list was compiled from; callers must not modify it.
 func (l *List) Document() Document { return l.document }
 
-// Version gives the document's version.
+// Version returns the document's version.
 func (l *List) Version() int64 { return l.document.Version }
 
-// Decide gives the effect of the first rule that holds for r, or nil if none does.
+// Decide returns the effect of the first rule that matches r, or nil if none does.
 func (l *List) Decide(r *Request) *Effect {
 	for i := range l.rules {
-		if l.rules[i].condition.holds(r) {
+		if l.rules[i].condition.matches(r) {
 			return &l.rules[i].effect
 		}
 	}
 	return nil
 }
 
-// DecideWork gives the effect of the first rule that holds for a work; that of no rule, and of no list,
-// leaves everything at its default.
+// DecideWork returns the effect of the first rule that matches a work, or the zero Effect if none does or l is nil.
 func (l *List) DecideWork(w *job.Work) Effect {
 	if l == nil {
 		return Effect{}
--- a/rule/standard/standard.go
+++ b/rule/standard/standard.go
@@ -1,4 +1,4 @@
-// Package standard links all kinds of actions and holds the rules that a new cell starts with.
+// Package standard registers all kinds of actions and provides the rules that a new cell starts with.
 package standard
 
 import (
@@ -18,10 +18,10 @@
 //go:embed standard.json
 var document []byte
 
-// Document gives the JSON of the standard rules.
+// Document returns the JSON of the standard rules.
 func Document() []byte { return append([]byte(nil), document...) }
 
-// List gives the standard rules; they serve until operators store their own.
+// List returns the standard rules, which apply until operators store their own.
 func List() *rule.List {
 	l, err := rule.Parse(document)
 	if err != nil {
--- a/rule/standard/standard_test.go
+++ b/rule/standard/standard_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// An operator saves a document with several faults. If only the first were told, each edit would
-// bring up the next; so all are reported, each with its place.
+// An operator saves a document with several errors. If only the first were reported, each edit would reveal the next
+// one, so all must be reported, each with its position.
 func TestFindingsHavePlaces(t *testing.T) {
 	is := is.New(t)
 	_, err := rule.Parse([]byte(`{"version":-1,"rules":[
@@ -42,8 +42,8 @@
 	golden.Equal(t, "testdata/findings.txt", []byte(err.Error()+"\n"))
 }
 
-// Conditions decided as plain Go must mean what expr's machine says.
-func TestNativeTestsAgree(t *testing.T) {
+// Guards against compiled predicates that decide otherwise than the expr VM.
+func TestPredicatesAgreeWithExprVM(t *testing.T) {
 	conditions := []string{
 		`class == "roster"`, `class != "roster"`, `not urgent`, `urgent || gang`, `!(urgent && gang)`,
 		`class in ["roster", "sweep"]`, `tasks > 3 && tasks <= 5`, `each.millicores >= 2`, `hour < 5 or day == 5`,
@@ -52,20 +52,20 @@
 	for _, when := range conditions {
 		is := is.New(t)
 		then := []rule.Action{{Kind: "queue"}}
-		plain, err := rule.New(rule.Document{Rules: []rule.Rule{{ID: "x", When: when, Then: then}}})
+		compiled, err := rule.New(rule.Document{Rules: []rule.Rule{{ID: "x", When: when, Then: then}}})
 		is.NoErr(err)
-		// A builtin call in front keeps the whole condition in the machine.
-		machine, err := rule.New(rule.Document{Rules: []rule.Rule{{ID: "x", When: "(abs(1) == 1) == (" + when + ")", Then: then}}})
+		// A leading builtin call forces the whole condition into the expr VM.
+		interpreted, err := rule.New(rule.Document{Rules: []rule.Rule{{ID: "x", When: "(abs(1) == 1) == (" + when + ")", Then: then}}})
 		is.NoErr(err)
 		for i := range 64 {
 			r := rule.Request{Class: []string{"roster", "sweep", "x"}[i%3], Tasks: i % 7, Urgent: i&1 > 0, Gang: i&2 > 0, Hour: i % 9, Day: i % 6}
 			r.Each.Millicores, r.Each.MemoryMB = int64(i%4), int64(i%2)
-			is.Equal(plain.Decide(&r) != nil, machine.Decide(&r) != nil) // plain and machine agree
+			is.Equal(compiled.Decide(&r) != nil, interpreted.Decide(&r) != nil) // compiled and interpreted agree
 		}
 	}
 }
 
-func fifty(condition string) *rule.List {
+func fiftyRules(condition string) *rule.List {
 	var d rule.Document
 	for i := range 50 {
 		d.Rules = append(d.Rules, rule.Rule{
@@ -86,7 +86,7 @@
 		"mixed":   `class == "class-%d" && team startsWith "d"`,
 		"machine": `(abs(1) == 1) == (class == "class-%d")`,
 	} {
-		l := fifty(condition)
+		l := fiftyRules(condition)
 		r := rule.Request{Class: "none", Team: "desk", Tasks: 4}
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
