--- a/admission/overload.go
+++ b/admission/overload.go
@@ -76,7 +76,8 @@
 	}
 	s.rejected++
 	offset := float64(s.rejected%retryBuckets) / retryBuckets
-	return false, minRetryAfter + time.Duration(rejectRatio*float64(minRetryAfter)) + time.Duration(offset*float64(retryAfterSpread))
+	return false, minRetryAfter + time.Duration(rejectRatio*float64(minRetryAfter)) +
+		time.Duration(offset*float64(retryAfterSpread))
 }
 
 // retryBuckets is the number of distinct times over which retries are spread.
