--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -130,8 +130,8 @@
 	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.served(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.own, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
-		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
+		Self: id, MaxDirect: cmp.Or(c.own, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
 		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
@@ -146,7 +146,7 @@
 			}),
 		dispatch.Bounds(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
-		owner.Failing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.Pace(v.pace), owner.Peers(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
+		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
 		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, Permits: ask, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -166,7 +166,7 @@
 func (t *term) lose(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
 	t.end()
-	t.tenure.Lost()
+	t.tenure.ReportLost()
 }
 
 // close waits for the goroutines of the term.
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -9,8 +9,8 @@
 	"turmericgap/rule"
 )
 
-// Why explains what a job waits for.
-func (p *Planner) Why(now time.Time, jobID string) Explanation {
+// Explain explains what a job waits for.
+func (p *Planner) Explain(now time.Time, jobID string) Explanation {
 	e, ok := p.jobs[jobID]
 	if !ok {
 		return Explanation{Job: jobID}
@@ -69,7 +69,7 @@
 func (p *Planner) Stats(_ time.Time) Stats {
 	has, free := p.index.Totals()
 	s := Stats{
-		Pending: maps.Clone(p.classes), Running: len(p.running), Workers: p.index.Len(), Open: p.index.Open(),
+		Pending: maps.Clone(p.classes), Running: len(p.running), Workers: p.index.Len(), Open: p.index.OpenCount(),
 		Has: has, Used: has.Minus(free),
 	}
 	s.Packing = packing(s.Used, s.Has)
