--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -75,7 +75,7 @@
 	p.rules = configuration.NewRules(logger.Part(p.log, "configuration"))
 	p.relay = relay.NewServer(p.client.Agent)
 	p.relays = relay.New(relay.Options{
-		Self: s.ID, Own: ownWorkers(s), Direct: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
+		Self: s.ID, MaxDirect: ownWorkers(s), DirectAgent: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
 		Logger: logger.Part(p.log, "relay"), Metrics: service.Metrics(),
 	})
 	p.dispatch = dispatch.New(
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -130,8 +130,8 @@
 	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.served(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.own, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
-		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
+		Self: id, MaxDirect: cmp.Or(c.own, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
 		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
--- a/view/board.go
+++ b/view/board.go
@@ -55,7 +55,7 @@
 	return member.Table{}, false
 }
 
-// Listed gives the entry VMs of the VM list, in the form that member.Listed takes.
+// Listed gives the entry VMs of the VM list, in the form that member.ListedVMs takes.
 func (v *View) Listed() (vms map[string]bool, known bool) { return v.Entries, v.ListVersion > 0 }
 
 // board holds the newest view and takes in only what is newer.
@@ -128,7 +128,7 @@
 	b.update(func(v *View) bool { return v.merge(tables) })
 	for _, g := range b.groups {
 		for _, t := range tables {
-			g.Learn(t)
+			g.UpdateTable(t)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	for _, g := range b.groups {
 		self := g.Self()
 		for _, m := range g.Table().Members {
-			g.Presence(m.ID, present[member.PresentKey(self.Zone, self.Role, m.ID)])
+			g.UpdatePresence(m.ID, present[member.PresenceKey(self.Zone, self.Role, m.ID)])
 		}
 	}
 }
