--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -15,34 +15,34 @@
 	"turmericgap/worker"
 )
 
-// accepted is the answer to a submission, or the way to it.
-type accepted struct {
+// submitResult is the answer to a submission, or the channel that reports when the answer is known.
+type submitResult struct {
 	status job.Status
 	fault  *rpc.Fault
-	// wait is set while the job's record is under way.
+	// wait is set while the job's record is being committed.
 	wait chan error
-	// moved is the zone that the job goes to once wait is done.
+	// moved is the zone that takes the job once wait is done.
 	moved string
 }
 
-func movedTo(zone string) *rpc.Fault {
+func movedFault(zone string) *rpc.Fault {
 	return &rpc.Fault{Code: rpc.CodeMoved, Reason: "the job belongs to zone " + zone, Zone: zone}
 }
 
-// submit accepts a job: its record is durable before the caller hears of it.
+// submit accepts a job and returns once its record is durable.
 func (t *term) submit(ctx context.Context, spec *job.Submission, parent string) (*job.Status, error) {
 	id := route.JobID(t.o.Zone, spec.Key)
-	a, err := ask(ctx, t, func() accepted { return t.accept(id, spec, parent, time.Now()) })
+	a, err := callLoop(ctx, t, func() submitResult { return t.accept(id, spec, parent, time.Now()) })
 	if err != nil {
-		// The loop may have taken the question and still accept the job.
+		// The loop may have received the submission and may still accept the job.
 		return nil, &rpc.Fault{Code: rpc.CodeUnknown, Reason: "ask again with the same key", RetryAfter: t.o.RetryAfter}
 	}
 	if a.wait != nil {
-		if fault := t.awaitRecord(ctx, id, a.wait); fault != nil {
+		if fault := t.awaitCommit(ctx, id, a.wait); fault != nil {
 			return nil, fault
 		}
 		if a.moved != "" {
-			return nil, movedTo(a.moved)
+			return nil, movedFault(a.moved)
 		}
 		return t.status(ctx, id)
 	}
@@ -52,33 +52,34 @@
 	return &a.status, nil
 }
 
-// awaitRecord waits until the job's record is durable, or surely never will be. One that the store
-// does not take soon is taken back, so that its caller hears at once that it was not run.
-func (t *term) awaitRecord(ctx context.Context, id string, wait chan error) *rpc.Fault {
+// awaitCommit waits until the job's record is durable or has certainly failed. If the store does not take the
+// record within MaxCommitDelay, the record is withdrawn, so that the caller learns at once that the job was not
+// run.
+func (t *term) awaitCommit(ctx context.Context, id string, wait chan error) *rpc.Fault {
 	slow := time.NewTimer(t.o.MaxCommitDelay)
 	defer slow.Stop()
 	for {
 		select {
 		case err := <-wait:
-			return t.recordFault(err)
+			return t.commitFault(err)
 		case <-slow.C:
-			if taken, err := ask(ctx, t, func() bool { return t.takeBack(id) }); err == nil && taken {
+			if taken, err := callLoop(ctx, t, func() bool { return t.withdraw(id) }); err == nil && taken {
 				return rpc.Refused(t.o.RetryAfter, "the store does not take records now")
 			}
 		case <-ctx.Done():
-			return t.recordFault(ctx.Err())
+			return t.commitFault(ctx.Err())
 		case <-t.closing:
-			return t.recordFault(errTermClosed)
+			return t.commitFault(errTermClosed)
 		}
 	}
 }
 
-// recordFault says what a caller may conclude from how its job's record ended.
-func (t *term) recordFault(err error) *rpc.Fault {
+// commitFault maps the result of committing a job's record to the fault that the caller gets.
+func (t *term) commitFault(err error) *rpc.Fault {
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, errTakenBack):
+	case errors.Is(err, errWithdrawn):
 		return rpc.Refused(t.o.RetryAfter, "the store does not take records now")
 	case errors.Is(err, record.ErrFenced), errors.Is(err, record.ErrClosed):
 		return rpc.Refused(t.o.RetryAfter, "the zone changes its owner")
@@ -86,18 +87,18 @@
 	return &rpc.Fault{Code: rpc.CodeUnknown, Reason: "the job's record is under way; ask again with the same key", RetryAfter: t.o.RetryAfter}
 }
 
-var errTakenBack = errors.New("record taken back")
+var errWithdrawn = errors.New("record withdrawn before it was sent to the store")
 
-// takeBack runs on the loop: it withdraws a job whose record has not begun its way to the store.
-func (t *term) takeBack(id string) bool {
+// withdraw removes a job whose record has not yet been sent to the store. It runs on the loop.
+func (t *term) withdraw(id string) bool {
 	e := t.jobs[id]
-	if e == nil || e.saved == nil || !e.ticket.Withdraw() {
+	if e == nil || e.committed == nil || !e.ticket.Withdraw() {
 		return false
 	}
 	delete(t.jobs, id)
-	for range waitersMost {
+	for range maxWaiters {
 		select {
-		case e.saved <- errTakenBack: // others wait for the same key
+		case e.committed <- errWithdrawn: // other callers that submitted the same key
 		default:
 			return true
 		}
@@ -105,52 +106,52 @@
 	return true
 }
 
-// accept runs on the loop.
-func (t *term) accept(id string, spec *job.Submission, parent string, now time.Time) accepted {
+// accept decides on a submission. It runs on the loop.
+func (t *term) accept(id string, spec *job.Submission, parent string, now time.Time) submitResult {
 	if e := t.jobs[id]; e != nil {
-		return t.repeat(e, spec)
+		return t.resubmit(e, spec)
 	}
 	if m, ok := t.moved[id]; ok {
-		return accepted{fault: movedTo(m.Zone)}
+		return submitResult{fault: movedFault(m.Zone)}
 	}
 	if _, ok := t.moving[id]; ok {
-		return accepted{fault: rpc.Refused(t.o.RetryAfter, "the job is on its way to another zone")}
+		return submitResult{fault: rpc.Refused(t.o.RetryAfter, "the job is on its way to another zone")}
 	}
-	if fault := t.mayAccept(); fault != nil {
-		return accepted{fault: fault}
+	if fault := t.checkAdmission(); fault != nil {
+		return submitResult{fault: fault}
 	}
 	d := t.planner.Admit(now, &planner.Job{ID: id, Spec: spec, Accepted: now})
 	if d.Hopeless && spec.Zone == "" {
-		if zone := t.zoneFor(spec); zone != "" {
+		if zone := t.fittingZone(spec); zone != "" {
 			return t.move(id, zone, now)
 		}
 		d.Refused = "it fits into no zone of the cell, even if empty"
 	}
 	if d.Refused != "" {
-		t.refused(spec, d, now)
-		return accepted{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.Refused)}
+		t.recordRefusal(spec, d, now)
+		return submitResult{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.Refused)}
 	}
 	e := newEntry(id, jobRecord{Spec: *spec, Accepted: now.UTC(), Parent: parent})
 	e.durable, e.decision = false, d
-	wait := make(chan error, waitersMost)
+	wait := make(chan error, maxWaiters)
 	ticket, err := t.journal.Offer([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
 		if err != nil {
 			wait <- err
 			t.fail(err)
 			return
 		}
-		t.post(func() { t.accepted(e, wait) })
+		t.post(func() { t.onAccepted(e, wait) })
 	})
 	if err != nil {
-		return accepted{fault: rpc.Refused(t.o.RetryAfter, "the store takes no records now")}
+		return submitResult{fault: rpc.Refused(t.o.RetryAfter, "the store takes no records now")}
 	}
 	t.jobs[id] = e
-	e.saved, e.ticket = wait, ticket
-	return accepted{wait: wait}
+	e.committed, e.ticket = wait, ticket
+	return submitResult{wait: wait}
 }
 
-// mayAccept refuses at once what could not be made durable soon.
-func (t *term) mayAccept() *rpc.Fault {
+// checkAdmission refuses a submission that could not be made durable soon.
+func (t *term) checkAdmission() *rpc.Fault {
 	switch {
 	case t.draining:
 		return rpc.Refused(t.o.RetryAfter, "this scheduler is stopping")
@@ -158,44 +159,45 @@
 		return rpc.Refused(t.o.RetryAfter, "the zone has %d live jobs, its limit", len(t.live))
 	case t.journal.Stats().Pending > t.o.MaxCommitDelay:
 		return rpc.Refused(t.o.RetryAfter, "the store does not take records now")
-	case !t.valid():
+	case !t.ownsZone():
 		return rpc.Refused(t.o.RetryAfter, "this scheduler does not hold its zone now")
 	default:
 		return nil
 	}
 }
 
-// accepted runs on the loop when a job's record is durable.
-func (t *term) accepted(e *entry, wait chan error) {
+// onAccepted adds a job whose record is durable to the live jobs. It runs on the loop.
+func (t *term) onAccepted(e *entry, wait chan error) {
 	e.durable = true
 	t.live[e.id] = e
 	e.decision = t.planner.Add(time.Now(), &planner.Job{ID: e.id, Spec: &e.Spec, Accepted: e.Accepted})
 	t.o.Metrics.Counter("job.accepted").Inc(1)
-	t.dirty = true
-	e.saved = nil
+	t.needsPlacement = true
+	e.committed = nil
 	close(wait)
 }
 
-// repeat answers a submission whose key is known: with the first job if it says the same.
-func (t *term) repeat(e *entry, spec *job.Submission) accepted {
+// resubmit answers a submission whose key is known. It returns the first job if both submissions are equal, and a
+// conflict otherwise.
+func (t *term) resubmit(e *entry, spec *job.Submission) submitResult {
 	if !reflect.DeepEqual(e.Spec, *spec) {
 		l := finding.List{{Place: "key", Reason: "was used for another submission, job " + e.id}}
-		return accepted{fault: &rpc.Fault{Code: rpc.CodeConflict, Reason: l.Error(), Findings: l}}
+		return submitResult{fault: &rpc.Fault{Code: rpc.CodeConflict, Reason: l.Error(), Findings: l}}
 	}
-	if e.saved != nil {
-		return accepted{wait: e.saved}
+	if e.committed != nil {
+		return submitResult{wait: e.committed}
 	}
-	return accepted{status: e.status(t.o.Zone)}
+	return submitResult{status: e.status(t.o.Zone)}
 }
 
-// cancelJob makes a cancellation durable and then stops what it finds.
+// cancelJob commits a cancellation. The tasks are stopped once it is durable.
 func (t *term) cancelJob(id, reason string, now time.Time) (*rpc.Fault, chan struct{}) {
 	e := t.jobs[id]
 	switch {
 	case e == nil || !e.durable:
 		return notFound(id), nil
-	case e.cancelling != nil:
-		return nil, e.cancelled
+	case e.pendingCancel != nil:
+		return nil, e.cancelDone
 	case e.cancel != nil || e.final():
 		done := make(chan struct{})
 		close(done)
@@ -208,18 +210,18 @@
 			t.fail(err)
 			return
 		}
-		t.post(func() { t.cancelled(e, c, done) })
+		t.post(func() { t.onCancelled(e, c, done) })
 	})
 	if err != nil {
 		return rpc.Refused(t.o.RetryAfter, "the store takes no records now"), nil
 	}
-	e.cancelling, e.cancelled = &c, done
+	e.pendingCancel, e.cancelDone = &c, done
 	return nil, done
 }
 
-func (t *term) cancelled(e *entry, c cancelRecord, done chan struct{}) {
+func (t *term) onCancelled(e *entry, c cancelRecord, done chan struct{}) {
 	now := time.Now()
-	e.cancel, e.cancelling = &c, nil
+	e.cancel, e.pendingCancel = &c, nil
 	t.planner.Drop(e.id)
 	for i := range e.tasks {
 		t.cancelTask(e, i, now)
@@ -227,11 +229,12 @@
 	close(done)
 }
 
-// cancelTask ends a task that is nowhere, and asks the worker of any other to stop it.
+// cancelTask ends a task that has no attempt at a worker. For any other task it asks the worker to stop the
+// attempt.
 func (t *term) cancelTask(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
 	if k.saving || k.report != nil {
-		return // Goes on when its record is durable.
+		return // handled when the record is durable
 	}
 	switch k.Phase {
 	case pending:
@@ -239,7 +242,7 @@
 		t.endUnstarted(e, &next, now)
 		t.save([]change{{e, i, next}}, func() { t.closeJob(e) })
 	case intended:
-		k.stop = "cancelled"
+		k.stopReason = "cancelled"
 		t.sendAct(e, i, worker.Stop, now)
 	case final:
 	}
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -21,38 +21,38 @@
 
 const testZone = "kochi-hall"
 
-// cell is one zone in memory: a store, workers, and schedulers of which one owns the zone.
+// cell is an in-memory zone: a store, workers, and schedulers, one of which owns the zone.
 type cell struct {
-	t       *testing.T
-	kv      *memory.Service
-	workers []*standin.Worker
-	judge   *history.Checker
-	mu      sync.Mutex
-	owner   *node
-	nodes   []*node
-	told    map[string]bool
-	listed  func() []worker.Info
+	t        *testing.T
+	kv       *memory.Service
+	workers  []*standin.Worker
+	checker  *history.Checker
+	mu       sync.Mutex
+	owner    *node
+	nodes    []*node
+	reported map[string]bool
+	listed   func() []worker.Info
 }
 
-// node is one scheduler with its own faults.
+// node is a scheduler with its own injected faults.
 type node struct {
 	c        *cell
 	store    *memory.Faults
 	sched    *Scheduler
 	epoch    int64
 	revision int64
-	// invalid is set while the node's lease does not hold.
+	// invalid is set while the node's lease is not valid.
 	invalid bool
-	// hold keeps every start back between the check of ownership and the send, as a pause there does.
-	hold chan struct{}
-	held chan struct{}
+	// holdStart blocks every start between the ownership check and the send, like a pause of the process there.
+	holdStart  chan struct{}
+	heldStarts chan struct{}
 }
 
 func newCell(t *testing.T, workers int, opts ...standin.Option) *cell {
-	c := &cell{t: t, kv: memory.New(), told: make(map[string]bool)}
-	cut := func(s string) string { return s[:strings.LastIndexByte(s, '/')] }
-	c.judge = history.New(history.Names(cut, func(task string) string { return cut(task) }))
-	opts = append([]standin.Option{standin.Record(c.judge.Record), standin.Tasks(cut), standin.Run(2 * time.Second)}, opts...)
+	c := &cell{t: t, kv: memory.New(), reported: make(map[string]bool)}
+	parent := func(s string) string { return s[:strings.LastIndexByte(s, '/')] }
+	c.checker = history.New(history.Names(parent, func(task string) string { return parent(task) }))
+	opts = append([]standin.Option{standin.Record(c.checker.Record), standin.Tasks(parent), standin.Run(2 * time.Second)}, opts...)
 	for i := range workers {
 		info := worker.Info{
 			ID: fmt.Sprintf("worker-%d", i), Address: fmt.Sprint(i), Zone: testZone, Rack: fmt.Sprint("rack-", i%2),
@@ -70,14 +70,14 @@
 	return c
 }
 
-// add starts a scheduler that owns nothing yet.
-func (c *cell) add(tune ...Option) *node {
-	n := &node{c: c, store: &memory.Faults{}, held: make(chan struct{}, 1024)}
+// add starts a scheduler that does not own the zone yet.
+func (c *cell) add(extra ...Option) *node {
+	n := &node{c: c, store: &memory.Faults{}, heldStarts: make(chan struct{}, 1024)}
 	opts := append([]Option{
 		Zone(testZone), Store(c.kv.Client(n.store)), Owns(n.owns), Dial(n.dial),
 		Workers(func() []worker.Info { return c.listed() }),
 		Journal(record.Rate(100, 10)),
-	}, tune...)
+	}, extra...)
 	n.sched = New(opts...)
 	c.nodes = append(c.nodes, n)
 	return n
@@ -89,8 +89,8 @@
 	return n.epoch, n.revision, n.epoch > 0 && !n.invalid && n.c.owner == n
 }
 
-// take makes n the owner: the epoch key is written, so that the former owner cannot commit.
-func (c *cell) take(n *node) {
+// makeOwner makes n the owner. It writes the epoch key, so that the former owner can no longer commit.
+func (c *cell) makeOwner(n *node) {
 	var epoch int64 = 1
 	if c.owner != nil {
 		epoch = c.owner.epoch + 1
@@ -104,7 +104,7 @@
 	c.mu.Unlock()
 }
 
-// dial reaches a worker; a start can be held back after the check of ownership.
+// dial returns a client for a worker. Starts can be blocked after the ownership check.
 func (n *node) dial(info worker.Info, valid func() bool) *worker.Client {
 	var i int
 	_, _ = fmt.Sscan(info.Address, &i)
@@ -122,10 +122,10 @@
 				return nil, worker.ErrNotSent
 			}
 			n.c.mu.Lock()
-			hold := n.hold
+			hold := n.holdStart
 			n.c.mu.Unlock()
 			if hold != nil {
-				n.held <- struct{}{}
+				n.heldStarts <- struct{}{}
 				<-hold
 				ctx = context.Background()
 			}
@@ -138,7 +138,7 @@
 	n.c.mu.Lock()
 	defer n.c.mu.Unlock()
 	hold := make(chan struct{})
-	n.hold = hold
+	n.holdStart = hold
 	return sync.OnceFunc(func() { close(hold) })
 }
 
@@ -148,7 +148,7 @@
 	n.invalid = on
 }
 
-// spec is a batch of tasks of one core each.
+// spec returns a batch job whose tasks need one core each.
 func spec(key string, tasks int, change ...func(*job.Submission)) *job.Submission {
 	s := &job.Submission{
 		Key: key, Team: "team", Class: "roster", Kind: job.Batch, Tasks: tasks, Repeatable: true,
@@ -160,14 +160,15 @@
 	return s
 }
 
-func once(s *job.Submission) { s.Repeatable, s.Class = false, "certificate" }
+func notRepeatable(s *job.Submission) { s.Repeatable, s.Class = false, "certificate" }
 
 func gang(s *job.Submission) { s.Gang, s.Class = true, "matching" }
 
-// long runs for longer than any fault needs to be noticed.
+// long sets a run time that is longer than the detection of any fault.
 func long(s *job.Submission) { s.RunSeconds = 25 }
 
-// submit sends a job until some scheduler accepts it, as a caller with a key may, and tells the judge.
+// submit retries until a scheduler accepts the job, as a caller with a key may, and records the acceptance with the
+// checker.
 func (c *cell) submit(s *job.Submission) string {
 	for {
 		c.mu.Lock()
@@ -177,9 +178,9 @@
 		st, err := n.sched.Submit(ctx, s, "")
 		cancel()
 		if err == nil {
-			c.judge.Record(history.Event{At: time.Now(), Kind: history.Accepted, Job: st.ID, Repeatable: s.Repeatable})
+			c.checker.Record(history.Event{At: time.Now(), Kind: history.Accepted, Job: st.ID, Repeatable: s.Repeatable})
 			c.mu.Lock()
-			c.told[st.ID] = false
+			c.reported[st.ID] = false
 			c.mu.Unlock()
 			return st.ID
 		}
@@ -190,7 +191,7 @@
 	}
 }
 
-// cancel asks until some scheduler has made the cancellation durable.
+// cancel retries until a scheduler has made the cancellation durable.
 func (c *cell) cancel(id string) {
 	for {
 		c.mu.Lock()
@@ -206,7 +207,7 @@
 	}
 }
 
-// await waits up to limit for a job's end and tells the judge its outcome.
+// await waits up to limit for the job's end and records its outcome with the checker.
 func (c *cell) await(id string, limit time.Duration) *job.Status {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -217,19 +218,19 @@
 		st, err := n.sched.Wait(ctx, id)
 		cancel()
 		if err == nil && st.State == job.Final {
-			c.tell(st)
+			c.recordOutcome(st)
 			return st
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	c.t.Errorf("job %s has no end after %v", id, limit)
+	c.t.Errorf("job %s is not final after %v", id, limit)
 	return &job.Status{ID: id}
 }
 
-func (c *cell) tell(st *job.Status) {
+func (c *cell) recordOutcome(st *job.Status) {
 	c.mu.Lock()
-	told := c.told[st.ID]
-	c.told[st.ID] = true
+	told := c.reported[st.ID]
+	c.reported[st.ID] = true
 	c.mu.Unlock()
 	if told {
 		return
@@ -238,17 +239,17 @@
 	for _, k := range st.Tasks {
 		whole = whole && (k.Answer == nil || k.Answer.Whole())
 	}
-	c.judge.Record(history.Event{At: time.Now(), Kind: history.Told, Job: st.ID, Outcome: st.Outcome, Whole: whole})
+	c.checker.Record(history.Event{At: time.Now(), Kind: history.Told, Job: st.ID, Outcome: st.Outcome, Whole: whole})
 }
 
-// stop ends everything and reports what the judge and the workers have found.
+// stop stops everything and returns the violations found by the checker and the workers.
 func (c *cell) stop() error {
 	for _, n := range c.nodes {
 		n.sched.Kill()
 	}
-	for id, told := range c.told {
+	for id, told := range c.reported {
 		if !told {
-			c.judge.Record(history.Event{At: time.Now(), Kind: history.Live, Job: id})
+			c.checker.Record(history.Event{At: time.Now(), Kind: history.Live, Job: id})
 		}
 	}
 	var all []error
@@ -258,5 +259,5 @@
 		}
 		w.Close()
 	}
-	return errors.Join(append(all, c.judge.Check().Err())...)
+	return errors.Join(append(all, c.checker.Check().Err())...)
 }
--- a/scheduler/commit.go
+++ b/scheduler/commit.go
@@ -8,15 +8,15 @@
 	"go.uber.org/zap"
 )
 
-// change is the next durable state of one task.
+// change is a new durable state of one task.
 type change struct {
 	e    *entry
 	task int
 	next taskRecord
 }
 
-// save commits changes and applies them when they are durable. When the journal takes no more, the
-// tasks stay as they are and the tick tries again.
+// save commits changes and applies them once they are durable. If the journal is full, it returns false and leaves
+// the tasks unchanged; the next tick retries.
 func (t *term) save(changes []change, then func()) bool {
 	records := make([]record.Record, len(changes))
 	for i, c := range changes {
@@ -44,47 +44,47 @@
 	return true
 }
 
-// fail ends the term after a commit that surely will not come: another owner has the zone.
+// fail ends the term after a commit has definitely failed, which means that another process owns the zone.
 func (t *term) fail(err error) {
-	t.o.Logger.Warn("scheduler: term ends", zap.Int64("epoch", t.epoch), zap.Error(err))
-	go t.close(closedContext(), false)
+	t.o.Logger.Warn("scheduler: term ended by a failed commit", zap.Int64("epoch", t.epoch), zap.Error(err))
+	go t.close(canceledContext(), false)
 }
 
-// ref names one task.
-type ref struct {
+// taskRef identifies a task.
+type taskRef struct {
 	e    *entry
 	task int
 }
 
-// set replaces a task's durable record and keeps the index of what is held at each worker.
+// set replaces a task's durable record and updates the index of tasks by worker.
 func (t *term) set(e *entry, i int, r taskRecord) {
 	k := &e.tasks[i]
 	if k.Phase == intended {
-		delete(t.held[k.Worker], ref{e, i})
-		if len(t.held[k.Worker]) == 0 {
-			delete(t.held, k.Worker)
+		delete(t.byWorker[k.Worker], taskRef{e, i})
+		if len(t.byWorker[k.Worker]) == 0 {
+			delete(t.byWorker, k.Worker)
 		}
 	}
 	k.taskRecord = r
 	if k.Phase == intended {
-		if t.held[k.Worker] == nil {
-			t.held[k.Worker] = make(map[ref]bool)
+		if t.byWorker[k.Worker] == nil {
+			t.byWorker[k.Worker] = make(map[taskRef]bool)
 		}
-		t.held[k.Worker][ref{e, i}] = true
+		t.byWorker[k.Worker][taskRef{e, i}] = true
 	}
 }
 
-// heldAt gives the tasks whose attempt is held to be at a worker, in a fixed order.
-func (t *term) heldAt(workerID string) []ref {
-	refs := make([]ref, 0, len(t.held[workerID]))
-	for r := range t.held[workerID] {
+// tasksAt returns the tasks whose current attempt is assigned to a worker, in a fixed order.
+func (t *term) tasksAt(workerID string) []taskRef {
+	refs := make([]taskRef, 0, len(t.byWorker[workerID]))
+	for r := range t.byWorker[workerID] {
 		refs = append(refs, r)
 	}
 	sortRefs(refs)
 	return refs
 }
 
-func sortRefs(refs []ref) {
+func sortRefs(refs []taskRef) {
 	sort.Slice(refs, func(i, k int) bool {
 		if refs[i].e.id != refs[k].e.id {
 			return refs[i].e.id < refs[k].e.id
--- a/scheduler/entry.go
+++ b/scheduler/entry.go
@@ -9,49 +9,49 @@
 	"turmericgap/worker"
 )
 
-// entry is one job of the term.
+// entry is a job of the term.
 type entry struct {
 	id string
 	jobRecord
 	cancel *cancelRecord
-	// cancelling is a cancellation whose record is under way.
-	cancelling *cancelRecord
-	// cancelled is closed when the cancellation is durable.
-	cancelled chan struct{}
-	tasks     []task
-	// durable says that the job's record is committed; until then no caller has heard of it.
+	// pendingCancel is a cancellation that is being committed.
+	pendingCancel *cancelRecord
+	// cancelDone is closed when the cancellation is durable.
+	cancelDone chan struct{}
+	tasks      []task
+	// durable is set when the job's record is committed. Until then the job is visible to no caller.
 	durable  bool
 	decision planner.Decision
-	// saved is closed when the record is durable; nil afterwards.
-	saved chan error
-	// ticket takes the record back that is under way.
+	// committed is closed when the record is durable, and nil afterwards.
+	committed chan error
+	// ticket withdraws the record while it is queued.
 	ticket  record.Ticket
 	waiters []chan job.Status
 	ended   time.Time
 }
 
-// task is one task: its durable record and what this owner knows besides.
+// task is a task: its durable record and the in-memory state of this owner.
 type task struct {
 	taskRecord
-	// saving says that a record of the task is under way; it changes no further until that is durable.
+	// saving is set while a record of the task is being committed. The task does not change until that is durable.
 	saving bool
-	// next is the record under way.
+	// next is the record that is being committed.
 	next taskRecord
-	// confirmed says that the worker has reported the attempt in this term.
+	// confirmed is set when the worker has reported the attempt in this term.
 	confirmed bool
-	// stop is why the attempt was asked to stop; empty while it was not.
-	stop string
-	// starts counts the messages with the attempt's start that may have left this zone's owners.
-	starts int
-	// doubt is why the attempt may have run and be gone, set until its worker forbids it.
-	doubt string
-	// sentAt is when the last start or stop was handed to the worker's sender.
+	// stopReason is why the attempt was asked to stop; empty if it was not.
+	stopReason string
+	// startsSent counts start messages for the attempt that may have been sent, by this owner or an earlier one.
+	startsSent int
+	// lossReason is why the attempt may have run and been lost. It stays set until the worker forbids the attempt.
+	lossReason string
+	// sentAt is when the last start or stop was queued for sending.
 	sentAt time.Time
-	// report is how the attempt ended, kept until its record is durable.
+	// report is the final report of the attempt, kept until its record is durable.
 	report *worker.Report
-	// judged says that the fleet was told of that end.
-	judged  bool
-	started time.Time
+	// outcomeReported is set when the fleet has received the attempt's outcome.
+	outcomeReported bool
+	started         time.Time
 }
 
 func newEntry(id string, r jobRecord) *entry {
@@ -68,7 +68,7 @@
 	return true
 }
 
-// outcome joins the tasks' outcomes: equal ones give that one, unlike ones are unknown.
+// outcome combines the tasks' outcomes: the common one if all are equal, unknown otherwise.
 func (e *entry) outcome() (job.Outcome, string) {
 	first := &e.tasks[0]
 	for i := range e.tasks {
@@ -79,15 +79,15 @@
 	return first.Outcome, first.Reason
 }
 
-// stopOvertime is why an attempt is stopped that takes longer than its rule allows.
-const stopOvertime = "it took longer than its rule allows"
+// stopTimedOut is the stop reason of an attempt that exceeds the timeout of its rule.
+const stopTimedOut = "it took longer than its rule allows"
 
-func (e *entry) overtime(k *task, now time.Time) bool {
+func (e *entry) timedOut(k *task, now time.Time) bool {
 	limit := time.Duration(e.decision.TimeoutSeconds) * time.Second
 	return limit > 0 && e.Spec.Kind == job.Batch && k.confirmed && now.Sub(k.started) > limit
 }
 
-// close sets the end of a job whose tasks are all final.
+// close sets the end time of a job whose tasks are all final.
 func (e *entry) close() {
 	for i := range e.tasks {
 		if e.tasks[i].Ended.After(e.ended) {
@@ -101,7 +101,7 @@
 	s.Tasks = make([]job.TaskStatus, len(e.tasks))
 	for i := range e.tasks {
 		s.Tasks[i] = e.tasks[i].status(i)
-		if st := s.Tasks[i].State; order[st] > order[s.State] {
+		if st := s.Tasks[i].State; stateOrder[st] > stateOrder[s.State] {
 			s.State = st
 		}
 	}
@@ -112,8 +112,8 @@
 	return s
 }
 
-// order says which of its tasks' states a job shows while it has no outcome.
-var order = map[job.State]int{job.Queued: 1, job.Starting: 2, job.Stopping: 3, job.Active: 4}
+// stateOrder ranks task states. A job without an outcome shows the highest ranked state of its tasks.
+var stateOrder = map[job.State]int{job.Queued: 1, job.Starting: 2, job.Stopping: 3, job.Active: 4}
 
 func (k *task) status(index int) job.TaskStatus {
 	s := job.TaskStatus{
@@ -125,7 +125,7 @@
 		s.State = job.Final
 	case k.Phase == pending:
 		s.State = job.Queued
-	case k.stop != "":
+	case k.stopReason != "":
 		s.State = job.Stopping
 	case k.confirmed:
 		s.State = job.Active
--- a/scheduler/link.go
+++ b/scheduler/link.go
@@ -15,7 +15,7 @@
 	"turmericgap/worker"
 )
 
-// link is this owner's connection to one worker: a goroutine for heartbeats and one for sends.
+// link is this owner's connection to one worker. It has a goroutine for heartbeats and one for sends.
 type link struct {
 	info   worker.Info
 	client *worker.Client
@@ -24,38 +24,38 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	forget []string
+	mu       sync.Mutex
+	toForget []string
 
-	// The rest belongs to the term's loop.
+	// The fields below belong to the term's loop.
 	boot     string
 	answered bool
-	// answeredAt is when the last heartbeat that was answered had left.
-	answeredAt   time.Time
+	// ackedSentAt is when the last answered heartbeat was sent.
+	ackedSentAt  time.Time
 	listed       bool
 	leavingSince time.Time
-	// told, open and probe are what the planner was last told.
-	told        worker.Info
+	// plannerInfo, open and probe are the values last passed to the planner.
+	plannerInfo worker.Info
 	open, probe bool
-	// mayHaveRenewed is when a message that renews leases can last have left this process.
-	mayHaveRenewed time.Time
+	// lastPossibleRenewal is the latest time at which a message that renews leases may have been sent.
+	lastPossibleRenewal time.Time
 }
 
-// beat is the outcome of one heartbeat.
-type beat struct {
+// heartbeatResult is the result of one heartbeat.
+type heartbeatResult struct {
 	reply  *worker.HeartbeatReply
 	err    error
-	forgot []string
-	began  time.Time
+	forget []string
+	sentAt time.Time
 	renews bool
 }
 
 func (t *term) openLink(info worker.Info) *link {
-	l := &link{info: info, listed: true, sends: make(chan func(context.Context), sendRing), mayHaveRenewed: t.since}
+	l := &link{info: info, listed: true, sends: make(chan func(context.Context), sendQueueSize), lastPossibleRenewal: t.startedAt}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
-	l.client = t.o.Dial(info, t.valid)
+	l.client = t.o.Dial(info, t.ownsZone)
 	l.wg.Go(func() { l.sendLoop() })
-	l.wg.Go(func() { t.beatLoop(l) })
+	l.wg.Go(func() { t.heartbeatLoop(l) })
 	t.wg.Go(func() {
 		<-t.closing
 		l.close()
@@ -63,7 +63,7 @@
 	return l
 }
 
-// close ends both goroutines and waits until no call of theirs is under way.
+// close stops both goroutines and waits until their calls have returned.
 func (l *link) close() {
 	l.cancel()
 	l.wg.Wait()
@@ -80,7 +80,7 @@
 	}
 }
 
-// send hands a call to the sender; false means that its ring is full and the call was not made.
+// send queues a call for the send goroutine. It returns false if the queue is full; the call is then not made.
 func (l *link) send(f func(context.Context)) bool {
 	select {
 	case l.sends <- f:
@@ -90,8 +90,8 @@
 	}
 }
 
-// beatLoop renews leases and asks for changes, one long poll after another.
-func (t *term) beatLoop(l *link) {
+// heartbeatLoop renews leases and receives changes by consecutive long polls.
+func (t *term) heartbeatLoop(l *link) {
 	var cursor int64
 	wait := time.Duration(0)
 	misses := 0
@@ -101,19 +101,19 @@
 			Cursor: cursor, WaitMillis: wait.Milliseconds(), Forget: l.takeForget(),
 		}
 		if misses >= missesToStopRenewing {
-			// A worker that takes messages and never answers would be renewed for ever, and its tasks
-			// could never be given up. It is asked on, but renewed only after it has answered.
+			// A worker that receives messages but never answers would be renewed forever, and its tasks could never
+			// be given up. It still gets heartbeats, but they renew its leases only after it has answered again.
 			h.LeaseMillis = 0
 		}
-		b := t.beatOnce(l, h, wait)
+		b := t.sendHeartbeat(l, h, wait)
 		if b.err == nil {
 			cursor, wait, misses = b.reply.Cursor, t.o.HeartbeatWait, 0
 		} else {
 			misses++
-			l.giveForget(b.forgot)
+			l.queueForget(b.forget)
 			wait = 0
 		}
-		if !t.post(func() { t.onBeat(l, b) }) {
+		if !t.post(func() { t.onHeartbeat(l, b) }) {
 			return
 		}
 		rest := t.o.HeartbeatPause
@@ -126,38 +126,38 @@
 	}
 }
 
-func (t *term) beatOnce(l *link, h *worker.Heartbeat, wait time.Duration) beat {
-	if !t.valid() {
-		return beat{err: worker.ErrNotSent, forgot: h.Forget}
+func (t *term) sendHeartbeat(l *link, h *worker.Heartbeat, wait time.Duration) heartbeatResult {
+	if !t.ownsZone() {
+		return heartbeatResult{err: worker.ErrNotSent, forget: h.Forget}
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, wait+t.o.CallTimeout)
 	defer cancel()
 	began := time.Now()
 	reply, err := l.client.Heartbeat(ctx, h)
-	return beat{reply: reply, err: err, forgot: h.Forget, began: began, renews: h.LeaseMillis > 0}
+	return heartbeatResult{reply: reply, err: err, forget: h.Forget, sentAt: began, renews: h.LeaseMillis > 0}
 }
 
 func (l *link) takeForget() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := min(len(l.forget), forgetMost)
-	out := l.forget[:n:n]
-	l.forget = l.forget[n:]
-	if len(l.forget) == 0 {
-		l.forget = nil
+	n := min(len(l.toForget), maxForget)
+	out := l.toForget[:n:n]
+	l.toForget = l.toForget[n:]
+	if len(l.toForget) == 0 {
+		l.toForget = nil
 	}
 	return out
 }
 
-func (l *link) giveForget(attempts ...[]string) {
+func (l *link) queueForget(attempts ...[]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range attempts {
-		l.forget = append(l.forget, a...)
+		l.toForget = append(l.toForget, a...)
 	}
 }
 
-// sendStart sends an attempt whose intent is durable; it may be a repeat of one sent before.
+// sendStart sends the start of an attempt whose intent is durable. It may repeat an earlier start.
 func (t *term) sendStart(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
 	l := t.links[k.Worker]
@@ -181,7 +181,7 @@
 	})
 	if ok {
 		k.sentAt = now
-		k.starts++
+		k.startsSent++
 	}
 }
 
@@ -204,33 +204,33 @@
 	}
 }
 
-// onStarted takes the outcome of a start. An error other than a refusal tells nothing of what the
-// worker did: heartbeats will, and the tick sends the same attempt again.
+// onStarted handles the result of a start. An error other than a refusal does not tell whether the worker started
+// the attempt: heartbeats report that, and the tick sends the same start again.
 func (t *term) onStarted(l *link, attempt string, report *worker.Report, err error) {
 	t.onCalled(l, report, err)
 	if errors.Is(err, worker.ErrNotSent) {
-		if _, _, k := t.find(l, attempt); k != nil {
-			k.starts--
+		if _, _, k := t.findTask(l, attempt); k != nil {
+			k.startsSent--
 		}
 	}
 	if !errors.Is(err, worker.ErrRefused) {
 		return
 	}
-	// An earlier message with this start may still be under way, so the refusal of one message is no
-	// proof. A stop is: it forbids the attempt, and its report ends it here.
-	if e, i, k := t.find(l, attempt); k != nil && !k.saving {
-		k.stop = "its worker refused it"
+	// An earlier message with this start may still be in flight, so the refusal of one message does not prove that
+	// the attempt will not run. A stop does: it forbids the attempt, and its report ends the attempt here.
+	if e, i, k := t.findTask(l, attempt); k != nil && !k.saving {
+		k.stopReason = "its worker refused it"
 		t.sendAct(e, i, worker.Stop, time.Now())
 	}
 }
 
-// onCalled takes the report that a call brought back, if any.
+// onCalled handles the report that a call returned, if any.
 func (t *term) onCalled(l *link, report *worker.Report, err error) {
 	now := time.Now()
 	if !errors.Is(err, worker.ErrNotSent) {
-		l.mayHaveRenewed = now
+		l.lastPossibleRenewal = now
 	}
-	// Only a heartbeat, which tells the worker's boot, can prove by Forbidden that nothing ran.
+	// Forbidden proves that nothing ran only in a heartbeat, which carries the worker's boot.
 	if err == nil && report != nil && report.State != worker.Forbidden {
 		t.onReport(l, report, now)
 	}
--- a/scheduler/move.go
+++ b/scheduler/move.go
@@ -9,9 +9,9 @@
 	"turmericgap/worker"
 )
 
-// zoneFor gives a zone whose workers could run the job if they were empty, the same for the same VM
-// list; empty if there is none.
-func (t *term) zoneFor(spec *job.Submission) string {
+// fittingZone returns a zone whose workers could run the job if they were empty, or the empty string if there is
+// none. The result depends only on the VM list.
+func (t *term) fittingZone(spec *job.Submission) string {
 	zones := make(map[string][]worker.Info)
 	for _, w := range t.o.Workers() {
 		if w.Zone != t.o.Zone && !w.Leaving {
@@ -32,7 +32,7 @@
 	return best
 }
 
-// tasksThatFit counts the tasks of the job that empty workers hold together, up to all of them.
+// tasksThatFit counts how many tasks of the job the workers could hold together if they were empty.
 func tasksThatFit(spec *job.Submission, workers []worker.Info) int {
 	n := 0
 	for _, w := range workers {
@@ -43,9 +43,10 @@
 	return n
 }
 
-// move sends a job that can never run in this zone to another one. That is durable before anyone is
-// sent there: a repeat of the key must follow the first, also when this zone could run it by then.
-func (t *term) move(id, zone string, now time.Time) accepted {
+// move redirects a job that can never run in this zone to another zone. The move is made durable before the caller
+// is redirected, because a repeated submission of the key must go to the same zone even if this zone could run the
+// job by then.
+func (t *term) move(id, zone string, now time.Time) submitResult {
 	wait := make(chan error, 1)
 	m := movedRecord{Zone: zone, At: now.UTC()}
 	err := t.journal.Append([]record.Record{encode(kindMoved, id, m)}, func(err error) {
@@ -61,8 +62,8 @@
 		})
 	})
 	if err != nil {
-		return accepted{fault: rpc.Refused(t.o.RetryAfter, "the store takes no records now")}
+		return submitResult{fault: rpc.Refused(t.o.RetryAfter, "the store takes no records now")}
 	}
 	t.moving[id] = m
-	return accepted{wait: wait, moved: zone}
+	return submitResult{wait: wait, moved: zone}
 }
--- a/scheduler/verdict.go
+++ b/scheduler/outcome.go
@@ -7,31 +7,32 @@
 	"turmericgap/worker"
 )
 
-// verdict gives the task's next durable state after the end of its attempt.
-func (t *term) verdict(e *entry, k *task, r *worker.Report, now time.Time) taskRecord {
+// nextRecord returns the task's next durable state after the end of its attempt.
+func (t *term) nextRecord(e *entry, k *task, r *worker.Report, now time.Time) taskRecord {
 	next := k.taskRecord
 	switch {
-	case r.State == worker.Forbidden && k.doubt != "":
+	case r.State == worker.Forbidden && k.lossReason != "":
 		next.Ran = true
 		next.Failures++
-		t.settle(e, &next, k.doubt, now)
+		t.retryOrEnd(e, &next, k.lossReason, now)
 	case r.State == worker.Forbidden:
 		if e.cancel != nil {
 			t.endUnstarted(e, &next, now)
 		} else {
-			next.again("")
+			next.requeue("")
 		}
 	case r.State == worker.Stopped:
-		next.stopped(k, r)
-		t.settle(e, &next, stopReason(k), now)
+		next.applyStop(k, r)
+		t.retryOrEnd(e, &next, stopReason(k), now)
 	case r.Answer == nil || !r.Answer.Whole() || len(r.Answer.Body) > MaxAnswerBytes:
 		next.Ran = true
 		next.Failures++
-		t.settle(e, &next, "its answer was cut or is too long", now)
-	case r.Answer.Exit != 0 && e.cancel == nil && e.Spec.Repeatable && k.Failures+1 < t.attempts(e) && !t.fleet.JobFailing(e.id):
+		t.retryOrEnd(e, &next, "its answer was cut or is too long", now)
+	case r.Answer.Exit != 0 && e.cancel == nil && e.Spec.Repeatable && k.Failures+1 < t.maxAttempts(e) &&
+		!t.fleet.JobFailing(e.id):
 		next.Ran = true
 		next.Failures++
-		next.again("it failed and is run again")
+		next.requeue("it failed and is run again")
 	default:
 		next.Ran = true
 		next.end(job.Done, "", now)
@@ -40,11 +41,11 @@
 	return next
 }
 
-// stopped takes in an attempt that its worker ended without an answer. One that took too long counts
-// as failed, or it would be run again for ever.
-func (r *taskRecord) stopped(k *task, report *worker.Report) {
+// applyStop records an attempt that its worker stopped without an answer. An attempt that timed out counts as
+// failed, because it would otherwise be retried forever.
+func (r *taskRecord) applyStop(k *task, report *worker.Report) {
 	r.Ran = true
-	if k.stop == stopOvertime {
+	if k.stopReason == stopTimedOut {
 		r.Failures++
 	}
 	if len(report.Checkpoint) > 0 {
@@ -52,19 +53,19 @@
 	}
 }
 
-// settle decides on an attempt that ended without a whole answer: run again only what may be.
-func (t *term) settle(e *entry, next *taskRecord, reason string, now time.Time) {
+// retryOrEnd handles an attempt that ended without a complete answer. Only repeatable tasks are run again.
+func (t *term) retryOrEnd(e *entry, next *taskRecord, reason string, now time.Time) {
 	switch {
 	case e.cancel != nil:
 		next.end(job.Unknown, "cancelled: "+e.cancel.Reason, now)
-	case e.Spec.Repeatable && next.Failures < t.attempts(e):
-		next.again(reason)
+	case e.Spec.Repeatable && next.Failures < t.maxAttempts(e):
+		next.requeue(reason)
 	default:
 		next.end(job.Unknown, reason, now)
 	}
 }
 
-// endUnstarted ends a task of which no attempt is anywhere.
+// endUnstarted ends a cancelled task that has no attempt at any worker.
 func (t *term) endUnstarted(e *entry, next *taskRecord, now time.Time) {
 	if next.Ran {
 		next.end(job.Unknown, "cancelled after an earlier attempt: "+e.cancel.Reason, now)
@@ -73,7 +74,7 @@
 	next.end(job.NotRun, "cancelled: "+e.cancel.Reason, now)
 }
 
-func (r *taskRecord) again(reason string) {
+func (r *taskRecord) requeue(reason string) {
 	r.Phase, r.Worker, r.Boot, r.Reason = pending, "", "", reason
 }
 
@@ -82,13 +83,13 @@
 }
 
 func stopReason(k *task) string {
-	if k.stop != "" {
-		return k.stop
+	if k.stopReason != "" {
+		return k.stopReason
 	}
 	return "its worker stopped it"
 }
 
-func (t *term) attempts(e *entry) int {
+func (t *term) maxAttempts(e *entry) int {
 	if e.decision.Retries > 0 {
 		return 1 + e.decision.Retries
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -12,13 +12,13 @@
 	"turmericgap/worker"
 )
 
-// place asks the planner for starts and commits their intents, one group for all of them.
+// place gets the next starts from the planner and commits all their intents in one group.
 func (t *term) place(now time.Time) {
-	t.dirty = false
-	if t.draining || !t.valid() {
+	t.needsPlacement = false
+	if t.draining || !t.ownsZone() {
 		return
 	}
-	plan := t.planner.Next(now, startsMost)
+	plan := t.planner.Next(now, maxStartsPerPlan)
 	t.preempt(plan.Preempts, now)
 	if len(plan.Starts) == 0 {
 		return
@@ -41,12 +41,12 @@
 			t.planner.Release(now, c.e.id, c.task, planner.End{Requeue: true})
 		}
 	}
-	// More may be startable than one plan holds; the next event or tick goes on.
-	t.dirty = len(plan.Starts) == startsMost
+	// One plan is limited, so more tasks may be ready; the next event or tick places them.
+	t.needsPlacement = len(plan.Starts) == maxStartsPerPlan
 }
 
-// sendIntended sends the starts whose intents have become durable. One that was cancelled meanwhile
-// was never sent by this owner, which alone can send it, so that it has surely not run.
+// sendIntended sends the starts whose intents have become durable. A task that was cancelled meanwhile has
+// certainly not run, because only this owner can send its start and has not sent it.
 func (t *term) sendIntended(changes []change) {
 	now := time.Now()
 	for _, c := range changes {
@@ -60,27 +60,27 @@
 	}
 }
 
-// preempt checkpoints and stops tasks that make room for more urgent ones.
+// preempt checkpoints and stops tasks to make room for more urgent ones.
 func (t *term) preempt(list []planner.Preempt, now time.Time) {
 	for _, p := range list {
 		e := t.live[p.Job]
-		if e == nil || e.tasks[p.Task].Phase != intended || e.tasks[p.Task].stop != "" {
+		if e == nil || e.tasks[p.Task].Phase != intended || e.tasks[p.Task].stopReason != "" {
 			continue
 		}
 		t.o.Metrics.Counter("task.preempted").Inc(1)
-		t.yield(e, p.Task, "preempted for "+p.For, now)
+		t.checkpointAndStop(e, p.Task, "preempted for "+p.For, now)
 	}
 }
 
-// yield checkpoints and stops a task that is to go on elsewhere.
-func (t *term) yield(e *entry, i int, reason string, now time.Time) {
-	e.tasks[i].stop = reason
+// checkpointAndStop checkpoints and stops a task that will continue on another worker.
+func (t *term) checkpointAndStop(e *entry, i int, reason string, now time.Time) {
+	e.tasks[i].stopReason = reason
 	t.sendAct(e, i, worker.Checkpoint, now)
 	t.sendAct(e, i, worker.Stop, now)
 }
 
-// drainWorkers moves what may be repeated away from workers that leave, after a time in which short
-// tasks end by themselves. What may run once is left to end there.
+// drainWorkers moves repeatable tasks away from leaving workers after DrainAfter, in which short tasks end by
+// themselves. Tasks that may run only once are left to finish there.
 func (t *term) drainWorkers(now time.Time) {
 	for id, l := range t.links {
 		if !l.info.Leaving {
@@ -93,77 +93,78 @@
 		if now.Sub(l.leavingSince) < t.o.DrainAfter {
 			continue
 		}
-		for _, r := range t.heldAt(id) {
+		for _, r := range t.tasksAt(id) {
 			k := &r.e.tasks[r.task]
-			if r.e.Spec.Repeatable && k.confirmed && k.stop == "" && !k.saving {
-				t.yield(r.e, r.task, "its worker leaves", now)
+			if r.e.Spec.Repeatable && k.confirmed && k.stopReason == "" && !k.saving {
+				t.checkpointAndStop(r.e, r.task, "its worker leaves", now)
 			}
 		}
 	}
 }
 
-// onTick does what depends on time alone.
+// onTick does the periodic work.
 func (t *term) onTick(now time.Time) {
 	t.syncWorkers(now)
 	t.o.Rules(t.planner)
-	t.repeatSends(now)
+	t.resendAll(now)
 	t.drainWorkers(now)
-	t.lapseWorkers(now)
-	t.forgetOld(now)
-	t.cutSnapshot()
-	t.report(now)
-	t.dirty = true
+	t.expireWorkers(now)
+	t.evictFinished(now)
+	t.snapshotIfDue()
+	t.updateMetrics(now)
+	t.needsPlacement = true
 }
 
-// repeatSends goes on with whatever a full ring, a lost message or a full journal has held up.
-func (t *term) repeatSends(now time.Time) {
+// resendAll retries everything that was held up by a full send queue, a lost message or a full journal.
+func (t *term) resendAll(now time.Time) {
 	for _, e := range t.live {
 		if d, known := t.planner.Decision(e.id); known {
 			e.decision = d // the rules may have changed
 		}
 		for i := range e.tasks {
 			if k := &e.tasks[i]; !k.saving && k.Phase != final {
-				t.repeatSend(e, i, now)
+				t.resend(e, i, now)
 			}
 		}
 	}
 }
 
-func (t *term) repeatSend(e *entry, i int, now time.Time) {
+func (t *term) resend(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
 	switch {
 	case k.report != nil:
 		t.finish(e, i, now)
-	case k.stop == "" && e.overtime(k, now):
-		k.stop = stopOvertime
+	case k.stopReason == "" && e.timedOut(k, now):
+		k.stopReason = stopTimedOut
 		t.sendAct(e, i, worker.Stop, now)
 	case now.Sub(k.sentAt) < t.o.ResendInterval:
 	case k.Phase == pending && e.cancel != nil:
 		t.cancelTask(e, i, now)
-	case k.Phase == intended && (k.stop != "" || e.cancel != nil):
+	case k.Phase == intended && (k.stopReason != "" || e.cancel != nil):
 		t.sendAct(e, i, worker.Stop, now)
-	case k.Phase == intended && !k.confirmed && t.lacks(k):
+	case k.Phase == intended && !k.confirmed && t.needsStart(k):
 		t.sendStart(e, i, now)
 	}
 }
 
-// syncWorkers follows the VM list: new workers get a link, lost ones keep theirs while they hold tasks.
+// syncWorkers applies the VM list. New workers get a link; workers no longer listed keep theirs while tasks are
+// assigned to them.
 func (t *term) syncWorkers(now time.Time) {
-	listed := t.listWorkers(now)
+	listed := t.updateLinks(now)
 	for id, l := range t.links {
-		if !listed[id] && len(t.held[id]) == 0 {
+		if !listed[id] && len(t.byWorker[id]) == 0 {
 			l.cancel()
 			delete(t.links, id)
 			t.planner.RemoveWorker(id)
 			continue
 		}
 		l.listed = listed[id]
-		t.openWorker(now, l)
+		t.updateWorker(now, l)
 	}
 }
 
-// listWorkers opens links to new workers of the zone and gives the ids of all that are listed.
-func (t *term) listWorkers(now time.Time) map[string]bool {
+// updateLinks opens links to the zone's new workers, and returns the IDs of all listed workers.
+func (t *term) updateLinks(now time.Time) map[string]bool {
 	listed := make(map[string]bool)
 	var entries []fleet.Entry
 	for _, info := range t.o.Workers() {
@@ -182,63 +183,64 @@
 	return listed
 }
 
-// openWorker tells the planner whether a worker may get new work, when that has changed.
-func (t *term) openWorker(now time.Time, l *link) {
+// updateWorker tells the planner whether a worker may get new tasks, if that has changed.
+func (t *term) updateWorker(now time.Time, l *link) {
 	a := t.fleet.Open(now, l.info.ID)
 	open := l.answered && l.listed && !l.info.Leaving && a.Verdict != fleet.Closed
 	probe := a.Verdict == fleet.Probe
-	if l.told == l.info && l.open == open && l.probe == probe {
+	if l.plannerInfo == l.info && l.open == open && l.probe == probe {
 		return
 	}
 	if l.open && !open {
 		t.o.Logger.Warn("scheduler: worker gets no new work", zap.String("worker", l.info.ID), zap.String("reason", a.Reason))
 	}
-	l.told, l.open, l.probe = l.info, open, probe
+	l.plannerInfo, l.open, l.probe = l.info, open, probe
 	t.planner.SetWorker(now, l.info, open, probe)
-	t.dirty = true
+	t.needsPlacement = true
 }
 
-// lacks reports whether a task's start is to be sent again: none has left, or the worker has since
-// answered without knowing it. Copies sent to a silent worker would lie in its sockets and start the
-// attempt whenever it wakes.
-func (t *term) lacks(k *task) bool {
+// needsStart reports whether a task's start must be sent again: none was sent, or the worker has answered a later
+// heartbeat without reporting the attempt. Copies sent to a silent worker would stay in its socket buffers and
+// start the attempt when the worker resumes.
+func (t *term) needsStart(k *task) bool {
 	l := t.links[k.Worker]
-	return l != nil && (k.starts == 0 || l.answeredAt.After(k.sentAt))
+	return l != nil && (k.startsSent == 0 || l.ackedSentAt.After(k.sentAt))
 }
 
-// lapseWorkers gives up attempts at workers that are silent, when they have surely ended.
+// expireWorkers gives up attempts at silent workers once they have certainly ended.
 //
-// A worker stops by itself what is not renewed; a message may be under way for MessageLife after it
-// was sent, and the worker's clock may drift. After all three, what is known to have run has ended.
-// That says nothing of a start that was sent and never reported: it may lie in a socket of a frozen
-// VM. Such an attempt stays until its worker answers, or the VM list no longer shows the VM.
-func (t *term) lapseWorkers(now time.Time) {
+// A worker stops attempts that are not renewed. A message may be in flight for MessageLifetime after it was sent,
+// and the worker's clock may drift by WorkerDrift. After the sum of the three, an attempt that is known to have run
+// has ended. That does not cover a start that was sent but never reported: it may still be in a socket buffer of a
+// frozen VM. Such an attempt is kept until its worker answers, or the VM is no longer on the VM list.
+func (t *term) expireWorkers(now time.Time) {
 	limit := t.o.MessageLifetime + t.o.WorkerLease + t.o.WorkerDrift
-	ids := make([]string, 0, len(t.held))
-	for id := range t.held {
+	ids := make([]string, 0, len(t.byWorker))
+	for id := range t.byWorker {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
-		last, listed, open := t.since, false, false
+		last, listed, open := t.startedAt, false, false
 		if l := t.links[id]; l != nil {
-			last, listed, open = l.mayHaveRenewed, l.listed, l.open
+			last, listed, open = l.lastPossibleRenewal, l.listed, l.open
 		}
 		lapsed := now.Sub(last) > limit
-		for _, r := range t.heldAt(id) {
+		for _, r := range t.tasksAt(id) {
 			k := &r.e.tasks[r.task]
 			switch {
-			case k.starts == 0 && !open:
-				t.lose(r.e, r.task, false, "its worker could not be reached", now)
+			case k.startsSent == 0 && !open:
+				t.recordLoss(r.e, r.task, false, "its worker could not be reached", now)
 			case lapsed && (k.confirmed || !listed):
-				t.lose(r.e, r.task, true, "its worker was lost", now)
+				t.recordLoss(r.e, r.task, true, "its worker was lost", now)
 			}
 		}
 	}
 }
 
-// forgetOld drops finished jobs after their time, and bodies of answers beyond the budget.
-func (t *term) forgetOld(now time.Time) {
+// evictFinished drops finished jobs after AnswerRetention, and the oldest answer while the answers exceed
+// AnswerBudgetBytes.
+func (t *term) evictFinished(now time.Time) {
 	for id, m := range t.moved {
 		if now.Sub(m.At) > t.o.AnswerRetention {
 			delete(t.moved, id)
@@ -250,7 +252,7 @@
 			continue
 		}
 		if now.Sub(e.ended) > t.o.AnswerRetention {
-			t.answers -= answerBytes(e)
+			t.answerTotal -= answerBytes(e)
 			delete(t.jobs, id)
 			continue
 		}
@@ -258,8 +260,8 @@
 			oldest = e
 		}
 	}
-	if oldest != nil && t.answers > t.o.AnswerBudgetBytes {
-		t.answers -= answerBytes(oldest)
+	if oldest != nil && t.answerTotal > t.o.AnswerBudgetBytes {
+		t.answerTotal -= answerBytes(oldest)
 		for i := range oldest.tasks {
 			oldest.tasks[i].Answer = nil
 			oldest.tasks[i].Reason = "the answer was dropped: the zone's budget for answers is full"
@@ -277,10 +279,10 @@
 	return n
 }
 
-// countAnswers moves a finished job from the live ones to the remembered ones.
-func (t *term) countAnswers(e *entry) {
+// retire removes a finished job from the live jobs and counts its answers against the budget.
+func (t *term) retire(e *entry) {
 	delete(t.live, e.id)
-	t.answers += answerBytes(e)
+	t.answerTotal += answerBytes(e)
 }
 
 func (t *term) countStart(e *entry, now time.Time) {
@@ -288,7 +290,7 @@
 	t.o.Metrics.Histogram("waiting.millis." + string(waitingClass(e))).Update(now.Sub(e.Accepted).Milliseconds())
 }
 
-// waitingClass keeps the number of metrics bounded whatever callers put into their classes.
+// waitingClass limits the number of metrics, whatever classes callers use.
 func waitingClass(e *entry) job.Kind {
 	if e.Spec.Urgent {
 		return "urgent"
@@ -296,7 +298,7 @@
 	return e.Spec.Kind
 }
 
-func (t *term) report(now time.Time) {
+func (t *term) updateMetrics(now time.Time) {
 	s := t.journal.Stats()
 	t.o.Metrics.Gauge("job.live").Update(int64(len(t.live)))
 	t.o.Metrics.Gauge("job.remembered").Update(int64(len(t.jobs)))
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -10,12 +10,12 @@
 	"turmericgap/rpc"
 )
 
-const waitersMost = 64
+const maxWaiters = 64
 
 func (t *term) status(ctx context.Context, id string) (*job.Status, error) {
-	s, err := ask(ctx, t, func() *job.Status { return t.look(id) })
+	s, err := callLoop(ctx, t, func() *job.Status { return t.lookup(id) })
 	if err != nil {
-		return nil, lookFault(err)
+		return nil, queryFault(err)
 	}
 	if s == nil {
 		return nil, notFound(id)
@@ -23,7 +23,7 @@
 	return s, nil
 }
 
-func (t *term) look(id string) *job.Status {
+func (t *term) lookup(id string) *job.Status {
 	e := t.jobs[id]
 	if e == nil || !e.durable {
 		return nil
@@ -32,27 +32,27 @@
 	return &s
 }
 
-// lookFault turns a failed question, which changed nothing, into a fault.
-func lookFault(err error) error {
+// queryFault converts the error of a query, which changed nothing, to a fault.
+func queryFault(err error) error {
 	if errors.Is(err, errTermClosed) {
 		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: err.Error(), RetryAfter: DefaultRetryAfter}
 	}
 	return err
 }
 
-// wait answers when the job is final or shortly before the caller's deadline.
+// wait returns the status when the job is final, or shortly before the caller's deadline.
 func (t *term) wait(ctx context.Context, id string) (*job.Status, error) {
 	done := make(chan job.Status, 1)
-	s, err := ask(ctx, t, func() *job.Status {
-		s := t.look(id)
-		if s != nil && s.State != job.Final && len(t.jobs[id].waiters) < waitersMost {
+	s, err := callLoop(ctx, t, func() *job.Status {
+		s := t.lookup(id)
+		if s != nil && s.State != job.Final && len(t.jobs[id].waiters) < maxWaiters {
 			t.jobs[id].waiters = append(t.jobs[id].waiters, done)
 		}
 		return s
 	})
 	switch {
 	case err != nil:
-		return nil, lookFault(err)
+		return nil, queryFault(err)
 	case s == nil:
 		return nil, notFound(id)
 	case s.State == job.Final:
@@ -62,7 +62,7 @@
 	case final := <-done:
 		return &final, nil
 	case <-t.closing:
-		return nil, lookFault(errTermClosed)
+		return nil, queryFault(errTermClosed)
 	case <-beforeDeadline(ctx):
 	}
 	t.post(func() { t.dropWaiter(id, done) })
@@ -71,7 +71,7 @@
 	return t.status(look, id)
 }
 
-// replyMargin is kept for the way back, so that a waiter hears the latest status in time.
+// replyMargin is reserved for the reply, so that a waiter gets the latest status before its deadline.
 const replyMargin = 50 * time.Millisecond
 
 func beforeDeadline(ctx context.Context) <-chan struct{} {
@@ -97,7 +97,7 @@
 	}
 }
 
-// list gives live jobs first, then the lately ended.
+// list returns live jobs first, then those that ended most recently.
 func (t *term) list(most int) []job.Status {
 	entries := make([]*entry, 0, len(t.jobs))
 	for _, e := range t.jobs {
--- a/scheduler/record.go
+++ b/scheduler/record.go
@@ -13,7 +13,7 @@
 	"turmericgap/record"
 )
 
-// The kinds of records. A snapshot consists of the same kinds as the segments after it.
+// Record kinds. A snapshot uses the same kinds as the segments after it.
 const (
 	kindJob    = "job"
 	kindTask   = "task"
@@ -21,7 +21,7 @@
 	kindMoved  = "moved"
 )
 
-// phase is the durable part of where a task stands.
+// phase is the durable state of a task.
 type phase uint8
 
 const (
@@ -37,16 +37,16 @@
 	Parent   string         `msgpack:"p,omitempty"`
 }
 
-// taskRecord is the whole durable state of one task; a later record replaces an earlier one.
+// taskRecord is the complete durable state of one task; a later record replaces an earlier one.
 type taskRecord struct {
 	Phase   phase  `msgpack:"p"`
 	Attempt int    `msgpack:"n,omitempty"`
 	Worker  string `msgpack:"w,omitempty"`
-	// Boot is the worker's boot when the attempt was intended.
+	// Boot is the worker's boot when the intent was recorded.
 	Boot string `msgpack:"b,omitempty"`
-	// Failures counts attempts that failed or were lost; preempted ones do not count.
+	// Failures counts attempts that failed or were lost. Preempted attempts do not count.
 	Failures int `msgpack:"f,omitempty"`
-	// Ran says that an earlier attempt may have done something, so that the task is never notRun.
+	// Ran is set if an earlier attempt may have had effects; the outcome of the task is then never notRun.
 	Ran        bool        `msgpack:"r,omitempty"`
 	Outcome    job.Outcome `msgpack:"o,omitempty"`
 	Reason     string      `msgpack:"y,omitempty"`
@@ -60,7 +60,7 @@
 	At     time.Time `msgpack:"t"`
 }
 
-// movedRecord sends the submissions with a key to another zone, where their first one went.
+// movedRecord redirects submissions of a key to the zone that took the first one.
 type movedRecord struct {
 	Zone string    `msgpack:"z"`
 	At   time.Time `msgpack:"t"`
@@ -69,7 +69,7 @@
 func encode(kind, key string, body any) record.Record {
 	raw, err := msgpack.Marshal(body)
 	if err != nil {
-		// Only a type that msgpack cannot write at all comes here, which the first test run shows.
+		// Encoding fails only for types that msgpack does not support, which any test run would show.
 		panic(err)
 	}
 	return record.Record{Kind: kind, Key: key, Data: raw}
@@ -86,7 +86,7 @@
 	return key[:at], task, err
 }
 
-// attemptID names an attempt at its worker; it is never used again.
+// attemptID returns the ID of an attempt at its worker. IDs are never reused.
 func attemptID(id string, task, attempt int) string {
 	return taskKey(id, task) + "/" + strconv.Itoa(attempt)
 }
@@ -103,7 +103,7 @@
 	return id, task, attempt, err
 }
 
-// apply changes the state by one durable record; it serves recovery and the running term alike.
+// apply applies one durable record to the state, both during recovery and in the running term.
 func (t *term) apply(r record.Record) error {
 	switch r.Kind {
 	case kindJob:
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// snapshot gives the state after exactly the records appended so far, those under way included, as
-// the journal asks for it; the loop calls it between two appends.
+// snapshot returns the state after exactly the records appended so far, including those still being committed, as
+// the journal requires. The loop calls it between two appends.
 func (t *term) snapshot() []record.Record {
 	var out []record.Record
 	for _, moved := range []map[string]movedRecord{t.moved, t.moving} {
@@ -165,20 +165,20 @@
 		}
 		if c := e.cancel; c != nil {
 			out = append(out, encode(kindCancel, id, *c))
-		} else if c := e.cancelling; c != nil {
+		} else if c := e.pendingCancel; c != nil {
 			out = append(out, encode(kindCancel, id, *c))
 		}
 	}
 	return out
 }
 
-// cutSnapshot hands the live state over when the journal asks for it, so that storage and recovery
-// follow what is live.
-func (t *term) cutSnapshot() {
+// snapshotIfDue writes a snapshot when the journal asks for one, so that storage and recovery time depend on the
+// live state only.
+func (t *term) snapshotIfDue() {
 	if !t.journal.SnapshotDue() {
 		return
 	}
 	if err := t.journal.Snapshot(t.snapshot()); err != nil {
-		t.o.Logger.Warn("scheduler: snapshot not taken", zap.Error(err))
+		t.o.Logger.Warn("scheduler: snapshot failed", zap.Error(err))
 	}
 }
--- a/scheduler/recover_test.go
+++ b/scheduler/recover_test.go
@@ -12,8 +12,8 @@
 	"turmericgap/worker"
 )
 
-// BenchmarkRecover gives how long a new owner takes from its epoch to a full state, and the memory
-// that a live task then has, for numbers of live jobs of one running task each.
+// BenchmarkRecover measures the time from a new epoch to the fully recovered state, and the memory per live task,
+// for different numbers of live jobs with one running task each.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint("tasks-", n), func(b *testing.B) {
@@ -26,7 +26,7 @@
 			o.Zone, o.Store = testZone, kv.Store()
 			o.Owns = func() (int64, int64, bool) { return 1, res.Revision, true }
 			o.Workers = func() []worker.Info { return nil }
-			fill(b, o, res.Revision, n)
+			writeJobs(b, o, res.Revision, n)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -39,7 +39,7 @@
 				b.StopTimer()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				t.close(closedContext(), false)
+				t.close(canceledContext(), false)
 				b.StartTimer()
 			}
 			_, stored := kv.Size()
@@ -49,8 +49,8 @@
 	}
 }
 
-// fill writes n jobs of one intended task each.
-func fill(b *testing.B, o *Options, revision int64, n int) {
+// writeJobs writes n jobs with one intended task each.
+func writeJobs(b *testing.B, o *Options, revision int64, n int) {
 	t, err := openTerm(context.Background(), o, 1, revision)
 	if err != nil {
 		b.Fatal(err)
--- a/scheduler/follow.go
+++ b/scheduler/reports.go
@@ -14,70 +14,71 @@
 
 const serviceKind = job.Service
 
-// onBeat takes the outcome of a heartbeat.
-func (t *term) onBeat(l *link, b beat) {
+// onHeartbeat handles the result of a heartbeat.
+func (t *term) onHeartbeat(l *link, b heartbeatResult) {
 	now := time.Now()
 	if b.err != nil {
 		if b.renews && !errors.Is(b.err, worker.ErrNotSent) {
-			l.mayHaveRenewed = now
+			l.lastPossibleRenewal = now
 		}
-		if t.valid() {
+		if t.ownsZone() {
 			t.fleet.Missed(now, l.info.ID)
 		}
-		t.openWorker(now, l)
+		t.updateWorker(now, l)
 		return
 	}
-	l.mayHaveRenewed, l.answered, l.answeredAt, l.boot = now, true, b.began, b.reply.Boot
+	l.lastPossibleRenewal, l.answered, l.ackedSentAt, l.boot = now, true, b.sentAt, b.reply.Boot
 	t.fleet.Seen(now, l.info.ID)
-	t.openWorker(now, l)
+	t.updateWorker(now, l)
 	for i := range b.reply.Reports {
-		t.onListed(l, &b.reply.Reports[i], now)
+		t.onHeartbeatReport(l, &b.reply.Reports[i], now)
 	}
 	if b.reply.Whole {
-		t.onWhole(l, b.reply, now)
+		t.onFullReport(l, b.reply, now)
 	}
 }
 
-// onWhole compares a full list of a worker's attempts with what is held to be there.
-func (t *term) onWhole(l *link, reply *worker.HeartbeatReply, now time.Time) {
+// onFullReport compares a worker's full list of attempts with the tasks assigned to it.
+func (t *term) onFullReport(l *link, reply *worker.HeartbeatReply, now time.Time) {
 	there := make(map[string]bool, len(reply.Reports))
 	for i := range reply.Reports {
 		there[reply.Reports[i].Attempt] = true
 	}
-	for _, r := range t.heldAt(l.info.ID) {
+	for _, r := range t.tasksAt(l.info.ID) {
 		e, i := r.e, r.task
 		k := &e.tasks[i]
 		if there[attemptID(e.id, i, k.Attempt)] || k.saving {
 			continue
 		}
 		switch {
-		case k.doubt != "":
+		case k.lossReason != "":
 		case k.confirmed || (k.Boot != "" && k.Boot != reply.Boot):
-			// The worker has lost its memory: what ran before its restart has ended with it. A copy of
-			// the start may still arrive and would run again, so the attempt is forbidden first.
-			k.doubt, k.stop = "its worker restarted", "its worker restarted"
+			// The worker has restarted and lost its state, so the attempt is no longer running. A duplicate start
+			// message may still arrive and run it again, so the attempt is forbidden first.
+			k.lossReason, k.stopReason = "its worker restarted", "its worker restarted"
 			t.sendAct(e, i, worker.Stop, now)
-		case k.starts == 0:
+		case k.startsSent == 0:
 			t.sendStart(e, i, now)
 		}
 	}
 }
 
-// onListed takes a report out of a heartbeat, which alone tells the worker's boot. Forbidden means
-// that the attempt has not run in this boot; what was sent to an earlier one may have run there.
-func (t *term) onListed(l *link, r *worker.Report, now time.Time) {
-	_, _, k := t.find(l, r.Attempt)
-	if k != nil && r.State == worker.Forbidden && k.Boot != l.boot && k.doubt == "" {
-		k.doubt = "its worker restarted"
+// onHeartbeatReport handles a report from a heartbeat, the only message that carries the worker's boot. Forbidden
+// proves that the attempt has not run in this boot; if its start was sent to an earlier boot, it may have run
+// there.
+func (t *term) onHeartbeatReport(l *link, r *worker.Report, now time.Time) {
+	_, _, k := t.findTask(l, r.Attempt)
+	if k != nil && r.State == worker.Forbidden && k.Boot != l.boot && k.lossReason == "" {
+		k.lossReason = "its worker restarted"
 	}
 	t.onReport(l, r, now)
 }
 
-// onReport takes what a worker says of one attempt.
+// onReport handles a worker's report about an attempt.
 func (t *term) onReport(l *link, r *worker.Report, now time.Time) {
-	e, i, k := t.find(l, r.Attempt)
+	e, i, k := t.findTask(l, r.Attempt)
 	if k == nil {
-		t.onStray(l, r)
+		t.onOrphan(l, r)
 		return
 	}
 	if k.saving {
@@ -99,8 +100,8 @@
 	t.finish(e, i, now)
 }
 
-// find gives the task whose current attempt, at this worker, has that name.
-func (t *term) find(l *link, attempt string) (*entry, int, *task) {
+// findTask returns the task whose current attempt at this worker has the given ID.
+func (t *term) findTask(l *link, attempt string) (*entry, int, *task) {
 	id, i, n, err := splitAttemptID(attempt)
 	if err != nil {
 		return nil, 0, nil
@@ -116,14 +117,15 @@
 	return e, i, k
 }
 
-// onStray deals with an attempt that is not, or no longer, held to be at this worker. One that runs
-// is a late start of an earlier owner; left alone it would use capacity that is promised elsewhere.
-func (t *term) onStray(l *link, r *worker.Report) {
+// onOrphan handles an attempt that is not, or no longer, assigned to this worker. If it is running, it was started
+// by a late message of an earlier owner. It must be stopped because its capacity is assigned to other tasks.
+func (t *term) onOrphan(l *link, r *worker.Report) {
 	if r.State != worker.Running {
-		l.giveForget([]string{r.Attempt})
+		l.queueForget([]string{r.Attempt})
 		return
 	}
-	t.o.Logger.Warn("scheduler: stop a stray attempt", zap.String("worker", l.info.ID), zap.String("attempt", r.Attempt))
+	t.o.Logger.Warn("scheduler: stopping an orphaned attempt",
+		zap.String("worker", l.info.ID), zap.String("attempt", r.Attempt))
 	a := &worker.Act{Attempt: r.Attempt, Verb: worker.Stop, Epoch: t.epoch}
 	l.send(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, t.o.CallTimeout)
@@ -132,39 +134,41 @@
 	})
 }
 
-// finish records how an attempt ended, and releases its worker once that is durable.
+// finish records the end of an attempt, and releases the resources at its worker once the record is durable.
 func (t *term) finish(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
 	report, at := k.report, k.Worker
-	t.judgeWorker(e, k, report, now)
-	next := t.verdict(e, k, report, now)
+	t.reportOutcome(e, k, report, now)
+	next := t.nextRecord(e, k, report, now)
 	t.save([]change{{e, i, next}}, func() {
 		k.report = nil
 		if l := t.links[at]; l != nil {
-			l.giveForget([]string{report.Attempt})
+			l.queueForget([]string{report.Attempt})
 		}
 		t.release(e, i, now)
 	})
 }
 
-// judgeWorker tells the fleet what an end says of its worker; a stop that was asked for says nothing.
-func (t *term) judgeWorker(e *entry, k *task, r *worker.Report, now time.Time) {
-	if k.judged || r.State != worker.Ended {
+// reportOutcome passes an attempt's outcome to the fleet. Requested stops are not reported, since they say nothing
+// about the worker.
+func (t *term) reportOutcome(e *entry, k *task, r *worker.Report, now time.Time) {
+	if k.outcomeReported || r.State != worker.Ended {
 		return
 	}
-	k.judged = true
+	k.outcomeReported = true
 	id := e.id
 	if len(e.tasks) == 1 && !e.Spec.Repeatable {
 		id = ""
 	}
 	t.fleet.Outcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
 	if l := t.links[k.Worker]; l != nil {
-		t.openWorker(now, l)
+		t.updateWorker(now, l)
 	}
 }
 
-// lose records that an attempt has surely ended without an answer, or has surely not begun.
-func (t *term) lose(e *entry, i int, began bool, reason string, now time.Time) {
+// recordLoss records an attempt that has definitely ended without an answer (began is true) or has definitely not
+// started.
+func (t *term) recordLoss(e *entry, i int, began bool, reason string, now time.Time) {
 	k := &e.tasks[i]
 	if k.saving {
 		return
@@ -174,16 +178,16 @@
 	case began:
 		next.Ran = true
 		next.Failures++
-		t.settle(e, &next, reason, now)
+		t.retryOrEnd(e, &next, reason, now)
 	case e.cancel != nil:
 		t.endUnstarted(e, &next, now)
 	default:
-		next.again(reason)
+		next.requeue(reason)
 	}
 	t.save([]change{{e, i, next}}, func() { t.release(e, i, now) })
 }
 
-// release frees the worker's resources after a durable end, and ends the job with its last task.
+// release frees the worker's resources after a durable end, and closes the job if it was the last task.
 func (t *term) release(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
 	end := planner.End{Requeue: k.Phase == pending && e.cancel == nil, OK: k.Outcome == job.Done && k.Answer.Exit == 0}
@@ -192,7 +196,7 @@
 	}
 	*k = task{taskRecord: k.taskRecord}
 	t.planner.Release(now, e.id, i, end)
-	t.dirty = true
+	t.needsPlacement = true
 	if e.cancel != nil && k.Phase == pending {
 		t.cancelTask(e, i, now)
 		return
@@ -200,7 +204,7 @@
 	t.closeJob(e)
 }
 
-// closeJob tells the waiters of a job whose last task is final.
+// closeJob closes a job whose tasks are all final, and notifies its waiters.
 func (t *term) closeJob(e *entry) {
 	if !e.final() || !e.ended.IsZero() {
 		return
@@ -208,7 +212,7 @@
 	e.close()
 	t.planner.Drop(e.id)
 	t.fleet.Forget(e.id)
-	t.countAnswers(e)
+	t.retire(e)
 	s := e.status(t.o.Zone)
 	for _, w := range e.waiters {
 		w <- s
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -11,7 +11,7 @@
 	"turmericgap/rpc"
 )
 
-// Scheduler serves one availability zone whenever this process owns it.
+// Scheduler schedules the jobs of one availability zone while this process owns it.
 type Scheduler struct {
 	o      *Options
 	cancel context.CancelFunc
@@ -29,16 +29,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Scheduler{o: o, cancel: cancel}
-	s.wg.Go(func() { s.follow(ctx) })
+	s.wg.Go(func() { s.followOwnership(ctx) })
 	return s
 }
 
-// follow opens and ends terms as ownership comes and goes.
-func (s *Scheduler) follow(ctx context.Context) {
-	check := time.NewTicker(ownershipCheck)
+// followOwnership opens and closes terms as ownership of the zone changes.
+func (s *Scheduler) followOwnership(ctx context.Context) {
+	check := time.NewTicker(ownershipCheckInterval)
 	defer check.Stop()
 	for {
-		s.sync(ctx)
+		s.syncTerm(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -47,9 +47,9 @@
 	}
 }
 
-const ownershipCheck = 100 * time.Millisecond
+const ownershipCheckInterval = 100 * time.Millisecond
 
-func (s *Scheduler) sync(ctx context.Context) {
+func (s *Scheduler) syncTerm(ctx context.Context) {
 	epoch, revision, ok := s.o.Owns()
 	s.mu.Lock()
 	t := s.term
@@ -59,13 +59,13 @@
 		s.setTerm(nil)
 		t = nil
 	}
-	// A term whose ownership is in doubt stays: it sends nothing, and may be confirmed again.
+	// A term whose ownership is not confirmed is kept: it sends nothing, and ownership may be confirmed again.
 	if t != nil || !ok {
 		return
 	}
 	t, err := openTerm(ctx, s.o, epoch, revision)
 	if err != nil {
-		s.o.Logger.Warn("scheduler: cannot recover the zone yet", zap.Error(err))
+		s.o.Logger.Warn("scheduler: recovery of the zone failed; will be retried", zap.Error(err))
 		return
 	}
 	s.setTerm(t)
@@ -86,13 +86,13 @@
 	}
 }
 
-// Ready reports whether this scheduler serves its zone just now.
+// Ready reports whether this scheduler currently serves its zone.
 func (s *Scheduler) Ready() bool {
-	t := s.current()
-	return t != nil && t.valid()
+	t := s.currentTerm()
+	return t != nil && t.ownsZone()
 }
 
-func (s *Scheduler) current() *term {
+func (s *Scheduler) currentTerm() *term {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.term == nil || s.term.ended() {
@@ -101,56 +101,57 @@
 	return s.term
 }
 
-// Stop ends the term in order, so that a successor need not wait; hand over ownership after it.
-func (s *Scheduler) Stop(ctx context.Context) { s.end(ctx, true) }
+// Stop closes the term gracefully, so that the next owner need not wait. Hand over ownership only after Stop has
+// returned.
+func (s *Scheduler) Stop(ctx context.Context) { s.shutdown(ctx, true) }
 
-// Kill ends everything at once, as the death of the process would.
-func (s *Scheduler) Kill() { s.end(closedContext(), false) }
+// Kill stops everything at once, like a crash of the process.
+func (s *Scheduler) Kill() { s.shutdown(canceledContext(), false) }
 
-// end first ends the duty that opens terms, so that none comes after the last.
-func (s *Scheduler) end(ctx context.Context, orderly bool) {
+// shutdown first stops the goroutine that opens terms, so that no term is opened after the last one is closed.
+func (s *Scheduler) shutdown(ctx context.Context, graceful bool) {
 	s.cancel()
 	s.wg.Wait()
 	s.mu.Lock()
 	t := s.term
 	s.mu.Unlock()
 	if t != nil {
-		t.close(ctx, orderly)
+		t.close(ctx, graceful)
 	}
 }
 
-func (s *Scheduler) owner() (*term, error) {
-	t := s.current()
+func (s *Scheduler) ownedTerm() (*term, error) {
+	t := s.currentTerm()
 	if t == nil {
 		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this scheduler does not own zone " + s.o.Zone, RetryAfter: s.o.RetryAfter}
 	}
 	return t, nil
 }
 
-// Submit accepts a job whose home is this zone; it is durable before Submit returns its status.
+// Submit accepts a job whose home is this zone. The job's record is durable before Submit returns its status.
 func (s *Scheduler) Submit(ctx context.Context, spec *job.Submission, parent string) (*job.Status, error) {
 	if l := spec.Check(); len(l) > 0 {
 		return nil, &rpc.Fault{Code: rpc.CodeInvalid, Reason: l.Error(), Findings: l}
 	}
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
 	return t.submit(ctx, spec, parent)
 }
 
-// Status tells where a job stands.
+// Status returns the current status of a job.
 func (s *Scheduler) Status(ctx context.Context, id string) (*job.Status, error) {
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
 	return t.status(ctx, id)
 }
 
-// Cancel ends a job; what has not started is then surely not run.
+// Cancel cancels a job. Tasks that have not started will certainly not run.
 func (s *Scheduler) Cancel(ctx context.Context, id, reason string) (*job.Status, error) {
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
@@ -158,12 +159,12 @@
 		fault *rpc.Fault
 		done  chan struct{}
 	}
-	r, err := ask(ctx, t, func() result {
+	r, err := callLoop(ctx, t, func() result {
 		fault, done := t.cancelJob(id, reason, time.Now())
 		return result{fault, done}
 	})
 	if err != nil {
-		return nil, underWay(err)
+		return nil, unknownFault(err)
 	}
 	if r.fault != nil {
 		return nil, r.fault
@@ -172,30 +173,30 @@
 	case <-r.done:
 		return t.status(ctx, id)
 	case <-t.closing:
-		return nil, underWay(errTermClosed)
+		return nil, unknownFault(errTermClosed)
 	case <-ctx.Done():
-		return nil, underWay(ctx.Err())
+		return nil, unknownFault(ctx.Err())
 	}
 }
 
-// Wait gives the status once it is final, or the latest one when ctx ends.
+// Wait returns the status once it is final, or the latest one shortly before the deadline of ctx.
 func (s *Scheduler) Wait(ctx context.Context, id string) (*job.Status, error) {
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
 	return t.wait(ctx, id)
 }
 
-// List gives the status of up to most jobs, live ones first, without their answers.
+// List returns the status of up to most jobs, live ones first, without their answers.
 func (s *Scheduler) List(ctx context.Context, most int) ([]job.Status, error) {
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
-	return ask(ctx, t, func() []job.Status { return t.list(most) })
+	return callLoop(ctx, t, func() []job.Status { return t.list(most) })
 }
 
-func underWay(err error) *rpc.Fault {
+func unknownFault(err error) *rpc.Fault {
 	return &rpc.Fault{Code: rpc.CodeUnknown, Reason: err.Error() + "; ask for the job's status"}
 }
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -11,7 +11,7 @@
 	tracing "turmericgap/trace"
 )
 
-// Register serves the calls about jobs.
+// Register registers the RPC methods for jobs.
 func (s *Scheduler) Register(server *rpc.Server) {
 	rpc.Handle(server, route.CallSubmit, func(ctx context.Context, r *route.Submit) (*job.Status, error) {
 		return s.Submit(ctx, &r.Spec, tracing.Parent(ctx))
@@ -34,19 +34,19 @@
 	})
 }
 
-// Why tells where a job stands, which rule decided, and what it waits for.
+// Why returns the status of a job, the rule that decided on it, and what it is waiting for.
 func (s *Scheduler) Why(ctx context.Context, id string) (*route.Why, error) {
 	status, err := s.Status(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
-	e, err := ask(ctx, t, func() planner.Explanation { return t.planner.Why(time.Now(), id) })
+	e, err := callLoop(ctx, t, func() planner.Explanation { return t.planner.Why(time.Now(), id) })
 	if err != nil {
-		return nil, lookFault(err)
+		return nil, queryFault(err)
 	}
 	return &route.Why{Status: *status, Explanation: e}, nil
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -11,13 +11,13 @@
 	"turmericgap/planner"
 )
 
-// stateEnds bounds the ended jobs that are shown, stateRefusals the refusals.
+// maxEndedJobs and maxRefusals limit the ended jobs and the refusals that are shown.
 const (
-	stateEnds     = 20
-	stateRefusals = 20
+	maxEndedJobs = 20
+	maxRefusals  = 20
 )
 
-// State is what operators see of a zone at its owner.
+// State is the operators' view of a zone, as reported by its owner.
 type State struct {
 	Zone      string           `json:"zone"`
 	Epoch     int64            `json:"epoch"`
@@ -27,9 +27,9 @@
 	Ejections []fleet.Ejection `json:"ejections"`
 	// Refused counts the submissions that a rule refused since this process started.
 	Refused int64 `json:"refused"`
-	// Refusals are the last of them, with their reasons.
+	// Refusals are the most recent refusals, with their reasons.
 	Refusals []Refusal `json:"refusals"`
-	// Ends are the last jobs that ended without an answer.
+	// Ends are the most recent jobs that ended without an answer.
 	Ends []EndedJob `json:"ends"`
 }
 
@@ -50,30 +50,30 @@
 	Reason string    `json:"reason"`
 }
 
-// refused keeps the last refusals for operators.
-func (t *term) refused(spec *job.Submission, d planner.Decision, now time.Time) {
+// recordRefusal keeps the most recent refusals for operators.
+func (t *term) recordRefusal(spec *job.Submission, d planner.Decision, now time.Time) {
 	t.o.Metrics.Counter("job.refused").Inc(1)
-	if len(t.refusals) == stateRefusals {
+	if len(t.refusals) == maxRefusals {
 		t.refusals = slices.Delete(t.refusals, 0, 1)
 	}
 	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.Refused})
 }
 
-// State gives the operators' view of the zone; only its owner has one.
+// State returns the operators' view of the zone. It fails if this process does not own the zone.
 func (s *Scheduler) State(ctx context.Context) (*State, error) {
-	t, err := s.owner()
+	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
-	out, err := ask(ctx, t, t.state)
+	out, err := callLoop(ctx, t, t.state)
 	if err != nil {
-		return nil, lookFault(err)
+		return nil, queryFault(err)
 	}
 	out.Refused = s.o.Metrics.Counter("job.refused").Count()
 	return out, nil
 }
 
-// state runs on the loop.
+// state builds the operators' view. It runs on the loop.
 func (t *term) state() *State {
 	s := &State{
 		Zone: t.o.Zone, Epoch: t.epoch, Live: len(t.live), Stats: t.planner.Stats(time.Now()),
@@ -89,6 +89,6 @@
 		}
 	}
 	slices.SortFunc(s.Ends, func(a, b EndedJob) int { return cmp.Or(b.Ended.Compare(a.Ended), cmp.Compare(a.Job, b.Job)) })
-	s.Ends = s.Ends[:min(len(s.Ends), stateEnds)]
+	s.Ends = s.Ends[:min(len(s.Ends), maxEndedJobs)]
 	return s
 }
--- a/scheduler/term.go
+++ b/scheduler/term.go
@@ -16,7 +16,7 @@
 
 var errTermClosed = errors.New("this process no longer owns the zone")
 
-// term is one time of owning the zone, from take-over to its end.
+// term is one period of ownership of the zone.
 type term struct {
 	o       *Options
 	epoch   int64
@@ -24,36 +24,37 @@
 	planner *planner.Planner
 	fleet   *fleet.Fleet
 	events  chan func()
-	// closing is closed when the term ends, closed when all its goroutines have.
+	// closing is closed when the term ends, and closed when all its goroutines have returned.
 	closing, closed chan struct{}
 	once            sync.Once
 	wg              sync.WaitGroup
 
-	// The rest belongs to the loop.
+	// The fields below belong to the loop.
 	jobs map[string]*entry
-	// live holds the jobs without an outcome, held the tasks at each worker.
-	live  map[string]*entry
-	held  map[string]map[ref]bool
-	links map[string]*link
-	// moved are the keys whose jobs went to other zones.
+	// live contains the jobs without an outcome; byWorker contains the tasks assigned to each worker.
+	live     map[string]*entry
+	byWorker map[string]map[taskRef]bool
+	links    map[string]*link
+	// moved contains the jobs that were moved to other zones.
 	moved map[string]movedRecord
-	// moving are those whose records are under way.
+	// moving contains the moves that are being committed.
 	moving map[string]movedRecord
-	// since is when the term began; sends of an earlier owner ended before.
-	since    time.Time
-	draining bool
-	dirty    bool
-	answers  int
-	refusals []Refusal
+	// startedAt is when the term began. All sends of an earlier owner ended before.
+	startedAt      time.Time
+	draining       bool
+	needsPlacement bool
+	answerTotal    int
+	refusals       []Refusal
 }
 
 // openTerm recovers the zone's state from the journal and starts the loop.
 func openTerm(ctx context.Context, o *Options, epoch, epochRevision int64) (*term, error) {
 	t := &term{
-		o: o, epoch: epoch, planner: o.Planner(), fleet: fleet.New(), since: time.Now(),
-		events: make(chan func(), eventRing), closing: make(chan struct{}), closed: make(chan struct{}),
+		o: o, epoch: epoch, planner: o.Planner(), fleet: fleet.New(), startedAt: time.Now(),
+		events: make(chan func(), eventQueueSize), closing: make(chan struct{}), closed: make(chan struct{}),
 		jobs: make(map[string]*entry), live: make(map[string]*entry),
-		held: make(map[string]map[ref]bool), links: make(map[string]*link), moved: make(map[string]movedRecord), moving: make(map[string]movedRecord),
+		byWorker: make(map[string]map[taskRef]bool), links: make(map[string]*link),
+		moved: make(map[string]movedRecord), moving: make(map[string]movedRecord),
 	}
 	j, err := record.Open(ctx, o.Store, o.Zone, epochKey(o.Zone), epochRevision,
 		append([]record.Option{record.Logger(o.Logger)}, o.Journal...)...)
@@ -70,7 +71,7 @@
 	return t, nil
 }
 
-// recover fills the planner from the durable state.
+// recover restores the planner from the durable state.
 func (t *term) recover(now time.Time) {
 	t.syncWorkers(now)
 	ordered := make([]*entry, 0, len(t.jobs))
@@ -86,7 +87,7 @@
 	for _, e := range ordered {
 		if e.final() {
 			e.close()
-			t.countAnswers(e)
+			t.retire(e)
 			continue
 		}
 		t.live[e.id] = e
@@ -94,19 +95,19 @@
 		for i := range e.tasks {
 			if e.tasks[i].Phase != pending {
 				t.planner.Occupy(e.id, i, e.tasks[i].Worker)
-				e.tasks[i].starts = 1
+				e.tasks[i].startsSent = 1
 			}
 			if e.tasks[i].Phase == final {
 				t.planner.Release(now, e.id, i, planner.End{OK: true})
 			}
 		}
 	}
-	t.dirty = true
+	t.needsPlacement = true
 	t.o.Logger.Info("scheduler: recovered the zone",
 		zap.Int64("epoch", t.epoch), zap.Int("jobs", len(t.jobs)), zap.Int("live", len(t.live)))
 }
 
-// loop is the one goroutine that owns the term's state.
+// loop runs all functions that access the term's state.
 func (t *term) loop() {
 	tick := time.NewTicker(t.o.Tick)
 	defer tick.Stop()
@@ -120,15 +121,15 @@
 		case <-tick.C:
 			t.onTick(time.Now())
 		}
-		if t.dirty {
+		if t.needsPlacement {
 			t.place(time.Now())
 		}
 	}
 }
 
-// drainEvents runs what else has come, so that one plan and one commit serve many events.
+// drainEvents runs all queued events, so that one plan and one commit cover many of them.
 func (t *term) drainEvents() {
-	for range eventRing {
+	for range eventQueueSize {
 		select {
 		case f := <-t.events:
 			f()
@@ -138,7 +139,7 @@
 	}
 }
 
-// post hands f to the loop; it is dropped when the term closes.
+// post queues f for the loop. It returns false if the term closes first; f is then dropped.
 func (t *term) post(f func()) bool {
 	select {
 	case t.events <- f:
@@ -148,8 +149,8 @@
 	}
 }
 
-// ask runs f on the loop and gives its result.
-func ask[T any](ctx context.Context, t *term, f func() T) (T, error) {
+// callLoop runs f on the loop and returns its result.
+func callLoop[T any](ctx context.Context, t *term, f func() T) (T, error) {
 	var none T
 	got := make(chan T, 1)
 	select {
@@ -169,34 +170,34 @@
 	}
 }
 
-// valid reports whether this process still owns the zone in this term's epoch, just now.
-func (t *term) valid() bool {
+// ownsZone reports whether this process currently owns the zone in this term's epoch.
+func (t *term) ownsZone() bool {
 	epoch, _, ok := t.o.Owns()
 	return ok && epoch == t.epoch
 }
 
-// close ends the term; with orderly set it first commits what is under way and says that it closed.
-func (t *term) close(ctx context.Context, orderly bool) {
+// close ends the term. If graceful is set, it first waits for sends in progress and commits pending records.
+func (t *term) close(ctx context.Context, graceful bool) {
 	first := false
 	t.once.Do(func() { first = true })
 	if !first {
 		<-t.closed
 		return
 	}
-	if orderly {
-		t.closeOrderly(ctx)
+	if graceful {
+		t.closeGracefully(ctx)
 	}
 	close(t.closing)
-	cutoff, cancel := context.WithTimeout(ctx, closeWithin)
+	cutoff, cancel := context.WithTimeout(ctx, closeTimeout)
 	defer cancel()
 	_ = t.journal.Close(cutoff)
 	t.wg.Wait()
 	close(t.closed)
 }
 
-// closeOrderly stops placing, waits for sends under way, and commits what was appended.
-func (t *term) closeOrderly(ctx context.Context) {
-	links, err := ask(ctx, t, func() []*link {
+// closeGracefully stops placement, waits for sends in progress, and commits all appended records.
+func (t *term) closeGracefully(ctx context.Context) {
+	links, err := callLoop(ctx, t, func() []*link {
 		t.draining = true
 		out := make([]*link, 0, len(t.links))
 		for _, l := range t.links {
@@ -211,6 +212,6 @@
 		l.close()
 	}
 	if err := t.journal.Flush(ctx); err != nil {
-		t.o.Logger.Warn("scheduler: close without a full flush", zap.Error(err))
+		t.o.Logger.Warn("scheduler: journal was not flushed completely at close", zap.Error(err))
 	}
 }
