--- a/owner/claim.go
+++ b/owner/claim.go
@@ -10,9 +10,9 @@
 	"turmericgap/store"
 )
 
-// claim takes the cell whenever nobody owns it.
-func (g *Group) claim() {
-	again := time.NewTicker(claimAgain)
+// claimLoop claims the cell whenever it has no owner.
+func (g *Group) claimLoop() {
+	again := time.NewTicker(claimInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -21,74 +21,74 @@
 		case <-g.wake:
 		case <-again.C:
 		}
-		g.tidy()
-		g.yield()
-		g.relieve()
+		g.reconcileKey()
+		g.yieldToStronger()
+		g.handOverIfImpaired()
 		if g.vacant() {
-			g.pause(time.Duration(g.rank()) * claimStagger)
+			g.pause(time.Duration(g.claimRank()) * claimStagger)
 		}
 		if g.vacant() && g.ctx.Err() == nil {
-			g.try(0)
+			g.tryClaim(0)
 		}
 	}
 }
 
-// yield gives the cell up to a much stronger VM that has been there for a while. At the start of a cell
-// the first VM to come owns it, and after a loss of the strong ones a weak one does.
-func (g *Group) yield() {
+// yieldToStronger gives up the cell if a much stronger VM has been alive for yieldAfter. A weak VM can own the cell
+// because the first VM to join a new cell owns it, or because all strong VMs were lost.
+func (g *Group) yieldToStronger() {
 	g.mu.Lock()
 	t, stronger := g.tenure, ""
 	for _, n := range g.nodes {
-		if n.Strength*strengthShare > g.self.Strength*(strengthShare+1) {
+		if n.Strength*strengthMarginDivisor > g.self.Strength*(strengthMarginDivisor+1) {
 			stronger = n.ID
 		}
 	}
 	if t == nil || stronger == "" {
-		g.outdone = time.Time{}
+		g.strongerSince = time.Time{}
 		g.mu.Unlock()
 		return
 	}
-	if g.outdone.IsZero() {
-		g.outdone = time.Now()
+	if g.strongerSince.IsZero() {
+		g.strongerSince = time.Now()
 	}
-	due := time.Since(g.outdone) > yieldAfter
+	due := time.Since(g.strongerSince) > yieldAfter
 	g.mu.Unlock()
 	if due {
 		g.endTenure("a stronger VM is there: " + stronger)
 	}
 }
 
-// tidy settles a key that names this VM while no tenure runs here. Without it a claim that the store
-// carried out late, or a key whose removal failed, would keep the cell without an owner for as long as
-// this VM renews its lease; and after a restart the cell would wait for the lease of the dead process.
-func (g *Group) tidy() {
+// reconcileKey handles an owner key that names this VM while no tenure runs here. Without it, a claim that the
+// store carried out late, or a key whose removal failed, would leave the cell without an owner for as long as this
+// VM renews its lease. After a restart, the cell would wait until the dead process's lease expires.
+func (g *Group) reconcileKey() {
 	g.mu.Lock()
-	p, as, idle, lost, leaving := g.owner, g.ownerAs, g.tenure == nil, g.lost, g.leaving
+	p, as, idle, lost, leaving := g.ownerPair, g.ownerNode, g.tenure == nil, g.lostRevision, g.leaving
 	g.mu.Unlock()
 	switch {
 	case p == nil || !idle || as.ID != g.self.ID:
 	case p.Lease != g.holder.ID():
 		if !leaving && g.holder.Valid() {
-			g.replace(p)
+			g.replaceStaleKey(p)
 		}
 	case p.ModRevision > lost && !leaving:
-		g.begin(p.ModRevision)
+		g.beginTenure(p.ModRevision)
 	default:
-		g.release(&Tenure{Key: ownerKey, Revision: p.ModRevision})
+		g.releaseKey(&Tenure{Key: ownerKey, Revision: p.ModRevision})
 	}
 }
 
-// replace takes the key over from an earlier process of this VM. The revision of the change is the new
-// fencing token, so that whatever the earlier process had under way is refused.
-func (g *Group) replace(p *store.Pair) {
+// replaceStaleKey takes over the key of an earlier process of this VM. The revision of the change is the new
+// fencing token, so that pending commits of the earlier process are refused.
+func (g *Group) replaceStaleKey(p *store.Pair) {
 	g.log.Info("owner: taking over from an earlier process of this VM", zap.Int64("fence", p.ModRevision))
-	g.try(p.ModRevision)
+	g.tryClaim(p.ModRevision)
 }
 
 func (g *Group) vacant() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.listed && g.owner == nil && g.tenure == nil && !g.leaving && g.holder.Valid()
+	return g.synced && g.ownerPair == nil && g.tenure == nil && !g.leaving && g.holder.Valid()
 }
 
 // mayClaim reports whether this VM may take the cell from another owner.
@@ -98,27 +98,27 @@
 	return g.tenure == nil && !g.leaving && g.holder.Valid()
 }
 
-// rank counts the nodes that go before this one: stronger ones, and of equal strength those of lower
-// ID. A weak VM that owned a large cell could not keep up with its workers, and no work would start.
-func (g *Group) rank() int {
+// claimRank returns the number of nodes that may claim before this one: stronger nodes, and equally strong nodes
+// with a lower ID. A weak VM that owned a large cell could not keep up with its workers, and no work would start.
+func (g *Group) claimRank() int {
 	rank := 0
 	for _, n := range g.Nodes() {
-		if n.before(&g.self) {
+		if n.precedes(&g.self) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// try writes the owner's key, whose last change must be the given one, zero for none. An answer that is lost is no failure: the watch then shows the key
-// as ours, and the tenure begins with what the store says of it.
-func (g *Group) try(last int64) (taken bool) {
+// tryClaim writes the owner key if its last change is the given revision (zero if the key must not exist). If the
+// response is lost, the tenure begins once the store confirms that the key is bound to this VM's lease.
+func (g *Group) tryClaim(last int64) (taken bool) {
 	raw, err := msgpack.Marshal(&g.self)
 	if err != nil {
-		g.log.Error("owner: entry cannot be encoded", zap.Error(err))
+		g.log.Error("owner: cannot encode the entry of this VM", zap.Error(err))
 		return false
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, callWithin)
+	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
 	defer cancel()
 	leaseID := g.holder.ID()
 	res, err := g.store.Txn(ctx, store.Txn{
@@ -126,32 +126,32 @@
 		Then:     []store.Op{{Key: ownerKey, Value: raw, Lease: leaseID}},
 	})
 	if err != nil {
-		g.log.Warn("owner: claim without an answer", zap.Error(err))
-		g.settle(ctx, leaseID)
+		g.log.Warn("owner: claim got no response from the store", zap.Error(err))
+		g.confirmClaim(ctx, leaseID)
 		return false
 	}
 	if res.Succeeded {
-		g.begin(res.Revision)
+		g.beginTenure(res.Revision)
 	}
 	return res.Succeeded
 }
 
-// settle reads the owner's key after a claim whose answer was lost. A key under this VM's present
-// lease is a claim of this process that went through.
-func (g *Group) settle(ctx context.Context, leaseID int64) {
+// confirmClaim reads the owner key after a claim whose response was lost. If the key is bound to this VM's current
+// lease, the claim of this process succeeded.
+func (g *Group) confirmClaim(ctx context.Context, leaseID int64) {
 	res, err := g.store.Range(ctx, store.Range{Key: ownerKey})
 	if err != nil || len(res.Pairs) == 0 {
 		return
 	}
 	if p := res.Pairs[0]; p.Lease == leaseID {
-		g.begin(p.ModRevision)
+		g.beginTenure(p.ModRevision)
 	}
 }
 
-// begin starts a tenure.
-func (g *Group) begin(revision int64) {
+// beginTenure starts a tenure and runs the lead function in it.
+func (g *Group) beginTenure(revision int64) {
 	g.mu.Lock()
-	if g.tenure != nil || g.leaving || revision <= g.lost {
+	if g.tenure != nil || g.leaving || revision <= g.lostRevision {
 		g.mu.Unlock()
 		return
 	}
@@ -161,7 +161,7 @@
 		ReportLost: func() { go g.endTenure("reported lost") },
 	}
 	done := make(chan struct{})
-	g.tenure, g.tenureSince, g.endTerm, g.termDone = t, time.Now(), cancel, done
+	g.tenure, g.tenureSince, g.cancelTenure, g.tenureDone = t, time.Now(), cancel, done
 	g.mu.Unlock()
 	g.log.Info("owner: this VM owns the cell", zap.Int64("fence", revision))
 	g.wg.Go(func() {
@@ -170,21 +170,22 @@
 	})
 }
 
-// endTenure ends the tenure, waits for what runs in it, and gives up the key.
-func (g *Group) endTenure(why string) {
+// endTenure ends the tenure, waits until its lead function has returned, and removes the key.
+func (g *Group) endTenure(reason string) {
 	g.mu.Lock()
 	t := g.tenure
 	g.mu.Unlock()
-	if t != nil && g.stopTenure(t, why) {
-		g.release(t)
-		g.poke()
+	if t != nil && g.stopTenure(t, reason) {
+		g.releaseKey(t)
+		g.wakeClaim()
 	}
 }
 
-// stopTenure ends a tenure and waits for what runs in it; false means that it had ended before.
-func (g *Group) stopTenure(t *Tenure, why string) bool {
+// stopTenure ends a tenure and waits until its lead function has returned. It returns false if the tenure had
+// already ended.
+func (g *Group) stopTenure(t *Tenure, reason string) bool {
 	g.mu.Lock()
-	current, cancel, done := g.tenure == t, g.endTerm, g.termDone
+	current, cancel, done := g.tenure == t, g.cancelTenure, g.tenureDone
 	g.mu.Unlock()
 	if !current {
 		return false
@@ -196,21 +197,21 @@
 		g.mu.Unlock()
 		return false
 	}
-	g.tenure, g.lost = nil, max(g.lost, t.Revision)
+	g.tenure, g.lostRevision = nil, max(g.lostRevision, t.Revision)
 	g.mu.Unlock()
-	g.log.Info("owner: this VM no longer owns the cell", zap.Int64("fence", t.Fence), zap.String("reason", why))
+	g.log.Info("owner: this VM no longer owns the cell", zap.Int64("fence", t.Fence), zap.String("reason", reason))
 	return true
 }
 
-// release removes the key so that another VM need not wait for the lease to lapse.
-func (g *Group) release(t *Tenure) {
-	ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+// releaseKey removes the key, so that other VMs need not wait for the lease to expire.
+func (g *Group) releaseKey(t *Tenure) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	_, err := g.store.Txn(ctx, store.Txn{
 		Compares: []store.Compare{t.Compare()},
 		Then:     []store.Op{{Delete: true, Key: ownerKey}},
 	})
 	if err != nil {
-		g.log.Warn("owner: the key lapses with its lease", zap.Error(err))
+		g.log.Warn("owner: owner key not removed; it expires with its lease", zap.Error(err))
 	}
 }
--- a/owner/doc.go
+++ b/owner/doc.go
@@ -1,6 +1,6 @@
-// Package owner tells which entry VMs are alive and which one of them owns the cell.
+// Package owner tracks which entry VMs are alive and elects the one that owns the cell.
 //
-// Each VM keeps one lease at the platform's store. Its entry among the nodes, and the owner's key
-// where it has that, are bound to this lease. The revision at which the owner's key was written is
-// the fencing token of that tenure, and every commit of the owner compares it.
+// Each VM holds one lease at the platform's store. Its node entry, and the owner key if it has it, are bound to
+// this lease. The revision at which the owner key was written is the fencing token of the tenure; every commit of
+// the owner compares it.
 package owner
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -13,74 +13,75 @@
 )
 
 const (
-	// strainMost is how long the store may give this owner no answers, or its work may lag, before it looks
-	// for a VM that does better: above a single slow answer, and well below the lease.
-	strainMost = 250 * time.Millisecond
-	// strainAgain is the pause after a search that found none.
-	strainAgain = time.Second
-	// takeWithin bounds the take-over by another VM: a ping and an answer of a slow store.
-	takeWithin = 500 * time.Millisecond
-	// paceEvery is the pause between two measurements of this VM's pace, paceWindow how many of them count.
-	paceEvery  = 500 * time.Millisecond
-	paceWindow = 3
-	// paceBytes is the piece of work that is timed, some tens of microseconds.
-	paceBytes = 256 << 10
-	// paceShare says how much faster another VM must be, in one part of so many.
-	paceShare = 2
-	// keepLeast is how long a VM owns the cell at least before it hands it over for slowness. A new owner lags at
-	// first, with all workers to meet.
-	keepLeast = 3 * time.Second
+	// impairedFor is how long the store may not answer, or this owner's work may lag, before the owner looks for a
+	// better VM: longer than a single slow response, and well below the lease.
+	impairedFor = 250 * time.Millisecond
+	// searchInterval is the pause after a search that found no better VM.
+	searchInterval = time.Second
+	// takeTimeout bounds the take-over by another VM: a ping and a slow response of the store.
+	takeTimeout = 500 * time.Millisecond
+	// probeInterval is the pause between two CPU probes of this VM, probeWindow the number of probes that count.
+	probeInterval = 500 * time.Millisecond
+	probeWindow   = 3
+	// probeBytes is the amount of data that a probe checksums, which takes some tens of microseconds.
+	probeBytes = 256 << 10
+	// minSpeedup is how many times faster another VM must be to get the cell.
+	minSpeedup = 2
+	// minTenure is how long a VM owns the cell before it may hand it over for slowness. A new owner lags at first,
+	// because it has to contact all workers.
+	minTenure = 3 * time.Second
 )
 
-// paces are the latest measurements of a VM's pace.
-type paces struct {
-	took [paceWindow]time.Duration
-	next int
+// probeTimes are the durations of the latest CPU probes of a VM.
+type probeTimes struct {
+	times [probeWindow]time.Duration
+	next  int
 }
 
-func (p *paces) add(took time.Duration) {
-	p.took[p.next] = took
-	p.next = (p.next + 1) % paceWindow
+func (p *probeTimes) add(took time.Duration) {
+	p.times[p.next] = took
+	p.next = (p.next + 1) % probeWindow
 }
 
-// least is the pace of the VM itself: what else runs there makes a measurement longer, and never shorter. Zero is
-// not measured yet.
-func (p *paces) least() time.Duration {
-	least := p.took[0]
-	for _, took := range p.took {
+// fastest returns the shortest duration, which measures the VM itself: other load only makes a probe longer. Zero
+// means not measured yet.
+func (p *probeTimes) fastest() time.Duration {
+	fastest := p.times[0]
+	for _, took := range p.times {
 		if took > 0 {
-			least = min(least, took)
+			fastest = min(fastest, took)
 		}
 	}
-	return least
+	return fastest
 }
 
-// takePace measures how fast this VM works. A VM whose processor has turned slow answers pings and keeps its
-// lease, but cannot keep up with the cell's work.
-func (g *Group) takePace() {
-	if time.Since(g.pacedAt) < paceEvery {
+// probeCPU measures the speed of this VM. A VM whose CPU has become slow still answers pings and keeps its lease,
+// but cannot keep up with the cell's work.
+func (g *Group) probeCPU() {
+	if time.Since(g.probedAt) < probeInterval {
 		return
 	}
-	g.pacedAt = time.Now()
-	took := g.measure()
+	g.probedAt = time.Now()
+	took := g.cpuProbe()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.paces.add(took)
+	g.probeTimes.add(took)
 }
 
-// timeWork returns what times a fixed piece of work.
-func timeWork() func() time.Duration {
-	work := make([]byte, paceBytes)
+// newCPUProbe returns a function that times a fixed amount of CPU work.
+func newCPUProbe() func() time.Duration {
+	work := make([]byte, probeBytes)
 	return func() time.Duration {
-		begun := time.Now()
+		start := time.Now()
 		crc32.ChecksumIEEE(work)
-		return time.Since(begun)
+		return time.Since(start)
 	}
 }
 
-// strained tells why this owner should hand the cell over, if another VM does better.
-func (g *Group) strained() (why string, slow bool) {
-	if since, failing := g.failing(); failing && time.Since(since) > strainMost {
+// handoverReason returns why this owner should hand the cell over to a better VM, or the empty string. It sets slow
+// if the reason is that this VM is too slow.
+func (g *Group) handoverReason() (reason string, slow bool) {
+	if since, failing := g.storeFailing(); failing && time.Since(since) > impairedFor {
 		return "the store does not answer this VM", false
 	}
 	if g.overloaded() {
@@ -89,65 +90,69 @@
 	return "", false
 }
 
-// relieve hands the cell over while this owner is alive but the store declines it, or it has turned slow. The
-// lease alone would keep the cell standing until it lapses in the first case, and for good in the second.
+// handOverIfImpaired hands the cell over if this owner is alive but the store does not answer it, or it has become
+// slow. With the lease alone, the cell would stand still until the lease expires in the first case, and permanently
+// in the second.
 //
-// A VM that lags because the cell's work is too much for any of its kind keeps the cell: each change of the owner
-// costs the new one all that the old one has learned, and it lags the more.
-func (g *Group) relieve() {
-	why, slow := g.strained()
+// A VM that lags because the cell's work is too much for any VM of its kind keeps the cell: a new owner would lose
+// what this one has learned, and lag even more.
+func (g *Group) handOverIfImpaired() {
+	reason, slow := g.handoverReason()
 	g.mu.Lock()
 	t, since := g.tenure, g.tenureSince
 	g.mu.Unlock()
-	if why == "" || t == nil || time.Since(g.searched) < strainAgain || slow && time.Since(since) < keepLeast {
+	if reason == "" || t == nil || time.Since(g.searchedAt) < searchInterval || slow && time.Since(since) < minTenure {
 		return
 	}
-	g.searched = time.Now()
-	peers := g.better(slow)
+	g.searchedAt = time.Now()
+	peers := g.handoverCandidates(slow)
 	if len(peers) == 0 {
 		return
 	}
-	if !g.stopTenure(t, why) {
+	if !g.stopTenure(t, reason) {
 		return
 	}
 	for _, n := range peers {
-		if g.handTo(n, t) {
+		if g.handOverTo(n, t) {
 			return
 		}
 	}
-	g.release(t)
+	g.releaseKey(t)
 }
 
-// better gives the VMs that the store serves, and that are faster where this is for slowness, best first.
-func (g *Group) better(faster bool) []Node {
-	type found struct {
-		node Node
-		pace time.Duration
+// handoverCandidates returns the VMs that the store answers, fastest first. If faster is set, it returns only VMs
+// that are faster than this one by minSpeedup.
+func (g *Group) handoverCandidates(faster bool) []Node {
+	type candidate struct {
+		node      Node
+		probeTime time.Duration
 	}
-	others := voters(slices.DeleteFunc(slices.Clone(g.Nodes()), func(n Node) bool { return n.Strength < g.self.Strength }), g.self.ID)
-	replies := make(chan *found, len(others))
+	others := selectVoters(slices.DeleteFunc(slices.Clone(g.Nodes()), func(n Node) bool {
+		return n.Strength < g.self.Strength
+	}), g.self.ID)
+	replies := make(chan *candidate, len(others))
 	for _, n := range others {
 		go func() {
 			client := g.client(n.Address)
 			defer client.Close()
-			p, err := ping(g.ctx, client, pingWithin)
-			if err != nil || !p.Served {
+			p, err := ping(g.ctx, client, pingTimeout)
+			if err != nil || !p.StoreAnswers {
 				replies <- nil
 				return
 			}
-			replies <- &found{n, p.Pace}
+			replies <- &candidate{n, p.ProbeTime}
 		}()
 	}
 	g.mu.Lock()
-	own := g.paces.least()
+	own := g.probeTimes.fastest()
 	g.mu.Unlock()
-	var list []found
+	var list []candidate
 	for range others {
-		if f := <-replies; f != nil && (!faster || f.pace*paceShare < own) {
+		if f := <-replies; f != nil && (!faster || f.probeTime*minSpeedup < own) {
 			list = append(list, *f)
 		}
 	}
-	slices.SortFunc(list, func(a, b found) int { return cmp.Compare(a.pace, b.pace) })
+	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(a.probeTime, b.probeTime) })
 	nodes := make([]Node, len(list))
 	for i := range list {
 		nodes[i] = list[i].node
@@ -155,9 +160,9 @@
 	return nodes
 }
 
-// handTo lets a VM take the cell.
-func (g *Group) handTo(n Node, t *Tenure) bool {
-	ctx, cancel := context.WithTimeout(g.ctx, takeWithin)
+// handOverTo asks a VM to take the cell and reports whether it did.
+func (g *Group) handOverTo(n Node, t *Tenure) bool {
+	ctx, cancel := context.WithTimeout(g.ctx, takeTimeout)
 	defer cancel()
 	client := g.client(n.Address)
 	defer client.Close()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -18,39 +18,37 @@
 	"turmericgap/store/retry"
 )
 
-// Keys of the group.
+// Keys in the store.
 const (
 	root       = "turmericgap/cell/"
 	ownerKey   = root + "owner"
 	nodePrefix = root + "node/"
 )
 
-// RulesKey is the key of the operators' rules, which lies beside the group's own so that one watch tells
-// of all.
+// RulesKey is the key of the operators' rules. It is next to the group's own keys, so that one watch covers all of
+// them.
 const RulesKey = root + "rules"
 
 // Defaults.
 const (
-	// DefaultTTL is how long a dead owner keeps the cell from being taken over; the store grants no
-	// lease below one second.
+	// DefaultTTL is how long a dead owner blocks a take-over. The store grants no lease below one second.
 	DefaultTTL = 1200 * time.Millisecond
-	// DefaultRenew makes four renewals in a TTL.
+	// DefaultRenew is a quarter of DefaultTTL.
 	DefaultRenew = 300 * time.Millisecond
-	// DefaultDrift covers a clock that runs a fiftieth slower than the store's, and the granularity
-	// of timers.
+	// DefaultDrift allows for a clock that runs 2% slower than the store's, and for timer granularity.
 	DefaultDrift = 100 * time.Millisecond
-	// claimStagger separates the claims of VMs that see the owner vanish at the same time; it is
-	// several times the store's usual answer, so that mostly one transaction is sent.
+	// claimStagger separates the claims of VMs that see the owner vanish at the same time. It is several times the
+	// store's usual response time, so that usually only one transaction is sent.
 	claimStagger = 25 * time.Millisecond
-	// claimAgain is the pause after a claim without a definite answer.
-	claimAgain = 200 * time.Millisecond
-	// yieldAfter is how long a much stronger VM must have been there before it gets the cell, so that
-	// one that comes and goes does not disturb it.
+	// claimInterval is the period of the claim loop, and so the pause after a claim without a definite result.
+	claimInterval = 200 * time.Millisecond
+	// yieldAfter is how long a much stronger VM must have been alive before it gets the cell, so that a VM that
+	// joins and leaves repeatedly does not disturb the cell.
 	yieldAfter = 2 * time.Second
-	// strengthShare says what much stronger means: by more than one part in so many.
-	strengthShare = 2
-	// callWithin bounds one call; the store's slowest answers stay below it.
-	callWithin = time.Second
+	// strengthMarginDivisor defines much stronger: by more than 1/strengthMarginDivisor.
+	strengthMarginDivisor = 2
+	// callTimeout bounds one call. It is longer than the store's slowest responses.
+	callTimeout = time.Second
 )
 
 // Node is a live entry VM.
@@ -58,82 +56,82 @@
 	ID      string `msgpack:"i"`
 	Zone    string `msgpack:"z"`
 	Address string `msgpack:"a"`
-	// Strength orders the VMs that may own the cell; the strongest that is alive takes it.
+	// Strength ranks the VMs that may own the cell. The strongest live VM claims it first.
 	Strength int `msgpack:"s"`
 }
 
-// Tenure is one time of owning the cell.
+// Tenure is one period of ownership of the cell.
 type Tenure struct {
-	// Fence rises with each tenure of the cell.
+	// Fence is the fencing token. It increases with each tenure of the cell.
 	Fence int64
-	// Key holds at Revision as long as the tenure lasts; commits compare it.
+	// Key has Revision as its last change while the tenure lasts; commits compare it.
 	Key      string
 	Revision int64
-	// Confirmed reports whether the store surely kept the tenure until no longer ago than grace.
+	// Confirmed reports whether the store is known to have kept the tenure until at most grace ago.
 	Confirmed func(grace time.Duration) bool
-	// ReportLost reports that the tenure has ended, as a commit or a worker has told.
+	// ReportLost reports that the tenure has ended, as learned from a commit or a worker.
 	ReportLost func()
 }
 
-// Compare gives the condition that holds while the tenure lasts.
+// Compare returns the transaction condition that holds while the tenure lasts.
 func (t *Tenure) Compare() store.Compare {
 	return store.Compare{Key: t.Key, Target: store.ModRevision, Revision: t.Revision}
 }
 
-// Group follows the nodes and the owner, and owns the cell when its turn comes.
+// Group tracks the nodes and the owner, and claims the cell when it is the turn of this VM.
 type Group struct {
-	store *store.Store
-	self  Node
-	log   *zap.Logger
-	lead  func(ctx context.Context, t *Tenure)
-	rules func(raw []byte)
-	ttl   time.Duration
-	renew time.Duration
-	// client opens a connection of its own to another VM.
+	store   *store.Store
+	self    Node
+	log     *zap.Logger
+	lead    func(ctx context.Context, t *Tenure)
+	onRules func(raw []byte)
+	ttl     time.Duration
+	renew   time.Duration
+	// client opens a separate connection to another VM.
 	client func(address string) *rpc.Client
-	// failing tells since when the store gives this VM no answers, overloaded that its work lags.
-	failing    func() (since time.Time, failing bool)
-	overloaded func() bool
-	// measure times a piece of work to see how fast this VM works, pacedAt says when last; searched is when
-	// another VM was last looked for. Each belongs to one goroutine.
-	measure  func() time.Duration
-	pacedAt  time.Time
-	searched time.Time
+	// storeFailing reports since when the store does not answer this VM, overloaded that this VM's work lags.
+	storeFailing func() (since time.Time, failing bool)
+	overloaded   func() bool
+	// cpuProbe measures the speed of this VM, probedAt is when it last ran, and searchedAt is when this owner last
+	// looked for a better VM. Each field belongs to one goroutine.
+	cpuProbe   func() time.Duration
+	probedAt   time.Time
+	searchedAt time.Time
 
 	holder *lease.Holder
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// wake is sent to when anything that a claim depends on has changed.
+	// wake signals that something a claim depends on has changed.
 	wake chan struct{}
 
-	mu      sync.Mutex
-	nodes   map[string]Node
-	byID    []Node // the nodes in order; nil when they have changed
-	owner   *store.Pair
-	ownerAs Node
-	listed  bool
-	leaving bool
-	outdone time.Time // since when the owner here is outdone by a much stronger VM
-	lost    int64     // the revision of an owner's key that was reported lost
-	paces   paces
-	tenure  *Tenure
+	mu            sync.Mutex
+	nodes         map[string]Node
+	sortedNodes   []Node // nodes sorted by ID; nil after a change
+	ownerPair     *store.Pair
+	ownerNode     Node
+	synced        bool
+	leaving       bool
+	strongerSince time.Time // since when a much stronger VM is alive, while this VM is the owner
+	lostRevision  int64     // the latest revision of the owner key whose tenure here has ended
+	probeTimes    probeTimes
+	tenure        *Tenure
 	// tenureSince is when the tenure began.
-	tenureSince time.Time
-	endTerm     context.CancelFunc
-	termDone    chan struct{}
+	tenureSince  time.Time
+	cancelTenure context.CancelFunc
+	tenureDone   chan struct{}
 }
 
-// New returns a group that joins when it is started.
+// New returns a group. It joins the cell when Start is called.
 func New(kv *store.Store, self Node, opts ...Option) *Group {
 	g := &Group{
 		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renew: DefaultRenew,
-		lead:    func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
-		rules:   func([]byte) {},
-		client:  func(address string) *rpc.Client { return rpc.NewClient(address) },
-		failing: func() (time.Time, bool) { return time.Time{}, false }, overloaded: func() bool { return false },
-		measure: timeWork(),
-		nodes:   make(map[string]Node), wake: make(chan struct{}, 1),
+		lead:         func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
+		onRules:      func([]byte) {},
+		client:       func(address string) *rpc.Client { return rpc.NewClient(address) },
+		storeFailing: func() (time.Time, bool) { return time.Time{}, false }, overloaded: func() bool { return false },
+		cpuProbe: newCPUProbe(),
+		nodes:    make(map[string]Node), wake: make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(g)
@@ -142,44 +140,44 @@
 	return g
 }
 
-// Start joins the group.
+// Start joins the cell and starts the background goroutines.
 func (g *Group) Start() {
 	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.Renew(g.renew), lease.Overlap(), lease.Drift(DefaultDrift), lease.Logger(g.log),
 		lease.Lost(func(id int64) {
-			g.log.Warn("owner: the store says that the lease is gone", zap.Int64("lease", id))
+			g.log.Warn("owner: the lease has expired at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
 		}))
-	g.wg.Go(g.follow)
-	g.wg.Go(g.claim)
-	g.wg.Go(g.enter)
-	g.wg.Go(g.succeed)
+	g.wg.Go(g.watch)
+	g.wg.Go(g.claimLoop)
+	g.wg.Go(g.registerLoop)
+	g.wg.Go(g.takeoverLoop)
 }
 
-// Self gives this VM's entry.
+// Self returns this VM's node.
 func (g *Group) Self() Node { return g.self }
 
-// Owner gives the last known owner of the cell and its fencing token.
+// Owner returns the last known owner of the cell and its fencing token.
 func (g *Group) Owner() (node Node, fence int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.owner == nil {
+	if g.ownerPair == nil {
 		return Node{}, 0, false
 	}
-	return g.ownerAs, g.owner.ModRevision, true
+	return g.ownerNode, g.ownerPair.ModRevision, true
 }
 
-// Nodes gives the live entry VMs by ID, the same list until they change; it is not to be written to.
+// Nodes returns the live entry VMs sorted by ID. The list is shared and must not be modified.
 func (g *Group) Nodes() []Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.byID == nil {
-		g.byID = slices.SortedFunc(maps.Values(g.nodes), func(a, b Node) int { return strings.Compare(a.ID, b.ID) })
+	if g.sortedNodes == nil {
+		g.sortedNodes = slices.SortedFunc(maps.Values(g.nodes), func(a, b Node) int { return strings.Compare(a.ID, b.ID) })
 	}
-	return g.byID
+	return g.sortedNodes
 }
 
-// Resign ends the tenure in order and takes this VM out of the list, so that another one takes over at
-// once; the group goes on telling who owns the cell.
+// Resign ends the tenure gracefully and removes the entry of this VM, so that another VM takes over at once. The
+// group continues to track the owner of the cell.
 func (g *Group) Resign(ctx context.Context) {
 	g.mu.Lock()
 	g.leaving = true
@@ -187,11 +185,11 @@
 	g.endTenure("leaving")
 	_, err := g.store.Txn(ctx, store.Txn{Then: []store.Op{{Delete: true, Key: nodePrefix + g.self.ID}}})
 	if err != nil {
-		g.log.Warn("owner: the entry lapses with its lease", zap.Error(err))
+		g.log.Warn("owner: entry of this VM not removed; it expires with its lease", zap.Error(err))
 	}
 }
 
-// Leave resigns, ends the lease and stops.
+// Leave resigns, ends the lease and stops the group.
 func (g *Group) Leave(ctx context.Context) error {
 	g.Resign(ctx)
 	g.cancel()
@@ -199,7 +197,7 @@
 	return g.holder.Close(ctx)
 }
 
-// Kill stops at once and leaves lease and keys to lapse, as the death of the process would.
+// Kill stops at once and lets the lease and the keys expire, like a crash of the process.
 func (g *Group) Kill() {
 	g.endTenure("killed")
 	g.cancel()
@@ -209,8 +207,8 @@
 	_ = g.holder.Close(ctx)
 }
 
-// enter keeps this VM's entry among the nodes, also after its lease was lost.
-func (g *Group) enter() {
+// registerLoop keeps this VM's node entry in the store, also after the lease was lost.
+func (g *Group) registerLoop() {
 	b := retry.New()
 	var entered int64
 	for g.ctx.Err() == nil {
@@ -218,37 +216,38 @@
 		if err != nil {
 			return
 		}
-		if id == entered && g.present() {
+		if id == entered && g.registered() {
 			b.Reset()
 			g.pause(g.renew)
 			continue
 		}
-		if err := g.putEntry(id); err != nil {
+		if err := g.writeEntry(id); err != nil {
 			g.log.Warn("owner: cannot write the entry of this VM", zap.Error(err))
 			g.pause(b.Next())
 			continue
 		}
 		entered = id
-		// The entry's own event may still be under way; what is missing after this was taken away.
+		// The watch may not have delivered the entry's event yet. If the entry is missing after this pause, it was
+		// removed.
 		g.pause(g.renew)
 	}
 }
 
-// present reports whether the entry is there as far as the watch has told. Keys may be taken away
-// without any answer that shows it; the VM would then get no work from the others.
-func (g *Group) present() bool {
+// registered reports whether the watch shows this VM's entry. Keys can be removed without any response that shows
+// it, and the other VMs would then give this VM no work.
+func (g *Group) registered() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, ok := g.nodes[g.self.ID]
-	return ok || !g.listed || g.leaving
+	return ok || !g.synced || g.leaving
 }
 
-func (g *Group) putEntry(leaseID int64) error {
+func (g *Group) writeEntry(leaseID int64) error {
 	raw, err := msgpack.Marshal(&g.self)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, callWithin)
+	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
 	defer cancel()
 	_, err = g.store.Txn(ctx, store.Txn{Then: []store.Op{{Key: nodePrefix + g.self.ID, Value: raw, Lease: leaseID}}})
 	return err
@@ -263,9 +262,9 @@
 	}
 }
 
-// follow keeps nodes and owner as the store tells them.
-func (g *Group) follow() {
-	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.apply, Logger: g.log}
+// watch keeps the nodes and the owner in sync with the store.
+func (g *Group) watch() {
+	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.applyEvents, Logger: g.log}
 	f.Run(g.ctx)
 }
 
@@ -276,46 +275,46 @@
 	}
 	g.mu.Lock()
 	clear(g.nodes)
-	g.byID = nil
-	g.owner, g.ownerAs, g.listed = nil, Node{}, true
+	g.sortedNodes = nil
+	g.ownerPair, g.ownerNode, g.synced = nil, Node{}, true
 	g.mu.Unlock()
-	g.apply(events, revision)
+	g.applyEvents(events, revision)
 }
 
-// apply takes over changes up to a revision of the store, and ends a tenure whose key has gone or
-// belongs to another. What the store told before the tenure's own key was written says nothing of it.
-func (g *Group) apply(events []store.Event, revision int64) {
+// applyEvents applies changes up to a revision of the store, and ends the tenure if its key is gone or belongs to
+// another VM. Events from before the tenure's key was written do not affect the tenure.
+func (g *Group) applyEvents(events []store.Event, revision int64) {
 	g.mu.Lock()
 	for i := range events {
-		g.applyOne(&events[i])
+		g.applyEvent(&events[i])
 	}
 	ended := g.tenure != nil && revision >= g.tenure.Revision &&
-		(g.owner == nil || g.owner.ModRevision != g.tenure.Revision)
+		(g.ownerPair == nil || g.ownerPair.ModRevision != g.tenure.Revision)
 	g.mu.Unlock()
 	if ended {
 		g.endTenure("the owner's key has changed")
 	}
-	g.poke()
+	g.wakeClaim()
 }
 
-func (g *Group) applyOne(e *store.Event) {
+func (g *Group) applyEvent(e *store.Event) {
 	key := e.Pair.Key
 	switch {
 	case key == ownerKey && e.Deleted:
-		g.owner, g.ownerAs = nil, Node{}
+		g.ownerPair, g.ownerNode = nil, Node{}
 	case key == ownerKey:
-		g.owner = &e.Pair
-		g.ownerAs = g.decode(e.Pair)
-		g.log.Info("owner: the cell is owned", zap.String("by", g.ownerAs.ID), zap.Int64("fence", e.Pair.ModRevision))
+		g.ownerPair = &e.Pair
+		g.ownerNode = g.decode(e.Pair)
+		g.log.Info("owner: the cell is owned", zap.String("by", g.ownerNode.ID), zap.Int64("fence", e.Pair.ModRevision))
 	case key == RulesKey && !e.Deleted:
-		g.rules(e.Pair.Value)
+		g.onRules(e.Pair.Value)
 	case strings.HasPrefix(key, nodePrefix) && e.Deleted:
 		delete(g.nodes, strings.TrimPrefix(key, nodePrefix))
-		g.byID = nil
+		g.sortedNodes = nil
 	case strings.HasPrefix(key, nodePrefix):
 		n := g.decode(e.Pair)
 		g.nodes[n.ID] = n
-		g.byID = nil
+		g.sortedNodes = nil
 	}
 }
 
@@ -327,7 +326,7 @@
 	return n
 }
 
-func (g *Group) poke() {
+func (g *Group) wakeClaim() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
