--- a/owner/handover.go
+++ b/owner/handover.go
@@ -127,9 +127,7 @@
 		node      Node
 		probeTime time.Duration
 	}
-	others := selectVoters(slices.DeleteFunc(slices.Clone(g.Nodes()), func(n Node) bool {
-		return n.Strength < g.self.Strength
-	}), g.self.ID)
+	others := selectVoters(slices.DeleteFunc(slices.Clone(g.Nodes()), func(n Node) bool { return n.Strength < g.self.Strength }), g.self.ID)
 	replies := make(chan *candidate, len(others))
 	for _, n := range others {
 		go func() {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -144,7 +144,7 @@
 func (g *Group) Start() {
 	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.Renew(g.renew), lease.Overlap(), lease.Drift(DefaultDrift), lease.Logger(g.log),
 		lease.Lost(func(id int64) {
-			g.log.Warn("owner: the lease has expired at the store", zap.Int64("lease", id))
+			g.log.Warn("owner: the lease no longer exists at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
 		}))
 	g.wg.Go(g.watch)
--- a/owner/takeover.go
+++ b/owner/takeover.go
@@ -208,9 +208,9 @@
 	return n.Strength > o.Strength || n.Strength == o.Strength && n.ID < o.ID
 }
 
-// selectVoters returns the VMs to ask, at most the same number per availability zone in a large cell, so that a
-// single zone that is cut off is never half of them. The VMs in without are left out: the subject of the question
-// and the VM that asks.
+// selectVoters returns the VMs to ask. In a large cell it returns at most votersPerZone VMs of each availability
+// zone, so that a single zone that is cut off is never half of them. The VMs in without are left out: the subject
+// of the question and the VM that asks.
 func selectVoters(nodes []Node, without ...string) []Node {
 	others := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return slices.Contains(without, n.ID) })
 	if len(others) <= maxVotersUnsampled {
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -229,10 +229,10 @@
 
 func (c *cell) recordOutcome(st *job.Status) {
 	c.mu.Lock()
-	told := c.reported[st.ID]
+	reported := c.reported[st.ID]
 	c.reported[st.ID] = true
 	c.mu.Unlock()
-	if told {
+	if reported {
 		return
 	}
 	whole := true
@@ -247,8 +247,8 @@
 	for _, n := range c.nodes {
 		n.sched.Kill()
 	}
-	for id, told := range c.reported {
-		if !told {
+	for id, reported := range c.reported {
+		if !reported {
 			c.checker.Record(history.Event{At: time.Now(), Kind: history.Live, Job: id})
 		}
 	}
--- a/scheduler/entry.go
+++ b/scheduler/entry.go
@@ -22,7 +22,7 @@
 	// durable is set when the job's record is committed. Until then the job is visible to no caller.
 	durable  bool
 	decision planner.Decision
-	// committed is closed when the record is durable, and nil afterwards.
+	// committed gets an error if the commit fails, and is closed when the record is durable; nil afterwards.
 	committed chan error
 	// ticket withdraws the record while it is queued.
 	ticket  record.Ticket
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -324,9 +324,9 @@
 	})
 }
 
-// Guards against a job that is stuck in, or run twice because of, a home zone that cannot run it. It is moved to a
-// zone that can, and so is a repeated submission of its key, also by a new owner and after the home zone has got a
-// suitable worker. A job that fits into no zone is refused without a retry time.
+// Guards against a job waiting forever in a home zone that can never run it, or running in two zones. The job is
+// moved to a zone that can run it, and so is a repeated submission of its key, also by a new owner and after the
+// home zone has got a suitable worker. A job that fits into no zone is refused without a retry time.
 func TestMovedToZoneThatFits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
