--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -121,15 +121,15 @@
 		return submitResult{fault: fault}
 	}
 	d := t.planner.Admit(now, &planner.Job{ID: id, Spec: spec, Accepted: now})
-	if d.Hopeless && spec.Zone == "" {
+	if d.Infeasible && spec.Zone == "" {
 		if zone := t.fittingZone(spec); zone != "" {
 			return t.move(id, zone, now)
 		}
-		d.Refused = "it fits into no zone of the cell, even if empty"
+		d.RefusalReason = "it fits into no zone of the cell, even if empty"
 	}
-	if d.Refused != "" {
+	if d.RefusalReason != "" {
 		t.recordRefusal(spec, d, now)
-		return submitResult{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.Refused)}
+		return submitResult{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.RefusalReason)}
 	}
 	e := newEntry(id, jobRecord{Spec: *spec, Accepted: now.UTC(), Parent: parent})
 	e.durable, e.decision = false, d
@@ -222,7 +222,7 @@
 func (t *term) onCancelled(e *entry, c cancelRecord, done chan struct{}) {
 	now := time.Now()
 	e.cancel, e.pendingCancel = &c, nil
-	t.planner.Drop(e.id)
+	t.planner.DropPending(e.id)
 	for i := range e.tasks {
 		t.cancelTask(e, i, now)
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -19,7 +19,7 @@
 		return
 	}
 	plan := t.planner.Next(now, maxStartsPerPlan)
-	t.preempt(plan.Preempts, now)
+	t.preempt(plan.Preemptions, now)
 	if len(plan.Starts) == 0 {
 		return
 	}
@@ -38,7 +38,7 @@
 	}
 	if !t.save(changes, func() { t.sendIntended(changes) }) {
 		for _, c := range changes {
-			t.planner.Release(now, c.e.id, c.task, planner.End{Requeue: true})
+			t.planner.Release(now, c.e.id, c.task, planner.AttemptResult{Requeue: true})
 		}
 	}
 	// One plan is limited, so more tasks may be ready; the next event or tick places them.
@@ -61,14 +61,14 @@
 }
 
 // preempt checkpoints and stops tasks to make room for more urgent ones.
-func (t *term) preempt(list []planner.Preempt, now time.Time) {
+func (t *term) preempt(list []planner.Preemption, now time.Time) {
 	for _, p := range list {
 		e := t.live[p.Job]
 		if e == nil || e.tasks[p.Task].Phase != intended || e.tasks[p.Task].stopReason != "" {
 			continue
 		}
 		t.o.Metrics.Counter("task.preempted").Inc(1)
-		t.checkpointAndStop(e, p.Task, "preempted for "+p.For, now)
+		t.checkpointAndStop(e, p.Task, "preempted for "+p.ForJob, now)
 	}
 }
 
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -56,7 +56,7 @@
 	if len(t.refusals) == maxRefusals {
 		t.refusals = slices.Delete(t.refusals, 0, 1)
 	}
-	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.Refused})
+	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.RefusalReason})
 }
 
 // State returns the operators' view of the zone. It fails if this process does not own the zone.
