--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// unsentMost is how long a new work waits unsent while the store does not answer, before its caller
+	// unsentTimeout is how long a new work waits unsent while the store does not answer, before its caller
 	// is told that it never runs. The answer of a store that is only slow comes within it.
-	unsentMost = 350 * time.Millisecond
-	// retryStore is when a caller may come again whose work the store could not take. Outages last some
+	unsentTimeout = 350 * time.Millisecond
+	// storeRetryAfter is when a caller may come again whose work the store could not take. Outages last some
 	// seconds: who comes each second is served within a second of the end.
-	retryStore = time.Second
+	storeRetryAfter = time.Second
 )
 
 // accept takes a new work and makes it durable together with what else is due; done is closed then, or
 // tells why the work was given up unsent. Whether the ID is new is certain only while the term knows all
 // work, also that which has ended.
 func (t *term) accept(w *job.Work) (taken bool, done chan error) {
-	if !t.endedRead {
+	if !t.endedLoaded {
 		return false, nil
 	}
 	done = make(chan error, 1)
@@ -34,22 +34,22 @@
 	}
 	e := t.entries[w.ID]
 	if e == nil {
-		if t.commits.stuck(time.Now()) {
+		if t.committer.isStuck(time.Now()) {
 			return false, nil
 		}
-		if since, failing := t.o.StoreFailing(); failing && time.Since(since) > unsentMost {
-			done <- errStoreFailing
+		if since, failing := t.o.StoreFailing(); failing && time.Since(since) > unsentTimeout {
+			done <- errStoreUnavailable
 			return true, done
 		}
-		if reason := t.hopeless(w); reason != "" {
+		if reason := t.unschedulableReason(w); reason != "" {
 			done <- rpc.Refused(0, "%s", reason)
 			return true, done
 		}
-		t.add(w)
+		t.addWork(w)
 		e = t.entries[w.ID]
-		e.unwritten = true
+		e.needsCreate = true
 		t.unsent = append(t.unsent, e)
-	} else if !e.unwritten && !e.writing {
+	} else if !e.needsCreate && !e.committing {
 		close(done)
 		return true, done
 	}
@@ -58,13 +58,13 @@
 	return true, done
 }
 
-// knowsWorkers is how long the list of workers must have been whole before an owner says that none can run a
+// workerListSettleTime is how long the list of workers must have been whole before an owner says that none can run a
 // work: a new owner's list may come late, and entries that lapsed in an outage are back two seconds after it.
-const knowsWorkers = 5 * time.Second
+const workerListSettleTime = 5 * time.Second
 
-// hopeless tells why a work can never start, empty if it can.
-func (t *term) hopeless(w *job.Work) string {
-	if _, failing := t.o.StoreFailing(); failing || time.Since(t.since) < knowsWorkers || time.Since(t.unlistedAt) < knowsWorkers {
+// unschedulableReason tells why a work can never start, empty if it can.
+func (t *term) unschedulableReason(w *job.Work) string {
+	if _, failing := t.o.StoreFailing(); failing || time.Since(t.startedAt) < workerListSettleTime || time.Since(t.unlistedAt) < workerListSettleTime {
 		return ""
 	}
 	return admission.Hopeless(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
@@ -76,39 +76,39 @@
 	})
 }
 
-// errStoreFailing tells a caller that its work was not sent to a store that does not answer.
-var errStoreFailing = rpc.Refused(retryStore, "the store does not answer the owner of the cell")
+// errStoreUnavailable tells a caller that its work was not sent to a store that does not answer.
+var errStoreUnavailable = rpc.Refused(storeRetryAfter, "the store does not answer the owner of the cell")
 
-// sendable reports whether an entry may be in a commit now.
-func (t *term) sendable(e *entry, now time.Time) bool {
-	return !e.writing && !e.joins(now) && !t.holdsBack(e)
+// canCommit reports whether an entry may be in a commit now.
+func (t *term) canCommit(e *entry, now time.Time) bool {
+	return !e.committing && !e.awaitsPermits(now) && !t.isHeldBack(e)
 }
 
-// holdsBack reports whether an entry must not be sent now. What is sent to a store that does not answer
+// isHeldBack reports whether an entry must not be sent now. What is sent to a store that does not answer
 // has an open outcome: its caller could neither be told that the work is accepted nor that it never runs,
 // and may not hand it in again. Changes of works that are known go on, since nobody waits to be told.
-func (t *term) holdsBack(e *entry) bool {
-	if !e.unwritten {
+func (t *term) isHeldBack(e *entry) bool {
+	if !e.needsCreate {
 		return false
 	}
 	_, failing := t.o.StoreFailing()
 	return failing
 }
 
-// joinMost is how long a new work waits for the permits of its first steps before it is made durable without
+// permitJoinTimeout is how long a new work waits for the permits of its first steps before it is made durable without
 // their starts. A short question takes about twenty milliseconds.
-const joinMost = 40 * time.Millisecond
+const permitJoinTimeout = 40 * time.Millisecond
 
-// joins reports whether a new work should wait, so that one commit makes it durable together with its first
+// awaitsPermits reports whether a new work should wait, so that one commit makes it durable together with its first
 // starts. A second commit for these must wait for the first: at a slow store a check would spend most of what it has
 // to spare before its start.
-func (e *entry) joins(now time.Time) bool {
-	if !e.unwritten || e.saving == nil || now.Sub(e.saving.since) >= joinMost {
+func (e *entry) awaitsPermits(now time.Time) bool {
+	if !e.needsCreate || e.pendingSave == nil || now.Sub(e.pendingSave.since) >= permitJoinTimeout {
 		return false
 	}
-	for _, o := range e.live {
+	for _, o := range e.occurrences {
 		for _, s := range o.stages {
-			if s.asking > 0 && s.answers == nil {
+			if s.openRequests > 0 && s.tickets == nil {
 				return true
 			}
 		}
@@ -121,8 +121,8 @@
 	left := t.unsent[:0]
 	for _, e := range t.unsent {
 		switch {
-		case !e.unwritten && !e.writing || t.entries[e.work.ID] != e:
-		case t.holdsBack(e) && !e.state.Final() && now.Sub(e.work.Accepted) > unsentMost:
+		case !e.needsCreate && !e.committing || t.entries[e.work.ID] != e:
+		case t.isHeldBack(e) && !e.state.Final() && now.Sub(e.work.Accepted) > unsentTimeout:
 			t.withdraw(e)
 		default:
 			left = append(left, e)
@@ -139,31 +139,31 @@
 	e.state = job.WorkCancelled
 	delete(t.entries, e.work.ID)
 	delete(t.timed, e)
-	for _, o := range e.live {
+	for _, o := range e.occurrences {
 		for _, s := range o.stages {
-			delete(t.stages, s)
-			t.letGo(s)
-			s.dropRuns()
+			delete(t.waitingStages, s)
+			t.releaseSetAside(s)
+			s.releaseUnsentRuns()
 		}
 	}
-	t.commits.queue = slices.DeleteFunc(t.commits.queue, func(s *saving) bool { return s.e == e })
-	e.saving = nil
-	t.dirty = true
+	t.committer.queue = slices.DeleteFunc(t.committer.queue, func(s *pendingSave) bool { return s.entry == e })
+	e.pendingSave = nil
+	t.passNeeded = true
 	for _, done := range e.waiters {
-		done <- errStoreFailing
+		done <- errStoreUnavailable
 	}
 }
 
-// dropRuns gives back the room of runs that were decided and not sent.
-func (s *stage) dropRuns() {
+// releaseUnsentRuns gives back the room of runs that were decided and not sent.
+func (s *stage) releaseUnsentRuns() {
 	for i := range s.tasks {
 		if r := s.tasks[i].run; r != nil && !r.ended {
 			r.ended = true
-			r.n.give(r)
-			if r.n.trial == r {
-				r.n.trial = nil
+			r.node.release(r)
+			if r.node.trialRun == r {
+				r.node.trialRun = nil
 			}
-			s.e.held--
+			s.entry.activeRuns--
 		}
 	}
 }
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -18,7 +18,7 @@
 // made durable first and its start afterwards, the second commit waits for the first, and a check that has
 // 600 ms to spare has lost more than half of them before it starts.
 func TestStartJoinsAcceptance(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 8 * time.Millisecond, PerWorker: time.Millisecond}
@@ -48,14 +48,14 @@
 		t.Logf("started %v after they were handed in", mean)
 		is.True(mean < 260*time.Millisecond)
 		is.Equal(len(c.endedAt()), len(handed))
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A caller asks for a label that no worker has. Accepted, its work would wait for ever; it is refused at once,
 // by every VM, without a time to come again, and a worker that comes with the label later is used.
 func TestHopelessWorkIsRefused(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(2, 4)
@@ -72,15 +72,15 @@
 		}
 		info := worker.Info{ID: "w09", Address: "w09", Zone: "kochi-hall", Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
 		c.floor.Add(info)
-		c.list(worker.Listing{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
+		c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
 		time.Sleep(time.Second)
 		c.submit(first, c.work("now", step))
-		c.until(first, "now", job.WorkCompleted, 5*time.Second)
+		c.waitForState(first, "now", job.WorkCompleted, 5*time.Second)
 		// The entry of the one worker with the label may only have lapsed: its work waits.
 		c.put(store.Op{Delete: true, Key: workersPrefix + "w09"})
 		time.Sleep(time.Second)
 		c.submit(first, c.work("waits", step))
 		is.Equal(c.runs("never0")+c.runs("never1")+c.runs("waits"), 0)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/behind_test.go
+++ b/dispatch/behind_test.go
@@ -20,7 +20,7 @@
 func TestOwnerBehindCatchesUp(t *testing.T) {
 	for name, by := range map[string]string{"at the owner": "vm1", "at another VM": "vm2"} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) { catchUp(t, by) })
+			inBubble(t, func(t *testing.T) { catchUp(t, by) })
 		})
 	}
 }
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	c := newCell(t, runsFor(300*time.Millisecond))
 	// A look at each of 20 workers for each work takes 20 ms, and passes a third of the processor.
-	c.spend = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
+	c.onExamined = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
 	c.boot("vm1")
 	c.workers(20, 16)
 	c.owner()
@@ -48,7 +48,7 @@
 		time.Sleep(time.Second / perSecond)
 		callers.Go(func() {
 			w := c.work(fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond})
-			fault := c.try(v, w)
+			fault := c.trySubmit(v, w)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -76,5 +76,5 @@
 	}
 	is.Equal(left, 0)
 	is.True(len(taken) >= decides*seconds/2)
-	c.judge()
+	c.checkHistory()
 }
--- a/dispatch/turns.go
+++ b/dispatch/calllimiter.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// turnsAtOnce is how many calls to workers are begun and not answered at a time: what a weak VM makes in the
+	// maxConcurrentCalls is how many calls to workers are begun and not answered at a time: what a weak VM makes in the
 	// time that others wait for its answer to a ping.
-	turnsAtOnce = 32
-	// turnMost is how long a call without an answer keeps its turn, many times the way of an answer. Workers that are
+	maxConcurrentCalls = 32
+	// callSlotTimeout is how long a call without an answer keeps its turn, many times the way of an answer. Workers that are
 	// cut off would else hold up the calls to all others.
-	turnMost = 30 * time.Millisecond
+	callSlotTimeout = 30 * time.Millisecond
 	// relaySlack is how much longer a call by way of another VM may take: two exchanges with it, and its own work.
 	relaySlack = 150 * time.Millisecond
 )
 
-// turns lets few calls to workers begin at a time. A burst of starts, or the first calls of a new owner to all
+// callLimiter lets few calls to workers begin at a time. A burst of starts, or the first calls of a new owner to all
 // workers, would keep the processor for so long that other VMs take this one for dead.
-type turns chan struct{}
+type callLimiter chan struct{}
 
-func newTurns() turns { return make(turns, turnsAtOnce) }
+func newCallLimiter() callLimiter { return make(callLimiter, maxConcurrentCalls) }
 
-// take waits for a turn, which ends with done or after turnMost; false means that ctx has ended.
-func (c turns) take(ctx context.Context) (done func(), ok bool) {
+// acquire waits for a turn, which ends with done or after callSlotTimeout; false means that ctx has ended.
+func (c callLimiter) acquire(ctx context.Context) (done func(), ok bool) {
 	select {
 	case c <- struct{}{}:
 	case <-ctx.Done():
 		return nil, false
 	}
 	give := sync.OnceFunc(func() { <-c })
-	timer := time.AfterFunc(turnMost, give)
+	timer := time.AfterFunc(callSlotTimeout, give)
 	return func() {
 		timer.Stop()
 		give()
@@ -45,7 +45,7 @@
 	if agent.ByRelay() {
 		within += relaySlack
 	} else {
-		done, ok := t.turns.take(ctx)
+		done, ok := t.callLimiter.acquire(ctx)
 		if !ok {
 			return ctx.Err()
 		}
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -48,10 +48,10 @@
 	// permits gives the answer of the policy service; nil allows every worker at once.
 	permits func(q *permit.Question) ([]string, time.Duration)
 
-	// spend lets what the owner looks at take time; nil takes none.
-	spend func(looks int)
-	// own is how many workers a VM reaches by itself; zero stands for all, without relays.
-	own int
+	// onExamined lets what the owner looks at take time; nil takes none.
+	onExamined func(looks int)
+	// directWorkers is how many workers a VM reaches by itself; zero stands for all, without relays.
+	directWorkers int
 	// cloud carries out upkeep, if there is one.
 	cloud *cloud
 
@@ -70,21 +70,21 @@
 	peers  *rpc.Pool
 	relays *relay.Relays
 	relay  *relay.Server
-	// deaf cuts its connections to workers.
-	deaf atomic.Bool
-	// apart cuts its new connections to other VMs.
-	apart atomic.Bool
-	// served counts the calls that it has made for an owner, lateCalls is how late it makes them. unheard cuts its
-	// connections to other VMs, lateRelay is how late it answers on them.
-	served    atomic.Int64
-	lateCalls atomic.Int64
-	lateRelay atomic.Int64
-	unheard   atomic.Bool
-	// slow makes its work take ten times as long, so that it cannot keep up.
-	slow atomic.Bool
-	// busy is how late it answers other VMs while it owns the cell.
-	busy atomic.Int64
-	dead atomic.Bool
+	// workersCut cuts its connections to workers.
+	workersCut atomic.Bool
+	// peersCut cuts its new connections to other VMs.
+	peersCut atomic.Bool
+	// relayedCalls counts the calls that it has made for an owner, callDelay is how late it makes them. repliesCut cuts its
+	// connections to other VMs, replyDelay is how late it answers on them.
+	relayedCalls atomic.Int64
+	callDelay    atomic.Int64
+	replyDelay   atomic.Int64
+	repliesCut   atomic.Bool
+	// overloaded makes its work take ten times as long, so that it cannot keep up.
+	overloaded atomic.Bool
+	// replyDelayAsOwner is how late it answers other VMs while it owns the cell.
+	replyDelayAsOwner atomic.Int64
+	dead              atomic.Bool
 }
 
 func newCell(t *testing.T, behave func(worker.Task, int64) floor.Behaviour, vms ...string) *cell {
@@ -113,7 +113,7 @@
 	v := &vm{id: id, server: rpc.NewServer()}
 	monitor, kv := health.New(c.kv.Client(&v.store))
 	dial := rpc.Dial(func(ctx context.Context, address string) (net.Conn, error) {
-		if v.apart.Load() {
+		if v.peersCut.Load() {
 			return nil, errors.New("connection refused")
 		}
 		return c.dial(ctx, address)
@@ -127,14 +127,14 @@
 		waves = c.cloud.waves(id)
 	}
 	agent := func(i worker.Info) *worker.Agent { return c.agent(v, i) }
-	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.served(v, agent(i)) })
+	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.relayAgent(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.own, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		Self: id, Own: cmp.Or(c.directWorkers, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
 		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
-		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
+		dispatch.Upkeep(waves), dispatch.Spend(c.onExamined),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
@@ -146,7 +146,7 @@
 			}),
 		dispatch.Bounds(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
-		owner.Failing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.Pace(v.pace), owner.Peers(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
+		owner.Failing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.Pace(v.pace), owner.Peers(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
 		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, Permits: ask, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
@@ -161,7 +161,7 @@
 
 // pace is how long a fixed piece of work takes on the VM.
 func (v *vm) pace() time.Duration {
-	if v.slow.Load() {
+	if v.overloaded.Load() {
 		return time.Millisecond
 	}
 	return 100 * time.Microsecond
@@ -195,11 +195,11 @@
 }
 
 func (b *busyConn) Write(p []byte) (int, error) {
-	for b.vm.unheard.Load() && !b.vm.dead.Load() {
+	for b.vm.repliesCut.Load() && !b.vm.dead.Load() {
 		time.Sleep(busyStep)
 	}
-	time.Sleep(time.Duration(b.vm.lateRelay.Load()))
-	for asked := time.Now(); b.vm.disp.Leads() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
+	time.Sleep(time.Duration(b.vm.replyDelay.Load()))
+	for asked := time.Now(); b.vm.disp.Leads() && time.Since(asked) < time.Duration(b.vm.replyDelayAsOwner.Load()) && !b.vm.dead.Load(); {
 		time.Sleep(busyStep)
 	}
 	return b.Conn.Write(p)
@@ -210,21 +210,21 @@
 	a := c.floor.Client(i)
 	return &worker.Agent{
 		Launch: func(ctx context.Context, l *worker.Launch) (time.Duration, error) {
-			if v.deaf.Load() {
+			if v.workersCut.Load() {
 				<-ctx.Done()
 				return 0, ctx.Err()
 			}
 			return a.Launch(ctx, l)
 		},
 		Halt: func(ctx context.Context, h *worker.Halt) (time.Duration, error) {
-			if v.deaf.Load() {
+			if v.workersCut.Load() {
 				<-ctx.Done()
 				return 0, ctx.Err()
 			}
 			return a.Halt(ctx, h)
 		},
 		Hold: func(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
-			if v.deaf.Load() {
+			if v.workersCut.Load() {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -233,11 +233,11 @@
 	}
 }
 
-// served counts the calls that a VM makes for an owner, and makes them late if it is to.
-func (c *cell) served(v *vm, a *worker.Agent) *worker.Agent {
+// relayAgent counts the calls that a VM makes for an owner, and makes them late if it is to.
+func (c *cell) relayAgent(v *vm, a *worker.Agent) *worker.Agent {
 	note := func() {
-		v.served.Add(1)
-		time.Sleep(time.Duration(v.lateCalls.Load()))
+		v.relayedCalls.Add(1)
+		time.Sleep(time.Duration(v.callDelay.Load()))
 	}
 	return &worker.Agent{
 		Launch: func(ctx context.Context, l *worker.Launch) (time.Duration, error) {
@@ -251,7 +251,7 @@
 			return a.Halt(ctx, h)
 		},
 		Hold: func(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
-			v.served.Add(1)
+			v.relayedCalls.Add(1)
 			return a.Hold(ctx, h)
 		},
 	}
@@ -301,11 +301,11 @@
 func (c *cell) worker(id string, cores int64) *floor.Worker {
 	info := worker.Info{ID: id, Address: id, Zone: "kochi-hall", Rack: "r1", Has: job.Resources{Millicores: cores * 1000, MemoryMB: 64000}}
 	w := c.floor.Add(info)
-	c.list(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
+	c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 	return w
 }
 
-func (c *cell) list(l worker.Listing) {
+func (c *cell) register(l worker.Listing) {
 	raw, err := msgpack.Marshal(&l)
 	if err != nil {
 		c.t.Fatal(err)
@@ -342,8 +342,8 @@
 	return &job.Work{ID: id, Queue: c.config.Queues[0], Spec: "spec of " + id, Steps: []job.Step{s}, Accepted: time.Now()}
 }
 
-// hand submits a work of one step to the queue of that name.
-func (c *cell) hand(v *vm, queue, id string, s job.Step) {
+// submitTo submits a work of one step to the queue of that name.
+func (c *cell) submitTo(v *vm, queue, id string, s job.Step) {
 	c.t.Helper()
 	w := c.work(id, s)
 	w.Queue = *c.config.Named(queue)
@@ -366,8 +366,8 @@
 	return v.front.Status(ctx, id)
 }
 
-// until waits for a state that some VM shows.
-func (c *cell) until(v *vm, id string, want job.WorkState, within time.Duration) {
+// waitForState waits for a state that some VM shows.
+func (c *cell) waitForState(v *vm, id string, want job.WorkState, within time.Duration) {
 	c.t.Helper()
 	deadline := time.Now().Add(within)
 	var last job.WorkState
@@ -381,8 +381,8 @@
 	c.t.Fatalf("%s is shown as %q (%v), not %q, after %v", id, last, err, want, within)
 }
 
-// judge fails the test for whatever the history shows to be wrong.
-func (c *cell) judge() {
+// checkHistory fails the test for whatever the history shows to be wrong.
+func (c *cell) checkHistory() {
 	c.t.Helper()
 	for _, fault := range c.floor.Judge() {
 		c.t.Error(fault)
@@ -399,8 +399,8 @@
 	return n
 }
 
-// play runs a test of a cell under the test's clock.
-func play(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
+// inBubble runs a test of a cell under the test's clock.
+func inBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
 func runsFor(d time.Duration) func(worker.Task, int64) floor.Behaviour {
 	return func(worker.Task, int64) floor.Behaviour {
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -24,19 +24,19 @@
 	rosterBase      = 700 * time.Millisecond
 	rosterPerWorker = 10 * time.Millisecond
 	rosterSlack     = 2.2
-	// worthUntil objectives after it was handed in a roster is worth nothing any more.
-	worthUntil = 3
-	// leastShare is how much less often than all rosters a class of sizes may be served: half as often.
-	leastShare = 0.5
+	// expiryFactor objectives after it was handed in a roster is worth nothing any more.
+	expiryFactor = 3
+	// minServedShare is how much less often than all rosters a class of sizes may be served: half as often.
+	minServedShare = 0.5
 )
 
 // roster is a work of the load, and what the judge needs to know of it.
 type roster struct {
-	work      *job.Work
-	size      float64
-	objective time.Duration
-	handed    time.Time
-	step      time.Duration
+	work        *job.Work
+	size        float64
+	objective   time.Duration
+	submittedAt time.Time
+	step        time.Duration
 }
 
 // rosters makes a load of gangs whose widths and times vary as callers' do: many small ones, a few very large.
@@ -67,8 +67,8 @@
 	return list
 }
 
-// single makes each roster one task of the same time.
-func single(load []*roster) {
+// singleTasks makes each roster one task of the same time.
+func singleTasks(load []*roster) {
 	for _, r := range load {
 		r.work.Steps = []job.Step{{Tasks: 1, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.step}}
 		r.size = r.step.Seconds()
@@ -76,8 +76,8 @@
 	}
 }
 
-// quarter allows one worker in four for each step.
-func quarter(q *permit.Question) ([]string, time.Duration) {
+// allowQuarter allows one worker in four for each step.
+func allowQuarter(q *permit.Question) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
 		h := fnv.New32a()
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			for _, seed := range []uint64{1, 2, 3} {
 				t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-					play(t, func(t *testing.T) { (&overload{workers: 48, cores: 16, tenure: tenure, gangs: true}).play(t, seed) })
+					inBubble(t, func(t *testing.T) { (&overload{workers: 48, cores: 16, tenure: tenure, gangs: true}).run(t, seed) })
 				})
 			}
 		})
@@ -120,7 +120,7 @@
 func TestEachClassOfSizesIsServedBySingleSlots(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, func(t *testing.T) { (&overload{workers: 14, cores: 1, tenure: time.Hour}).play(t, seed) })
+			inBubble(t, func(t *testing.T) { (&overload{workers: 14, cores: 1, tenure: time.Hour}).run(t, seed) })
 		})
 	}
 }
@@ -140,7 +140,7 @@
 	readEvery          = 60 // seconds; what has ended is forgotten after two minutes
 )
 
-func (o *overload) play(t *testing.T, seed uint64) {
+func (o *overload) run(t *testing.T, seed uint64) {
 	byID := make(map[string]*roster)
 	vms := []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7", "vm8"}
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
@@ -151,11 +151,11 @@
 	c.config.Queues[0].Slack = rosterSlack
 	if o.gangs {
 		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterBase, PerWorker: rosterPerWorker}
-		c.permits = quarter
+		c.permits = allowQuarter
 	}
 	load := rosters(c, perSecond*seconds, seed)
 	if !o.gangs {
-		single(load)
+		singleTasks(load)
 	}
 	for _, r := range load {
 		byID[r.work.ID] = r
@@ -174,31 +174,31 @@
 			c.boot(v.id)
 			v, owned = next, time.Now()
 		}
-		r.handed, r.work.Accepted = time.Now(), time.Now()
+		r.submittedAt, r.work.Accepted = time.Now(), time.Now()
 		c.submit(v, r.work)
 		time.Sleep(time.Second / perSecond)
 	}
 	maps.Copy(ended, c.endedAt())
-	judgeClasses(t, load, ended, time.Now())
-	c.judge()
+	checkClasses(t, load, ended, time.Now())
+	c.checkHistory()
 	for _, v := range c.vms {
 		c.kill(v)
 	}
 	time.Sleep(5 * time.Second) // questions under way have ended
 }
 
-// judgeClasses fails the test if a class of sizes is served less than half as often as all, of the rosters that the
+// checkClasses fails the test if a class of sizes is served less than half as often as all, of the rosters that the
 // overload outlasts: after it everybody is served.
-func judgeClasses(t *testing.T, load []*roster, ended map[string]time.Time, end time.Time) {
+func checkClasses(t *testing.T, load []*roster, ended map[string]time.Time, end time.Time) {
 	t.Helper()
 	is := is.NewRelaxed(t)
 	load = slices.DeleteFunc(load, func(r *roster) bool {
-		return r.handed.Add(worthUntil * r.objective).After(end)
+		return r.submittedAt.Add(expiryFactor * r.objective).After(end)
 	})
 	served := func(part []*roster) float64 {
 		n := 0
 		for _, r := range part {
-			if at, ok := ended[r.work.ID]; ok && at.Sub(r.handed) <= worthUntil*r.objective {
+			if at, ok := ended[r.work.ID]; ok && at.Sub(r.submittedAt) <= expiryFactor*r.objective {
 				n++
 			}
 		}
@@ -211,6 +211,6 @@
 	} {
 		share := served(part)
 		t.Logf("of %s %.2f were served, of all %d %.2f", name, share, len(load), all)
-		is.True(share >= leastShare*all)
+		is.True(share >= minServedShare*all)
 	}
 }
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -29,7 +29,7 @@
 		"an owner every 15 s, seed 4": {15 * time.Second, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) { crowded(t, k.tenure, k.seed) })
+			inBubble(t, func(t *testing.T) { runCrowded(t, k.tenure, k.seed) })
 		})
 	}
 }
@@ -49,8 +49,8 @@
 	work *job.Work
 }
 
-// crowd makes the batches and checks that take room beside the rosters.
-func crowd(c *cell, seed uint64) []arrival {
+// otherLoad makes the batches and checks that take room beside the rosters.
+func otherLoad(c *cell, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var list []arrival
 	stream := func(queue string, every time.Duration, tasks int, millicores int64, takes time.Duration) {
@@ -69,12 +69,12 @@
 // rosterEvery is the pause between two rosters.
 const rosterEvery = 150 * time.Millisecond
 
-// crowded plays rosters, batches and checks against owners of that tenure, and judges what became of the rosters.
-func crowded(t *testing.T, tenure time.Duration, seed uint64) {
+// runCrowded plays rosters, batches and checks against owners of that tenure, and judges what became of the rosters.
+func runCrowded(t *testing.T, tenure time.Duration, seed uint64) {
 	byID := make(map[string]*job.Work)
 	c := crowdedCell(t, byID)
 	load := rosters(c, int(crowdedFor/rosterEvery), seed)
-	list := crowd(c, seed)
+	list := otherLoad(c, seed)
 	for i, r := range load {
 		list = append(list, arrival{time.Duration(i) * rosterEvery, r.work})
 	}
@@ -82,12 +82,12 @@
 		byID[a.work.ID] = a.work
 	}
 	slices.SortStableFunc(list, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-	ended := c.handIn(list, tenure)
+	ended := c.submitAll(list, tenure)
 	for _, r := range load {
-		r.handed = r.work.Accepted
+		r.submittedAt = r.work.Accepted
 	}
-	judgeClasses(t, load, ended, time.Now())
-	c.judge()
+	checkClasses(t, load, ended, time.Now())
+	c.checkHistory()
 	for _, v := range c.vms {
 		c.kill(v)
 	}
@@ -112,16 +112,16 @@
 		job.Queue{Name: "check", Pool: pool, Priority: 0, Attempts: 2, Slack: 1.5, Target: 250 * time.Millisecond},
 		job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 4, Target: 3 * time.Second})
 	c.permits = func(q *permit.Question) ([]string, time.Duration) {
-		names, _ := quarter(q)
+		names, _ := allowQuarter(q)
 		return names, crowdedBase + time.Duration(len(q.Workers))*crowdedPerWorker
 	}
 	c.workers(crowdedWorkers, crowdedCores)
 	return c
 }
 
-// handIn hands in works when their time has come, to an owner that is replaced after each tenure, and gives when they
+// submitAll hands in works when their time has come, to an owner that is replaced after each tenure, and gives when they
 // ended.
-func (c *cell) handIn(list []arrival, tenure time.Duration) map[string]time.Time {
+func (c *cell) submitAll(list []arrival, tenure time.Duration) map[string]time.Time {
 	v := c.owner()
 	time.Sleep(6 * time.Second)
 	began, owned, read := time.Now(), time.Now(), time.Now()
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -43,7 +43,7 @@
 			Tasks: max(1, int(l.vary(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
 			Each: job.Resources{Millicores: int64(l.vary(3900, 0.4, 9000)), MemoryMB: 700},
 		})
-		l.replay.hand(time.Duration(i)*every, w, runs)
+		l.replay.submitAt(time.Duration(i)*every, w, runs)
 	}
 }
 
@@ -61,7 +61,7 @@
 		second := step
 		second.After, second.Tasks = []int{0}, 3
 		w.Queue.Priority, w.Steps = 2, append(w.Steps, second)
-		l.replay.hand(time.Duration(i)*every+7*time.Millisecond, w, runs)
+		l.replay.submitAt(time.Duration(i)*every+7*time.Millisecond, w, runs)
 	}
 }
 
@@ -72,7 +72,7 @@
 			Tasks: max(2, int(l.vary(9, 0.8, 30))), Gang: true, Estimate: runs, Each: job.Resources{Millicores: 4000, MemoryMB: 900},
 		})
 		w.Queue.Priority = 1
-		l.replay.hand(time.Duration(i)*every+13*time.Millisecond, w, runs)
+		l.replay.submitAt(time.Duration(i)*every+13*time.Millisecond, w, runs)
 	}
 }
 
@@ -117,7 +117,7 @@
 				r := newReplay(t.Context(), 6, allow)
 				r.cell(18)
 				hand(&load{rand.New(rand.NewPCG(7, 7)), r})
-				r.play(25 * time.Second)
+				r.run(25 * time.Second)
 				golden.Equal(t, "testdata/decisions/"+name+".golden", r.decisions.Bytes())
 			})
 		})
--- a/dispatch/declined_test.go
+++ b/dispatch/declined_test.go
@@ -13,7 +13,7 @@
 // take-over from the store, and would tell its callers to come again for as long as it is declined, though
 // the cell serves everybody else. The other VMs tell it who owns the cell.
 func TestDeclinedVMFindsOwner(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.workers(2, 4)
@@ -35,8 +35,8 @@
 			is.NoErr(err)
 			is.True(!state.Final())
 		}
-		c.until(declined, "three", job.WorkCompleted, 10*time.Second)
+		c.waitForState(declined, "three", job.WorkCompleted, 10*time.Second)
 		is.NoErr(declined.front.Cancel(t.Context(), "one"))
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,8 +14,8 @@
 // errTermClosed means that this VM no longer owns the cell.
 var errTermClosed = errors.New("this entry VM no longer owns the cell")
 
-// retryOwner is when a caller may try again while the cell has no owner: about a take-over.
-const retryOwner = time.Second
+// ownerRetryAfter is when a caller may try again while the cell has no owner: about a take-over.
+const ownerRetryAfter = time.Second
 
 // Dispatcher answers for the cell whenever this entry VM owns it.
 type Dispatcher struct {
@@ -34,39 +34,39 @@
 	if !t.recover() {
 		return
 	}
-	d.set(t)
-	defer d.set(nil)
+	d.setTerm(t)
+	defer d.setTerm(nil)
 	t.loop()
 }
 
-func (d *Dispatcher) set(t *term) {
+func (d *Dispatcher) setTerm(t *term) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.term = t
 }
 
-func (d *Dispatcher) current() (*term, error) {
+func (d *Dispatcher) currentTerm() (*term, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.term == nil {
-		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: retryOwner}
+		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetryAfter}
 	}
 	return d.term, nil
 }
 
 // Leads reports whether this VM owns the cell and has read its state.
 func (d *Dispatcher) Leads() bool {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	return err == nil && t != nil
 }
 
 // Offer tells the owner of accepted work, so that it need not wait for the store to tell.
 func (d *Dispatcher) Offer(ctx context.Context, works []job.Work) error {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	if err != nil {
 		return err
 	}
-	_, err = ask(ctx, t, func() struct{} {
+	_, err = callLoop(ctx, t, func() struct{} {
 		t.offer(works)
 		return struct{}{}
 	})
@@ -76,16 +76,16 @@
 // Accept makes a work durable; a repeat of an ID is the same work. CodeNotOwner and CodeRefused mean that
 // nothing was done, any other error that the work may be accepted.
 func (d *Dispatcher) Accept(ctx context.Context, w *job.Work) error {
-	taken, err := d.durably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
+	taken, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
 	if err == nil && !taken {
-		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: retryOwner}
+		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetryAfter}
 	}
 	return err
 }
 
-// durably decides something on the loop and waits until that is durable, or tells that it was not taken.
-func (d *Dispatcher) durably(ctx context.Context, decide func(*term) (taken bool, done chan error)) (bool, error) {
-	t, err := d.current()
+// decideDurably decides something on the loop and waits until that is durable, or tells that it was not taken.
+func (d *Dispatcher) decideDurably(ctx context.Context, decide func(*term) (taken bool, done chan error)) (bool, error) {
+	t, err := d.currentTerm()
 	if err != nil {
 		return false, err
 	}
@@ -93,18 +93,18 @@
 		taken bool
 		done  chan error
 	}
-	o, err := ask(ctx, t, func() outcome {
+	o, err := callLoop(ctx, t, func() outcome {
 		taken, done := decide(t)
 		return outcome{taken, done}
 	})
 	if err != nil || !o.taken {
 		return false, err
 	}
-	return true, t.settled(ctx, o.done)
+	return true, t.awaitCommit(ctx, o.done)
 }
 
-// settled waits until what was decided is durable, or given up unsent.
-func (t *term) settled(ctx context.Context, done <-chan error) error {
+// awaitCommit waits until what was decided is durable, or given up unsent.
+func (t *term) awaitCommit(ctx context.Context, done <-chan error) error {
 	select {
 	case err := <-done:
 		return err
@@ -117,11 +117,11 @@
 
 // Status gives the durable state of a work; it is CodeNotFound where the owner does not hold it.
 func (d *Dispatcher) Status(ctx context.Context, id string) (job.WorkState, error) {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	if err != nil {
 		return "", err
 	}
-	state, err := ask(ctx, t, func() job.WorkState { return t.shown(id) })
+	state, err := callLoop(ctx, t, func() job.WorkState { return t.durableStateOf(id) })
 	if err != nil {
 		return "", err
 	}
@@ -134,7 +134,7 @@
 // Cancel ends a work; it returns once that is durable. It is CodeNotFound where the owner does not
 // hold the work.
 func (d *Dispatcher) Cancel(ctx context.Context, id string) error {
-	known, err := d.durably(ctx, func(t *term) (bool, chan error) { return t.cancel(id) })
+	known, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.cancel(id) })
 	if err == nil && !known {
 		return &rpc.Fault{Code: rpc.CodeNotFound, Reason: "no such work"}
 	}
@@ -143,12 +143,12 @@
 
 // Waiting counts the accepted works of a queue of which no task has started.
 func (d *Dispatcher) Waiting(ctx context.Context, queue string) (int, error) {
-	t, err := d.current()
+	t, err := d.currentTerm()
 	if err != nil {
 		return 0, err
 	}
-	if !t.current() {
-		return 0, rpc.Refused(retryOwner, "the store has not confirmed for a while that this entry VM owns the cell")
+	if !t.isTenureConfirmed() {
+		return 0, rpc.Refused(ownerRetryAfter, "the store has not confirmed for a while that this entry VM owns the cell")
 	}
-	return ask(ctx, t, func() int { return t.waiting(queue) })
+	return callLoop(ctx, t, func() int { return t.countWaiting(queue) })
 }
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -14,108 +14,108 @@
 	if r.ended {
 		return
 	}
-	t.free(r)
-	e := r.s.e
+	t.releaseRun(r)
+	e := r.stage.entry
 	if how == worker.EndingDone || how == worker.EndingFailed {
 		e.started = true
 	}
 	if checkpoint != "" {
-		r.s.keepCheckpoint(r.index, checkpoint)
+		r.stage.keepCheckpoint(r.index, checkpoint)
 	}
-	t.judge(r, how)
-	t.log.Info("dispatch: run ended", zap.String("id", e.work.ID), zap.Int("occurrence", r.s.occ.number),
-		zap.Int("step", r.s.index), zap.Int("task", r.index), zap.Int64("run", r.number), zap.String("worker", r.n.id),
-		zap.String("how", string(how)), zap.Duration("after", time.Since(r.begun)),
-		zap.Duration("recorded", between(r.decided, r.begun)), zap.Duration("ordered", between(r.begun, r.confirmedAt)))
+	t.noteEnding(r, how)
+	t.log.Info("dispatch: run ended", zap.String("id", e.work.ID), zap.Int("occurrence", r.stage.occurrence.number),
+		zap.Int("step", r.stage.index), zap.Int("task", r.index), zap.Int64("run", r.number), zap.String("worker", r.node.id),
+		zap.String("how", string(how)), zap.Duration("after", time.Since(r.sentAt)),
+		zap.Duration("recorded", elapsed(r.decidedAt, r.sentAt)), zap.Duration("ordered", elapsed(r.sentAt, r.confirmedAt)))
 	switch {
-	case r.s.gang != nil && r.s.gang.number == r.number:
+	case r.stage.gang != nil && r.stage.gang.number == r.number:
 		t.endMember(r, how)
-	case r.s.tasks[r.index].run == r:
+	case r.stage.tasks[r.index].run == r:
 		t.endTask(r, how)
 	}
-	t.settle(e)
+	t.saveUnlessEnded(e)
 }
 
-// between is the time from one moment to another, zero where one of them is not known.
-func between(from, to time.Time) time.Duration {
+// elapsed is the time from one moment to another, zero where one of them is not known.
+func elapsed(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
 	}
 	return to.Sub(from)
 }
 
-// neverRan takes in that a run surely has not begun and never will.
-func (t *term) neverRan(r *run, reason string) {
+// onNeverStarted takes in that a run surely has not begun and never will.
+func (t *term) onNeverStarted(r *run, reason string) {
 	if r.ended {
 		return
 	}
-	t.log.Info("dispatch: run never began", zap.String("id", r.s.e.work.ID), zap.Int("step", r.s.index), zap.Int("task", r.index),
-		zap.Int64("run", r.number), zap.String("worker", r.n.id), zap.String("reason", reason))
+	t.log.Info("dispatch: run never began", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
+		zap.Int64("run", r.number), zap.String("worker", r.node.id), zap.String("reason", reason))
 	t.endRun(r, worker.EndingStopped, "")
 }
 
-// free gives back what a run held.
-func (t *term) free(r *run) {
+// releaseRun gives back what a run held.
+func (t *term) releaseRun(r *run) {
 	r.ended = true
-	r.n.give(r)
-	r.s.e.held--
-	t.dirty = true
-	if len(r.n.runs) == 0 {
-		t.retire(r.n)
+	r.node.release(r)
+	r.stage.entry.activeRuns--
+	t.passNeeded = true
+	if len(r.node.runs) == 0 {
+		t.forgetIfIdle(r.node)
 	}
 }
 
-// settle saves an entry, and removes its record when it has ended and nothing of it runs.
-func (t *term) settle(e *entry) {
-	if !e.settled {
+// saveUnlessEnded saves an entry, and removes its record when it has ended and nothing of it runs.
+func (t *term) saveUnlessEnded(e *entry) {
+	if !e.endQueued {
 		t.save(e, nil)
 	}
 }
 
 // endTask takes in the end of a task that is not of a gang.
 func (t *term) endTask(r *run, how worker.Ending) {
-	s, k := r.s, &r.s.tasks[r.index]
+	s, k := r.stage, &r.stage.tasks[r.index]
 	k.run = nil
 	switch {
 	case how == worker.EndingDone && !s.spec.Service:
 		k.phase = phaseDone
 		s.done++
-		t.taskDone(s, 1)
+		t.onTasksDone(s, 1)
 		return
 	case how == worker.EndingFailed && !s.spec.Service:
-		k.fails++
-		s.failedOn(r.n.id)
-		if k.fails >= s.e.queue.Attempts {
-			t.fail(s)
+		k.failures++
+		s.noteFailureOn(r.node.id)
+		if k.failures >= s.entry.queue.Attempts {
+			t.failWork(s)
 		}
 	}
 	k.phase = phaseWaiting
 	s.waiting++
-	t.again(s)
+	t.requeue(s)
 }
 
 // endMember takes in the end of a member of a gang. The members end as done together, so that one such
 // end stands for all of them; any other end breaks the run, and all go on together once the last
 // member has ended.
 func (t *term) endMember(r *run, how worker.Ending) {
-	s, g := r.s, r.s.gang
-	g.members--
+	s, g := r.stage, r.stage.gang
+	g.membersLeft--
 	switch how {
 	case worker.EndingDone:
 		if !g.done {
 			g.done = true
-			t.gangDone(s)
+			t.onGangDone(s)
 		}
 	case worker.EndingFailed:
 		g.failed = true
-		s.failedOn(r.n.id)
+		s.noteFailureOn(r.node.id)
 	default:
 	}
-	if !g.done && !g.broken {
-		g.proved = how == worker.EndingBroken
-		t.breakGang(s)
+	if !g.done && !g.aborted {
+		g.endProved = how == worker.EndingBroken
+		t.abortGang(s)
 	}
-	if g.members > 0 {
+	if g.membersLeft > 0 {
 		return
 	}
 	s.gang = nil
@@ -123,21 +123,21 @@
 		return
 	}
 	if g.failed {
-		if s.fails++; s.fails >= s.e.queue.Attempts && !s.spec.Service {
-			t.fail(s)
+		if s.failures++; s.failures >= s.entry.queue.Attempts && !s.spec.Service {
+			t.failWork(s)
 		}
 	}
 	for i := range s.tasks {
 		s.tasks[i].phase, s.tasks[i].run = phaseWaiting, nil
 	}
 	s.waiting = len(s.tasks)
-	t.again(s)
+	t.requeue(s)
 }
 
-// breakGang stops the members of a gang's run that cannot get on together. Without it those that
+// abortGang stops the members of a gang's run that cannot get on together. Without it those that
 // have started would hold their workers until they give up waiting for the others.
-func (t *term) breakGang(s *stage) {
-	s.gang.broken = true
+func (t *term) abortGang(s *stage) {
+	s.gang.aborted = true
 	for i := range s.tasks {
 		if r := s.tasks[i].run; r != nil && !r.ended {
 			t.halt(r)
@@ -145,57 +145,57 @@
 	}
 }
 
-func (t *term) gangDone(s *stage) {
+func (t *term) onGangDone(s *stage) {
 	for i := range s.tasks {
 		s.tasks[i].phase = phaseDone
 	}
 	s.done = len(s.tasks)
-	t.taskDone(s, len(s.tasks))
+	t.onTasksDone(s, len(s.tasks))
 }
 
-// taskDone goes on after n tasks of a stage were done: with the next steps, or with the work's end.
-func (t *term) taskDone(s *stage, n int) {
-	e, o := s.e, s.occ
-	o.left -= n
-	if o.left > 0 {
+// onTasksDone goes on after n tasks of a stage were done: with the next steps, or with the work's end.
+func (t *term) onTasksDone(s *stage, n int) {
+	e, o := s.entry, s.occurrence
+	o.tasksLeft -= n
+	if o.tasksLeft > 0 {
 		if s.done == len(s.tasks) {
 			t.openStages(o)
 		}
 		return
 	}
-	e.drop(o)
-	if !e.state.Final() && len(e.live) == 0 && e.begun == e.work.Count() {
+	e.removeOccurrence(o)
+	if !e.state.Final() && len(e.occurrences) == 0 && e.occurrencesBegun == e.work.Count() {
 		e.state = job.WorkCompleted
 	}
 }
 
-// fail ends a work of which a task has used up its attempts.
-func (t *term) fail(s *stage) {
-	e := s.e
+// failWork ends a work of which a task has used up its attempts.
+func (t *term) failWork(s *stage) {
+	e := s.entry
 	if e.state.Final() {
 		return
 	}
 	t.log.Info("dispatch: work failed", zap.String("id", e.work.ID), zap.Int("step", s.index), zap.Int("attempts", e.queue.Attempts))
-	t.conclude(e, job.WorkFailed)
+	t.finish(e, job.WorkFailed)
 }
 
-// again makes a stage with waiting tasks ready.
-func (t *term) again(s *stage) {
-	if s.e.state.Final() {
+// requeue makes a stage with waiting tasks ready.
+func (t *term) requeue(s *stage) {
+	if s.entry.state.Final() {
 		return
 	}
 	if !s.ready {
-		s.ready, s.since = true, time.Now()
+		s.ready, s.readySince = true, time.Now()
 	}
-	t.stages[s] = struct{}{}
-	t.dirty = true
+	t.waitingStages[s] = struct{}{}
+	t.passNeeded = true
 }
 
-func (s *stage) failedOn(workerID string) {
-	if s.avoid == nil {
-		s.avoid = make(map[string]int)
+func (s *stage) noteFailureOn(workerID string) {
+	if s.failuresByWorker == nil {
+		s.failuresByWorker = make(map[string]int)
 	}
-	s.avoid[workerID]++
+	s.failuresByWorker[workerID]++
 }
 
 // keepCheckpoint notes progress. That of any member of a gang holds for all of them.
--- a/dispatch/fault_test.go
+++ b/dispatch/fault_test.go
@@ -16,7 +16,7 @@
 // An operator counts the work that waits in a queue. A start was decided and sent, and the worker is cut
 // off: as long as no worker has the task, the work waits and must be counted.
 func TestWaitingUntilConfirmed(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1")
 		ws := c.workers(1, 4)
@@ -31,11 +31,11 @@
 			is.Equal(n, 1)
 		}
 		ws[0].Set(floor.Faults{})
-		c.until(v, "check", job.WorkCompleted, 30*time.Second)
+		c.waitForState(v, "check", job.WorkCompleted, 30*time.Second)
 		n, err := v.front.Waiting(t.Context(), "roster")
 		is.NoErr(err)
 		is.Equal(n, 0)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -46,7 +46,7 @@
 // At worst a work waits 0.23 s for a free lane and 0.33 s for an answer, for its intent and for each of its
 // two ends where these come apart, and a second for its tasks: 2.7 s.
 func TestBurstAtSlowStore(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(20, 16)
 		v := c.owner()
@@ -60,18 +60,18 @@
 			callers.Go(func() {
 				w := c.work(fmt.Sprint("check", i), job.Step{Tasks: 2})
 				c.submit(v, w)
-				c.until(v, w.ID, job.WorkCompleted, 2800*time.Millisecond)
+				c.waitForState(v, w.ID, job.WorkCompleted, 2800*time.Millisecond)
 			})
 		}
 		callers.Wait()
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // The store declines the calls of some entry VMs and serves the others. A caller of such a VM is
 // accepted all the same, through the owner, and sees the end of its work.
 func TestAcceptedThroughOwner(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.workers(2, 4)
 		first := c.owner()
@@ -83,16 +83,16 @@
 			}
 			v.store.Down(true)
 			c.submit(v, c.work("from-"+v.id, job.Step{Tasks: 2}))
-			c.until(v, "from-"+v.id, job.WorkCompleted, 10*time.Second)
+			c.waitForState(v, "from-"+v.id, job.WorkCompleted, 10*time.Second)
 		}
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // The owner has made a work durable and dies before it can say so. The caller's VM cannot know, creates
 // the work itself, finds that it exists, and accepts it: it runs once.
 func TestAcceptedByDyingOwner(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.workers(2, 4)
@@ -114,8 +114,8 @@
 		time.Sleep(200 * time.Millisecond)
 		c.kill(first)
 		is.NoErr(<-accepted)
-		c.until(other, "roster", job.WorkCompleted, 20*time.Second)
+		c.waitForState(other, "roster", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("roster"), 2)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -34,15 +34,15 @@
 
 // All members of a gang start together, on as many workers as it takes, and end together.
 func TestGang(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, gangOf(4, 2*time.Second, worker.EndingDone), "vm1", "vm2")
 		c.workers(4, 4)
 		v := c.owner()
 		c.submit(v, c.work("gang", gangStep(4)))
-		c.until(v, "gang", job.WorkCompleted, 10*time.Second)
+		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
 		is.Equal(c.runs("gang"), 4)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -50,7 +50,7 @@
 // of one member is durable and the other member's end was not heard: the new owner must still count
 // the attempt, or the gang would be started a third time.
 func TestGangAttemptsOutliveOwner(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, gangOf(2, time.Second, worker.EndingFailed), "vm1", "vm2")
 		ws := c.workers(2, 4)
@@ -69,16 +69,16 @@
 		c.kill(first)
 		other.Set(floor.Faults{})
 		second := c.owner()
-		c.until(second, "gang", job.WorkFailed, 30*time.Second)
+		c.waitForState(second, "gang", job.WorkFailed, 30*time.Second)
 		is.Equal(c.runs("gang"), 4)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A roster waits for one answer of the policy service, not for two in a row: where naming every worker
 // takes less time than a second question, the first one names them all.
 func TestGangAsksOnce(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, gangOf(4, time.Second, worker.EndingDone), "vm1", "vm2")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
@@ -101,10 +101,10 @@
 		time.Sleep(5 * time.Second)
 		begun := time.Now()
 		c.submit(v, c.work("gang", gangStep(4)))
-		c.until(v, "gang", job.WorkCompleted, 10*time.Second)
+		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
 		is.Equal(questions, 1)
 		is.True(time.Since(begun) < 2*time.Second)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -112,7 +112,7 @@
 // at the same time must get them about as soon as what runs there has ended; without room kept for it,
 // it would wait until the small tasks stop coming.
 func TestGangFindsRoomUnderLoad(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			if task.Work == "gang" {
@@ -126,7 +126,7 @@
 		time.Sleep(5 * time.Second)
 		var handed time.Time
 		for i := range 150 {
-			c.hand(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
+			c.submitTo(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
 			if i == 50 {
 				handed = time.Now()
 				c.submit(v, c.work("gang", job.Step{
@@ -143,7 +143,7 @@
 		}
 		is.True(!begun.IsZero())
 		is.True(begun.Sub(handed) < 4500*time.Millisecond)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -151,7 +151,7 @@
 // which shows that the run is over everywhere: the gang must be started again without waiting for the
 // lease of the silent worker.
 func TestGangAfterCrash(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, gangOf(2, 4*time.Second, worker.EndingDone), "vm1")
 		ws := c.workers(4, 4)
@@ -165,9 +165,9 @@
 				break
 			}
 		}
-		c.until(v, "gang", job.WorkCompleted, 9*time.Second)
+		c.waitForState(v, "gang", job.WorkCompleted, 9*time.Second)
 		is.Equal(c.runs("gang"), 4)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -177,7 +177,7 @@
 func TestFailureHeardLate(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		t.Run(fmt.Sprint("owner dies ", kill), func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, gangOf(2, 2*time.Second, worker.EndingFailed), "vm1", "vm2")
 				ws := c.workers(6, 4)
@@ -199,9 +199,9 @@
 				for _, w := range ws {
 					w.Set(floor.Faults{})
 				}
-				c.until(c.owner(), "gang", job.WorkFailed, 40*time.Second)
+				c.waitForState(c.owner(), "gang", job.WorkFailed, 40*time.Second)
 				is.Equal(c.runs("gang"), 4)
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -213,7 +213,7 @@
 func TestFailureHeardLateOfEither(t *testing.T) {
 	for try := range 8 { // which of the two is met first differs from run to run
 		t.Run(fmt.Sprint(try), func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, gangOf(3, 2*time.Second, worker.EndingFailed), "vm1")
 				ws := c.workers(6, 4)
@@ -233,9 +233,9 @@
 				for _, w := range ws {
 					w.Set(floor.Faults{})
 				}
-				c.until(v, "gang", job.WorkFailed, 40*time.Second)
+				c.waitForState(v, "gang", job.WorkFailed, 40*time.Second)
 				is.Equal(c.runs("gang"), 6)
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -245,7 +245,7 @@
 // has failed there must be started elsewhere: its caller would be told that it cannot be done after two
 // runs on the one worker that fails.
 func TestGangLeavesFailingWorker(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Gang: 2, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
@@ -257,7 +257,7 @@
 		for i := range 4 {
 			id := fmt.Sprint("gang", i)
 			c.submit(v, c.work(id, gangStep(2)))
-			c.until(v, id, job.WorkCompleted, 10*time.Second)
+			c.waitForState(v, id, job.WorkCompleted, 10*time.Second)
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
@@ -266,7 +266,7 @@
 			}
 		}
 		is.True(failed <= 4) // one for each gang at most
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -274,7 +274,7 @@
 // which are more urgent, waits for that very room. When the tickets come the gang must get it: were the
 // room given back first, the checks would take it, and the gang would ask again for as long as checks come.
 func TestKeptRoomIsForItsGang(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
@@ -292,7 +292,7 @@
 		c.workers(2, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
-		check := func(id string, tasks int) { c.hand(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second}) }
+		check := func(id string, tasks int) { c.submitTo(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second}) }
 		check("before", 8)
 		handed := time.Now()
 		c.submit(v, c.work("gang", job.Step{
@@ -302,13 +302,13 @@
 		for i := range 40 {
 			check(fmt.Sprint("check", i), 1)
 		}
-		c.until(v, "gang", job.WorkCompleted, 20*time.Second)
+		c.waitForState(v, "gang", job.WorkCompleted, 20*time.Second)
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
 				is.True(r.Begun.Sub(handed) < 6*time.Second)
 			}
 		}
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -316,7 +316,7 @@
 // answers one at a time for each VM. Put one after the other they would take most of the time that the
 // roster has; put from several VMs at once they take as long as one.
 func TestGangAsksInParallel(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		var vms []string
 		for i := range 16 {
@@ -343,12 +343,12 @@
 		time.Sleep(time.Minute) // the owner hears of one worker after the other
 		begun := time.Now()
 		c.submit(v, c.work("gang", gangStep(40)))
-		c.until(v, "gang", job.WorkCompleted, 10*time.Second)
+		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
 		is.True(time.Since(begun) < 3*time.Second)
 		for _, times := range named {
 			is.Equal(times, 1)
 		}
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -356,7 +356,7 @@
 // without end and go to the fullest workers: each hole on the two would be filled at once, although the
 // other two have room for all of them. The checks must leave alone what the gang waits for.
 func TestChecksLeaveClaimedRoom(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
@@ -376,7 +376,7 @@
 		c.workers(4, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
-		check := func(i int) { c.hand(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second}) }
+		check := func(i int) { c.submitTo(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second}) }
 		c.submit(v, c.work("long", job.Step{Tasks: 2, MostPerWorker: 1, Estimate: time.Minute}))
 		time.Sleep(time.Second)
 		for i := range 10 {
@@ -398,6 +398,6 @@
 		}
 		is.True(!begun.IsZero())
 		is.True(begun.Sub(handed) < 3*time.Second)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/trust_test.go
+++ b/dispatch/health_test.go
@@ -11,15 +11,15 @@
 	"turmericgap/worker"
 )
 
-// cellOf is a term with workers of four cores that answer.
-func cellOf(t *testing.T, racks ...string) *term {
+// termWithWorkers is a term with workers of four cores that answer.
+func termWithWorkers(t *testing.T, racks ...string) *term {
 	term := newTerm(t.Context(), newOptions(nil), &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }})
 	now := time.Now()
 	for i, rack := range racks {
 		n := term.nodeFor(string(rune('a' + i)))
 		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
-		n.listed, n.synced, n.heard, n.free = true, true, now.Add(time.Hour), n.listing.Has
-		n.file()
+		n.listed, n.synced, n.heardAt, n.free = true, true, now.Add(time.Hour), n.listing.Has
+		n.updateIndex()
 	}
 	return term
 }
@@ -37,33 +37,33 @@
 	is := is.New(t)
 	fresh := stageOf(&job.Work{Steps: []job.Step{{Tasks: 1}}})
 	failed := stageOf(&job.Work{Steps: []job.Step{{Tasks: 1}}})
-	failed.failedOn("another")
-	u := &trust{failed: restAfter}
-	is.True(u.tries(fresh))
-	is.True(!u.tries(failed))
-	is.True(!u.tries(stageOf(gangOfTwo(nil))))
-	u.trial = &run{}
-	is.True(!u.tries(fresh))
+	failed.noteFailureOn("another")
+	u := &health{failedInARow: quarantineAfter}
+	is.True(u.acceptsTrial(fresh))
+	is.True(!u.acceptsTrial(failed))
+	is.True(!u.acceptsTrial(stageOf(gangOfTwo(nil))))
+	u.trialRun = &run{}
+	is.True(!u.acceptsTrial(fresh))
 }
 
 // Everything fails on every worker, as where a program is broken. Workers must not rest one after the other
 // until work that could run waits for a worker to be trusted again.
 func TestFewWorkersRest(t *testing.T) {
 	is := is.New(t)
-	term := cellOf(t, "r1", "r1", "r1", "r1", "r1", "r1", "r1", "r1")
+	term := termWithWorkers(t, "r1", "r1", "r1", "r1", "r1", "r1", "r1", "r1")
 	for id, n := range term.nodes {
-		for i := range restAfter {
+		for i := range quarantineAfter {
 			s := stageOf(&job.Work{ID: id + string(rune('0'+i)), Steps: []job.Step{{Tasks: 1}}})
-			term.judge(&run{s: s, n: n}, worker.EndingFailed)
+			term.noteEnding(&run{stage: s, node: n}, worker.EndingFailed)
 		}
 	}
 	resting := 0
 	for _, n := range term.nodes {
-		if n.rests(time.Now()) {
+		if n.isQuarantined(time.Now()) {
 			resting++
 		}
 	}
-	is.Equal(resting, len(term.nodes)/restShare)
+	is.Equal(resting, len(term.nodes)/quarantineShare)
 }
 
 // A gang that runs three times as long over two racks has asked for workers in two questions, and the first
@@ -71,13 +71,13 @@
 // start before it is there.
 func TestGangAwaitsItsRack(t *testing.T) {
 	is := is.New(t)
-	term := cellOf(t, "r1", "r2")
+	term := termWithWorkers(t, "r1", "r2")
 	s := stageOf(gangOfTwo(nil))
 	now := time.Now()
-	nodes := term.sorted(s, now, all)
+	nodes := term.sortedCandidates(s, now, anyNode)
 	is.Equal(len(nodes), 2)
-	s.asking = 1
-	is.True(term.spread(s, nodes, now, all) == nil)
-	s.asking = 0
-	is.Equal(len(term.spread(s, nodes, now, all)), 2)
+	s.openRequests = 1
+	is.True(term.planGang(s, nodes, now, anyNode) == nil)
+	s.openRequests = 0
+	is.Equal(len(term.planGang(s, nodes, now, anyNode)), 2)
 }
--- a/dispatch/large_test.go
+++ b/dispatch/large_test.go
@@ -15,8 +15,8 @@
 	"turmericgap/worker"
 )
 
-// lookTakes is what a look at one worker takes on a VM of a fifth of a core.
-const lookTakes = 500 * time.Nanosecond
+// examineCost is what a look at one worker takes on a VM of a fifth of a core.
+const examineCost = 500 * time.Nanosecond
 
 // 1,500 checks come within two seconds to a cell of 3,000 workers that has room for all of them. Each waits for an
 // answer of the policy service, which holds for 1.5 s. If a pass looks at all workers for each step, it takes longer
@@ -25,12 +25,12 @@
 func TestManyWorkersAndSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newReplay(t.Context(), 97, allow, Spend(func(looks int) { time.Sleep(time.Duration(looks) * lookTakes) }))
+		r := newReplay(t.Context(), 97, allow, Spend(func(looks int) { time.Sleep(time.Duration(looks) * examineCost) }))
 		r.cell(3000)
 		l := &load{rand.New(rand.NewPCG(3, 3)), r}
 		const works = 1500
 		l.checks(works, 1300*time.Microsecond)
-		r.play(12 * time.Second)
+		r.run(12 * time.Second)
 		t.Logf("%d of %d works are done", r.ended, works)
 		is.Equal(r.ended, works)
 	})
@@ -41,18 +41,18 @@
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{540, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			t := fullCell(b, workers, 3, 40)
-			n, s := t.nodes["w0020"], t.entries["1"].live[0].stages[0]
-			s.answers[n.id] = ticket{allowed: true, until: time.Now().Add(time.Hour)}
+			t := fullTerm(b, workers, 3, 40)
+			n, s := t.nodes["w0020"], t.entries["1"].occurrences[0].stages[0]
+			s.tickets[n.id] = ticket{allowed: true, until: time.Now().Add(time.Hour)}
 			for b.Loop() {
 				n.free = job.Resources{Millicores: 1100, MemoryMB: 64000}
-				n.file()
-				t.place(time.Now())
+				n.updateIndex()
+				t.runPass(time.Now())
 				if r := s.tasks[0].run; r != nil {
-					t.free(r)
+					t.releaseRun(r)
 					s.tasks[0].phase, s.tasks[0].run = phaseWaiting, nil
 					s.waiting++
-					t.again(s)
+					t.requeue(s)
 				}
 			}
 		})
@@ -80,16 +80,16 @@
 			time.Sleep(3 * time.Millisecond)
 			return 0, nil
 		}
-		for i, n := range r.term.roll {
+		for i, n := range r.term.sortedNodes {
 			n.agent.Launch = func(ctx context.Context, _ *worker.Launch) (time.Duration, error) { return call(ctx, i%10 > 0) }
 		}
 		w := &job.Work{ID: "wide", Queue: job.Queue{Name: "wide", Pool: "p", Attempts: 2, Slack: 2, Target: time.Second}, Steps: []job.Step{
 			{Tasks: 400, Estimate: 10 * time.Second, Each: job.Resources{Millicores: 1000, MemoryMB: 10}},
 		}}
-		r.hand(0, w, 10*time.Second)
-		r.play(800 * time.Millisecond)
+		r.submitAt(0, w, 10*time.Second)
+		r.run(800 * time.Millisecond)
 		answered, wanted := int(begun.Load()-silent.Load()), 0
-		for i, n := range r.term.roll {
+		for i, n := range r.term.sortedNodes {
 			if i%10 > 0 {
 				wanted += len(n.runs)
 			}
--- a/dispatch/hope_test.go
+++ b/dispatch/lateness_test.go
@@ -22,22 +22,22 @@
 		work *job.Work
 		step int
 		age  time.Duration
-		want hope
+		want lateness
 	}{
-		"a gang, 15 s, of which 7 are needed":   {gang, 0, 7900 * time.Millisecond, hopeInTime},
-		"the gang is too old":                   {gang, 0, 8100 * time.Millisecond, hopeLate},
-		"its second step needs 4 s":             {gang, 1, 10900 * time.Millisecond, hopeInTime},
-		"its second step is too old":            {gang, 1, 11100 * time.Millisecond, hopeLate},
-		"nothing is left for it in 45 s":        {gang, 0, 38100 * time.Millisecond, hopeNone},
-		"a task may be half of its estimate":    {single, 0, 3900 * time.Millisecond, hopeInTime},
-		"a task that is too old for half of it": {single, 0, 4100 * time.Millisecond, hopeLate},
+		"a gang, 15 s, of which 7 are needed":   {gang, 0, 7900 * time.Millisecond, latenessOnTime},
+		"the gang is too old":                   {gang, 0, 8100 * time.Millisecond, latenessLate},
+		"its second step needs 4 s":             {gang, 1, 10900 * time.Millisecond, latenessOnTime},
+		"its second step is too old":            {gang, 1, 11100 * time.Millisecond, latenessLate},
+		"nothing is left for it in 45 s":        {gang, 0, 38100 * time.Millisecond, latenessExpired},
+		"a task may be half of its estimate":    {single, 0, 3900 * time.Millisecond, latenessOnTime},
+		"a task that is too old for half of it": {single, 0, 4100 * time.Millisecond, latenessLate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			w := *c.work
 			w.Accepted = now.Add(-c.age)
-			s := stageOf(&w).occ.stages[c.step]
-			is.New(t).Equal((&term{sizes: aging.New()}).urgencyOf(s, now).hope, c.want)
+			s := stageOf(&w).occurrence.stages[c.step]
+			is.New(t).Equal((&term{sizes: aging.New()}).urgencyOf(s, now).lateness, c.want)
 		})
 	}
 }
--- a/dispatch/observed_test.go
+++ b/dispatch/observed_test.go
@@ -31,25 +31,25 @@
 				func(worker.Info) *worker.Agent { return silent })})
 			term := newTerm(t.Context(), o, &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }})
 			defer term.close()
-			term.setWorker(listing)
-			term.add(&job.Work{ID: "batch", Queue: job.Queue{Attempts: 1}, Steps: []job.Step{{Tasks: 1}}, Accepted: time.Now()})
-			s := term.entries["batch"].live[0].stages[0]
-			term.start(s, 0, term.nodes["w"], 1)
+			term.updateListing(listing)
+			term.addWork(&job.Work{ID: "batch", Queue: job.Queue{Attempts: 1}, Steps: []job.Step{{Tasks: 1}}, Accepted: time.Now()})
+			s := term.entries["batch"].occurrences[0].stages[0]
+			term.startRun(s, 0, term.nodes["w"], 1)
 			ended := []worker.End{{Number: 1, Task: s.tasks[0].run.task(), Run: 1, How: worker.EndingDone}}
 			term.onHold(term.nodes["w"], &worker.Held{Clock: time.Second, Ended: ended}, nil)
 			is.Equal(term.entries["batch"].state, job.WorkCompleted)
 			if relisted {
 				term.changeWorkers([]store.Event{{Pair: store.Pair{Key: "workers/w"}, Deleted: true}})
-				term.setWorker(listing)
+				term.updateListing(listing)
 				term.onHold(term.nodes["w"], &worker.Held{Clock: 2 * time.Second, Ended: ended}, nil)
 			}
-			is.Equal(term.nodes["w"].observed, int64(0))
-			for _, waiting := range term.commits.queue {
+			is.Equal(term.nodes["w"].lastEndObserved, int64(0))
+			for _, waiting := range term.committer.queue {
 				for _, effect := range waiting.effects {
 					effect()
 				}
 			}
-			is.Equal(term.nodes["w"].observed, int64(1))
+			is.Equal(term.nodes["w"].lastEndObserved, int64(1))
 		})
 	}
 }
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -51,56 +51,56 @@
 	DefaultStopWithin = 200 * time.Millisecond
 	DefaultKeepEnded  = 2 * time.Minute
 
-	// eventRing bounds what waits for the loop; a full one holds up callers, not memory.
-	eventRing = 1024
-	// tickEvery is how often the term looks at what depends on time alone. It is below half of the
+	// eventBuffer bounds what waits for the loop; a full one holds up callers, not memory.
+	eventBuffer = 1024
+	// tickInterval is how often the term looks at what depends on time alone. It is below half of the
 	// 250 ms by which a timed start may come early or late.
-	tickEvery = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// holdWait is how long a worker waits for an end before it answers. A silent worker is noticed
-	// after holdWait and holdSlack.
-	holdWait  = time.Second
-	holdSlack = 500 * time.Millisecond
-	// holdLate is how long after a hold should have been answered its worker gets nothing new.
-	holdLate = 150 * time.Millisecond
-	// holdAgain and holdAgainMost bound the pauses after holds without an answer.
-	holdAgain     = 100 * time.Millisecond
-	holdAgainMost = 800 * time.Millisecond
-	// extendMisses holds in a row without an answer end the extension of a worker's lease: each of
+	// after holdWait and holdTimeoutSlack.
+	holdWait         = time.Second
+	holdTimeoutSlack = 500 * time.Millisecond
+	// holdLateAfter is how long after a hold should have been answered its worker gets nothing new.
+	holdLateAfter = 150 * time.Millisecond
+	// holdRetryMin and holdRetryMax bound the pauses after holds without an answer.
+	holdRetryMin = 100 * time.Millisecond
+	holdRetryMax = 800 * time.Millisecond
+	// extendMissLimit holds in a row without an answer end the extension of a worker's lease: each of
 	// them may have arrived, and only from the last one on the lapse can be reckoned.
-	extendMisses = 2
-	// holdGrace is how long after its own last confirmed moment an owner goes on extending the leases
+	extendMissLimit = 2
+	// extendGrace is how long after its own last confirmed moment an owner goes on extending the leases
 	// of workers. It carries running work through an outage of the store; a successor waits as long
 	// before it counts the lease of a worker that it cannot reach as lapsed.
-	holdGrace = 5 * time.Second
+	extendGrace = 5 * time.Second
 	// countGrace is how long after its last confirmed moment an owner still counts waiting work: the
 	// count may be two seconds old.
 	countGrace = time.Second
-	// clockSlack covers a worker's clock that runs a fiftieth slower than ours, doubled.
-	clockSlack = 0.04
+	// clockDriftFactor covers a worker's clock that runs a fiftieth slower than ours, doubled.
+	clockDriftFactor = 0.04
 	// lapseMargin covers the way of a hold to its worker.
 	lapseMargin = 300 * time.Millisecond
-	// launchVoid is when an order to start that has not arrived is void. It leaves time for a second
+	// launchValidity is when an order to start that has not arrived is void. It leaves time for a second
 	// try, and capacity is charged no longer than that for a start without an answer.
-	launchVoid = 1500 * time.Millisecond
-	// launchFirst and launchWithin bound the first and the second try; workers answer within
-	// milliseconds. A worker that is silent for launchFirst gets nothing new.
-	launchFirst  = 150 * time.Millisecond
-	launchWithin = 400 * time.Millisecond
-	// haltAgain is the pause before an order to stop is repeated.
-	haltAgain = 400 * time.Millisecond
-	// unwellFor is how long a worker that declined a call gets nothing new.
-	unwellFor = 700 * time.Millisecond
-	// observeWithin bounds the wait for a durable end before the lease is extended without it.
-	observeWithin = 400 * time.Millisecond
-	// stuckAfter is how long a commit may have no answer before new work is declined: what cannot be
+	launchValidity = 1500 * time.Millisecond
+	// firstLaunchTimeout and orderTimeout bound the first and the second try; workers answer within
+	// milliseconds. A worker that is silent for firstLaunchTimeout gets nothing new.
+	firstLaunchTimeout = 150 * time.Millisecond
+	orderTimeout       = 400 * time.Millisecond
+	// haltRetryPause is the pause before an order to stop is repeated.
+	haltRetryPause = 400 * time.Millisecond
+	// unwellDuration is how long a worker that declined a call gets nothing new.
+	unwellDuration = 700 * time.Millisecond
+	// observeTimeout bounds the wait for a durable end before the lease is extended without it.
+	observeTimeout = 400 * time.Millisecond
+	// commitStuckAfter is how long a commit may have no answer before new work is declined: what cannot be
 	// made durable is refused at once, not held. Twice the answer of a slow store.
-	stuckAfter = 700 * time.Millisecond
-	// storeWithin bounds one call of the store as this package sees it.
-	storeWithin = time.Second
-	// mostOps is how many entries one transaction may have.
-	mostOps = 32
-	// endedExtra is kept beyond KeepEnded, for repeats and clocks that differ.
-	endedExtra = 30 * time.Second
+	commitStuckAfter = 700 * time.Millisecond
+	// storeTimeout bounds one call of the store as this package sees it.
+	storeTimeout = time.Second
+	// maxTxnOps is how many entries one transaction may have.
+	maxTxnOps = 32
+	// endedRetentionExtra is kept beyond KeepEnded, for repeats and clocks that differ.
+	endedRetentionExtra = 30 * time.Second
 )
 
 // Option sets up a Dispatcher.
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -16,30 +16,30 @@
 	if r.ended {
 		return
 	}
-	if r.s.e.state.Final() || r.stopping || r.n.stopped(t) || r.n.clockAt.IsZero() {
+	if r.stage.entry.state.Final() || r.stopping || r.node.isRemoved(t) || r.node.clockAt.IsZero() {
 		// Nothing was sent, and only this term could have sent it.
-		t.neverRan(r, "it was given up before it was sent")
+		t.onNeverStarted(r, "it was given up before it was sent")
 		return
 	}
-	k := &r.s.tasks[r.index]
-	r.begun, r.doubt = now, true
-	r.until = r.n.clockNow(now) + launchVoid
+	k := &r.stage.tasks[r.index]
+	r.sentAt, r.uncertain = now, true
+	r.startExpires = r.node.clockNow(now) + launchValidity
 	order := &worker.Launch{
-		Task: r.task(), Run: r.number, Spec: r.s.e.work.Spec, Until: r.until, Fence: t.tenure.Fence,
-		Permit: r.s.ticket(r.n.id), Checkpoint: k.checkpoint,
+		Task: r.task(), Run: r.number, Spec: r.stage.entry.work.Spec, Until: r.startExpires, Fence: t.tenure.Fence,
+		Permit: r.stage.ticket(r.node.id), Checkpoint: k.checkpoint,
 	}
-	agent := r.n.agent
+	agent := r.node.agent
 	t.wg.Go(func() {
-		err := t.call(t.ctx, agent, launchFirst, func(ctx context.Context) error {
+		err := t.call(t.ctx, agent, firstLaunchTimeout, func(ctx context.Context) error {
 			_, err := agent.Launch(ctx, order)
 			return err
 		})
-		open := err != nil && !definite(err)
+		open := err != nil && !isDefinite(err)
 		if open && t.ctx.Err() == nil {
 			// What is sent to a worker that is cut off stays charged there until the cut has healed or
 			// its lease has lapsed; the sooner it gets nothing new, the fewer callers wait for that.
-			t.post(func() { r.n.silentAt = time.Now() })
-			err = t.call(t.ctx, agent, launchWithin, func(ctx context.Context) error {
+			t.post(func() { r.node.silentAt = time.Now() })
+			err = t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) error {
 				_, err := agent.Launch(ctx, order)
 				return err
 			})
@@ -48,8 +48,8 @@
 	})
 }
 
-// definite reports whether an error says for certain what became of an order.
-func definite(err error) bool {
+// isDefinite reports whether an error says for certain what became of an order.
+func isDefinite(err error) bool {
 	var refused *worker.Refusal
 	return errors.As(err, &refused) || errors.Is(err, worker.ErrReplaced) || errors.Is(err, worker.ErrUnwell)
 }
@@ -66,45 +66,45 @@
 		return
 	}
 	t.o.Metrics.Counter("dispatch.startsRefused").Inc(1)
-	t.log.Info("dispatch: start without success", zap.String("id", r.s.e.work.ID), zap.Int("step", r.s.index), zap.Int("task", r.index),
-		zap.Int64("run", r.number), zap.String("worker", r.n.id), zap.Error(err))
+	t.log.Info("dispatch: start without success", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
+		zap.Int64("run", r.number), zap.String("worker", r.node.id), zap.Error(err))
 	var refused *worker.Refusal
 	switch {
 	case errors.As(err, &refused) && (!open || refused.Reason == worker.ReasonFenced):
 		t.onRefused(r, refused.Reason)
-	case open && definite(err) && !errors.Is(err, worker.ErrReplaced):
+	case open && isDefinite(err) && !errors.Is(err, worker.ErrReplaced):
 		// A hold made after the order is void shows whether the earlier try began the run.
-		r.n.unwell = time.Now().Add(unwellFor)
+		r.node.unwellUntil = time.Now().Add(unwellDuration)
 	case errors.Is(err, worker.ErrReplaced):
-		r.n.listed = false
-		t.gone(r.n, worker.EndingLapsed, "its lifetime is over")
+		r.node.listed = false
+		t.endLifetime(r.node, worker.EndingLapsed, "its lifetime is over")
 	case errors.Is(err, worker.ErrUnwell):
-		r.n.unwell = time.Now().Add(unwellFor)
-		t.neverRan(r, "the worker is unwell")
+		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		t.onNeverStarted(r, "the worker is unwell")
 	default:
 		// The order may still be carried out; holds will tell.
-		r.n.silentAt = time.Now()
+		r.node.silentAt = time.Now()
 	}
 }
 
 func (t *term) onRefused(r *run, reason worker.Reason) {
 	switch reason {
 	case worker.ReasonFenced:
-		t.lose("a worker knows a later owner", &worker.Refusal{Reason: reason})
+		t.loseOwnership("a worker knows a later owner", &worker.Refusal{Reason: reason})
 	case worker.ReasonOld:
 		// A first try of this order may have gone through, and the run may have ended since. The next
 		// hold lists that end, or shows that there is none.
-		r.until = r.n.clockNow(time.Now())
+		r.startExpires = r.node.clockNow(time.Now())
 	case worker.ReasonPermit:
-		r.s.forget(r.n.id)
-		t.neverRan(r, "its permit had expired")
+		r.stage.expireTicket(r.node.id)
+		t.onNeverStarted(r, "its permit had expired")
 	case worker.ReasonInvalid:
-		t.log.Error("dispatch: a worker does not understand an order", zap.String("id", r.s.e.work.ID), zap.String("worker", r.n.id))
-		r.n.unwell = time.Now().Add(unwellFor)
-		t.neverRan(r, "the worker did not understand")
+		t.log.Error("dispatch: a worker does not understand an order", zap.String("id", r.stage.entry.work.ID), zap.String("worker", r.node.id))
+		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		t.onNeverStarted(r, "the worker did not understand")
 	default:
-		r.n.unwell = time.Now().Add(unwellFor)
-		t.neverRan(r, "the worker refused: "+string(reason))
+		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		t.onNeverStarted(r, "the worker refused: "+string(reason))
 	}
 }
 
@@ -113,17 +113,17 @@
 func (t *term) halt(r *run) {
 	now := time.Now()
 	r.stopping, r.haltedAt = true, now
-	if r.n.agent == nil || r.n.stopped(t) {
+	if r.node.agent == nil || r.node.isRemoved(t) {
 		return
 	}
-	if !r.confirmed && !r.recovered && r.begun.IsZero() {
+	if !r.confirmed && !r.recovered && r.sentAt.IsZero() {
 		return // its start was not sent yet, and will not be
 	}
-	agent := r.n.agent
+	agent := r.node.agent
 	order := &worker.Halt{Task: r.task(), Run: r.number, Fence: t.tenure.Fence}
 	t.wg.Go(func() {
 		var clock time.Duration
-		err := t.call(t.ctx, agent, launchWithin, func(ctx context.Context) (err error) {
+		err := t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) (err error) {
 			clock, err = agent.Halt(ctx, order)
 			return err
 		})
@@ -138,25 +138,25 @@
 	var refused *worker.Refusal
 	switch {
 	case err == nil:
-		r.doubt, r.until = true, clock
+		r.uncertain, r.startExpires = true, clock
 	case errors.As(err, &refused) && refused.Reason == worker.ReasonFenced:
-		t.lose("a worker knows a later owner", err)
+		t.loseOwnership("a worker knows a later owner", err)
 	case errors.Is(err, worker.ErrReplaced):
-		r.n.listed = false
-		t.gone(r.n, worker.EndingLapsed, "its lifetime is over")
+		r.node.listed = false
+		t.endLifetime(r.node, worker.EndingLapsed, "its lifetime is over")
 	default:
-		t.log.Info("dispatch: stop without success", zap.String("id", r.s.e.work.ID), zap.Int64("run", r.number),
-			zap.String("worker", r.n.id), zap.Error(err))
+		t.log.Info("dispatch: stop without success", zap.String("id", r.stage.entry.work.ID), zap.Int64("run", r.number),
+			zap.String("worker", r.node.id), zap.Error(err))
 	}
 }
 
-// haltStrange stops a run that this term has no record of: a start of a former owner whose intent was
+// haltUnknown stops a run that this term has no record of: a start of a former owner whose intent was
 // overtaken by the end of its work.
-func (t *term) haltStrange(n *node, a *worker.Active) {
+func (t *term) haltUnknown(n *node, a *worker.Active) {
 	agent := n.agent
 	order := &worker.Halt{Task: a.Task, Run: a.Run, Fence: t.tenure.Fence}
 	t.wg.Go(func() {
-		err := t.call(t.ctx, agent, launchWithin, func(ctx context.Context) error {
+		err := t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) error {
 			_, err := agent.Halt(ctx, order)
 			return err
 		})
--- a/dispatch/outage_test.go
+++ b/dispatch/outage_test.go
@@ -28,7 +28,7 @@
 		"declines":              {func(v *vm, on bool) { v.store.Down(on) }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) { outage(t, c.fault, c.open) })
+			inBubble(t, func(t *testing.T) { outage(t, c.fault, c.open) })
 		})
 	}
 }
@@ -61,7 +61,7 @@
 			err := v.front.Submit(ctx, c.work(id, job.Step{Tasks: 1}))
 			mu.Lock()
 			defer mu.Unlock()
-			codes[id] = codeOf(err)
+			codes[id] = faultCode(err)
 		})
 		time.Sleep(25 * time.Millisecond)
 	}
@@ -76,18 +76,18 @@
 			is.Equal(c.runs(id), 0)
 		}
 		if code == "" {
-			c.until(c.owner(), id, job.WorkCompleted, time.Second)
+			c.waitForState(c.owner(), id, job.WorkCompleted, time.Second)
 		}
 	}
 	t.Logf("callers heard: %d accepted, %d refused, %d open", heard[""], heard[rpc.CodeRefused], heard[rpc.CodeUnknown])
 	is.True(heard[rpc.CodeUnknown] <= open)
 	is.True(heard[""] >= 18)
 	is.True(!first.dead.Load())
-	c.judge()
+	c.checkHistory()
 }
 
-// codeOf gives the code of a fault, empty for success; any other error leaves the outcome open.
-func codeOf(err error) rpc.Code {
+// faultCode gives the code of a fault, empty for success; any other error leaves the outcome open.
+func faultCode(err error) rpc.Code {
 	switch fault := rpc.AsFault(err); {
 	case err == nil:
 		return ""
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -16,8 +16,8 @@
 // benchVMs is how many VMs may ask the policy service in the benchmarks.
 const benchVMs = 97
 
-// fullCell is a term with workers that are full and stages that wait, none of which can start.
-func fullCell(b *testing.B, workers, stages, allowed int) *term {
+// fullTerm is a term with workers that are full and stages that wait, none of which can start.
+func fullTerm(b *testing.B, workers, stages, allowed int) *term {
 	var vms []owner.Node
 	for i := range benchVMs {
 		vms = append(vms, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
@@ -29,9 +29,9 @@
 	for i := range workers {
 		n := t.nodeFor(fmt.Sprintf("w%04d", i))
 		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}, Pool: "p"}
-		n.listed, n.synced, n.heard = true, true, now.Add(time.Second)
+		n.listed, n.synced, n.heardAt = true, true, now.Add(time.Second)
 		n.free = job.Resources{Millicores: 100, MemoryMB: 64000}
-		n.file()
+		n.updateIndex()
 		ids = append(ids, n.id)
 	}
 	for i := range stages {
@@ -39,12 +39,12 @@
 			ID: fmt.Sprint(i), Accepted: now.Add(time.Duration(i) * time.Millisecond), Queue: job.Queue{Pool: "p", Attempts: 2, Slack: 4, Target: time.Hour, Permit: &job.PermitCost{}},
 			Steps: []job.Step{{Tasks: 10, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Gang: i%10 == 9}},
 		}
-		t.add(w)
-		s := t.entries[w.ID].live[0].stages[0]
-		s.answers = make(map[string]ticket)
+		t.addWork(w)
+		s := t.entries[w.ID].occurrences[0].stages[0]
+		s.tickets = make(map[string]ticket)
 		for k := range ids {
 			if k < 100 {
-				s.answers[ids[(i*7+k)%len(ids)]] = ticket{allowed: k < allowed, until: now.Add(time.Hour)}
+				s.tickets[ids[(i*7+k)%len(ids)]] = ticket{allowed: k < allowed, until: now.Add(time.Hour)}
 			}
 		}
 	}
@@ -55,9 +55,9 @@
 func BenchmarkPass(b *testing.B) {
 	for _, size := range []struct{ workers, stages int }{{48, 60}, {350, 400}, {770, 1000}, {3000, 4000}} {
 		b.Run(fmt.Sprintf("workers=%d/stages=%d", size.workers, size.stages), func(b *testing.B) {
-			t := fullCell(b, size.workers, size.stages, 40)
+			t := fullTerm(b, size.workers, size.stages, 40)
 			for b.Loop() {
-				t.place(time.Now())
+				t.runPass(time.Now())
 			}
 		})
 	}
@@ -70,27 +70,27 @@
 	is := is.New(t)
 	const lost = 300
 	stages := make([]*stage, lost)
-	order := []urgency{{s: &stage{}, hope: hopeInTime}, {s: &stage{}, hope: hopeLate}}
+	order := []urgency{{stage: &stage{}, lateness: latenessOnTime}, {stage: &stage{}, lateness: latenessLate}}
 	for i := range stages {
 		stages[i] = &stage{}
-		order = append(order, urgency{s: stages[i], hope: hopeNone})
+		order = append(order, urgency{stage: stages[i], lateness: latenessExpired})
 	}
-	stages[250].kept = []keptRoom{{tasks: 1}}
+	stages[250].setAside = []allocation{{tasks: 1}}
 	tried := make(map[*stage]int)
 	var p pass
-	for range lost/lostTried + 1 {
+	for range lost/expiredPerPass + 1 {
 		p.number++
-		some := p.someLost(slices.Clone(order))
-		is.Equal(some[0].s, order[0].s)
-		is.Equal(some[1].s, order[1].s)
-		is.Equal(some[2].s, stages[250])
-		is.Equal(len(some), 3+lostTried)
+		some := p.limitExpired(slices.Clone(order))
+		is.Equal(some[0].stage, order[0].stage)
+		is.Equal(some[1].stage, order[1].stage)
+		is.Equal(some[2].stage, stages[250])
+		is.Equal(len(some), 3+expiredPerPass)
 		for _, u := range some {
-			tried[u.s]++
+			tried[u.stage]++
 		}
 	}
 	is.Equal(len(tried), lost+2)
-	is.Equal(len(p.someLost(slices.Clone(order[:2+lostTried]))), 2+lostTried)
+	is.Equal(len(p.limitExpired(slices.Clone(order[:2+expiredPerPass]))), 2+expiredPerPass)
 }
 
 // The workers of a caller's availability zone are there and may get nothing new, as when the zone has just been cut off.
@@ -100,17 +100,17 @@
 	now := time.Now()
 	tm := newTerm(t.Context(), newOptions(nil), &owner.Tenure{Fence: 1})
 	has := job.Resources{Millicores: 16000, MemoryMB: 64000}
-	for i := range scanMost + 100 {
+	for i := range maxFullScan + 100 {
 		n := tm.nodeFor(fmt.Sprintf("w%04d", i))
 		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Zone: fmt.Sprint("z", i%2), Has: has}, Pool: "p"}
-		n.listed, n.synced, n.heard, n.free = true, i%2 == 1, now.Add(time.Second), has
-		n.file()
+		n.listed, n.synced, n.heardAt, n.free = true, i%2 == 1, now.Add(time.Second), has
+		n.updateIndex()
 	}
 	s := stageOf(&job.Work{
 		ID: "check", Zone: "z0", Queue: job.Queue{Pool: "p", Permit: &checkCost},
 		Steps: []job.Step{{Tasks: 3, Each: job.Resources{Millicores: 4000, MemoryMB: 100}}},
 	})
-	list := tm.unnamed(s, now)
+	list := tm.unnamedCandidates(s, now)
 	named := list[:tm.nameCount(s, list)]
 	usable := 0
 	for _, c := range named {
@@ -118,6 +118,6 @@
 			usable++
 		}
 	}
-	is.Equal(len(named), namedLeast)
-	is.Equal(usable, namedLeast)
+	is.Equal(len(named), minNamedWorkers)
+	is.Equal(usable, minNamedWorkers)
 }
--- a/dispatch/path_test.go
+++ b/dispatch/path_test.go
@@ -14,7 +14,7 @@
 
 // A caller hands work in at any entry VM and sees it completed at any other.
 func TestWorkIsDone(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.workers(3, 4)
 		c.owner()
@@ -23,16 +23,16 @@
 		}
 		for _, v := range c.vms {
 			for _, o := range c.vms {
-				c.until(o, "0000-"+v.id, job.WorkCompleted, 10*time.Second)
+				c.waitForState(o, "0000-"+v.id, job.WorkCompleted, 10*time.Second)
 			}
 		}
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // Steps run in their order, and a task that fails runs again, elsewhere, until its attempts are used up.
 func TestStepsAndAttempts(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, run int64) floor.Behaviour {
 			b := floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Attempts: 2, Needs: job.Resources{Millicores: 1000}}
@@ -47,17 +47,17 @@
 		w.Steps = append(w.Steps, job.Step{Tasks: 2, Each: w.Steps[0].Each, After: []int{0}})
 		c.submit(v, w)
 		c.submit(v, c.work("bad", job.Step{Tasks: 1}))
-		c.until(v, "good", job.WorkCompleted, 10*time.Second)
-		c.until(v, "bad", job.WorkFailed, 10*time.Second)
+		c.waitForState(v, "good", job.WorkCompleted, 10*time.Second)
+		c.waitForState(v, "bad", job.WorkFailed, 10*time.Second)
 		is.Equal(c.runs("good"), 5)
 		is.Equal(c.runs("bad"), 2)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A repeat of an ID is the same work, also after its end; work that nobody handed in is not found.
 func TestRepeatedID(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(1, 4)
@@ -66,18 +66,18 @@
 			for _, v := range c.vms {
 				c.submit(v, c.work("same", job.Step{Tasks: 1}))
 			}
-			c.until(c.owner(), "same", job.WorkCompleted, 10*time.Second)
+			c.waitForState(c.owner(), "same", job.WorkCompleted, 10*time.Second)
 		}
 		is.Equal(c.runs("same"), 1)
 		_, err := c.state(c.owner(), "other")
 		is.True(isNotFound(err))
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A caller cancels while tasks run: the state is shown at once, the tasks are stopped, none starts again.
 func TestCancel(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Minute), "vm1", "vm2")
 		ws := c.workers(2, 4)
@@ -95,13 +95,13 @@
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active()+ws[1].Active(), 0)
 		is.Equal(c.runs("long"), 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // The owner dies: another VM takes over, what runs goes on, and nothing runs twice.
 func TestOwnerDies(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(8*time.Second), "vm1", "vm2", "vm3")
 		c.workers(3, 4)
@@ -111,15 +111,15 @@
 		c.kill(first)
 		second := c.owner()
 		is.True(second != first)
-		c.until(second, "roster", job.WorkCompleted, 30*time.Second)
+		c.waitForState(second, "roster", job.WorkCompleted, 30*time.Second)
 		is.Equal(c.runs("roster"), 15)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A planned stop hands the cell over without the wait for a lease.
 func TestHandOver(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(1, 4)
@@ -135,7 +135,7 @@
 // All entry VMs lose power and come back while the owner's lease has not lapsed. The owner's VM knows
 // the key as that of its own dead process and goes on at once, so that nobody waits for the lease.
 func TestAllRestart(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(4*time.Second), "vm1", "vm2", "vm3")
 		c.workers(2, 4)
@@ -151,16 +151,16 @@
 		}
 		again := c.owner()
 		is.True(time.Since(begun) < 700*time.Millisecond)
-		c.until(again, "roster", job.WorkCompleted, 20*time.Second)
+		c.waitForState(again, "roster", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("roster"), 10)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A weak VM owns the cell because it came first. When a strong one has been there for a while it gets
 // the cell, keeps it when more weak ones come, and nothing that runs is run again.
 func TestStrongVMOwns(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(6*time.Second), "a-weak")
 		c.workers(2, 4)
@@ -172,12 +172,12 @@
 		time.Sleep(4 * time.Second)
 		strong := c.owner()
 		is.Equal(strong.id, "z-strong")
-		c.until(strong, "roster", job.WorkCompleted, 20*time.Second)
+		c.waitForState(strong, "roster", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("roster"), 8)
 		time.Sleep(10 * time.Second)
 		is.Equal(c.owner().id, "z-strong")
 		c.kill(strong)
 		is.True(c.owner().id != "z-strong")
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/overdue_test.go
+++ b/dispatch/probe_test.go
@@ -15,7 +15,7 @@
 // ends that such a hold should have told of are heard only once it is given up, after a second and a half:
 // a check of 800 ms that should be done within 1.4 s is late then, though its tasks ended in time.
 func TestLostHoldsDelayFewChecks(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
 		for _, w := range c.workers(16, 16) {
@@ -40,6 +40,6 @@
 		}
 		t.Logf("%d of %d checks were late", late, checks)
 		is.True(late <= checks/100)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -31,10 +31,10 @@
 		}
 		key := found[i].Key
 		if strings.HasPrefix(key, workPrefix) {
-			out[workID(key, workPrefix)] = true
+			out[idFromKey(key, workPrefix)] = true
 		}
 		if strings.HasPrefix(key, endedPrefix) {
-			out[workID(key, endedPrefix)] = true
+			out[idFromKey(key, endedPrefix)] = true
 		}
 	}
 	return out
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -52,12 +52,12 @@
 	// Fails counts the failed runs of a gang; Failing says that a member of its present run has failed.
 	Fails   int  `msgpack:"f,omitempty"`
 	Failing bool `msgpack:"g,omitempty"`
-	// Unheard lists runs of a gang that are over and may still turn out to have failed.
-	Unheard []unheardRecord `msgpack:"u,omitempty"`
-	Tasks   []taskRecord    `msgpack:"t"`
+	// Unresolved lists runs of a gang that are over and may still turn out to have failed.
+	Unresolved []unresolvedRecord `msgpack:"u,omitempty"`
+	Tasks      []taskRecord       `msgpack:"t"`
 }
 
-type unheardRecord struct {
+type unresolvedRecord struct {
 	Run    int64  `msgpack:"r"`
 	Worker string `msgpack:"w"`
 }
@@ -88,4 +88,4 @@
 	return raw
 }
 
-func workID(key, prefix string) string { return strings.TrimPrefix(key, prefix) }
+func idFromKey(key, prefix string) string { return strings.TrimPrefix(key, prefix) }
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -15,9 +15,9 @@
 	"turmericgap/store/retry"
 )
 
-// watchPause is kept between two answers of the watch over accepted work. The entry VMs tell of it
+// worksWatchPause is kept between two answers of the watch over accepted work. The entry VMs tell of it
 // directly; the watch only finds what they could not tell.
-const watchPause = 300 * time.Millisecond
+const worksWatchPause = 300 * time.Millisecond
 
 // recover reads the cell's state; false means that the tenure ended before. The three readings go at the
 // same time: at a store that takes a third of a second for an answer a take-over lasts that long, not
@@ -31,7 +31,7 @@
 		reads.Go(func() {
 			res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
 				return t.o.Store.Range(ctx, store.Range{Key: prefix, End: store.PrefixEnd(prefix)})
-			}, retry.Between(commitAgain, commitAgainMost))
+			}, retry.Between(commitRetryMin, commitRetryMax))
 			if err == nil {
 				found[i] = res.Pairs
 			}
@@ -43,11 +43,11 @@
 	}
 	marks, states, works := found[0], found[1], found[2]
 	for i := range marks {
-		t.commits.resume(marks[i].Key, marks[i].ModRevision)
+		t.committer.setRevision(marks[i].Key, marks[i].ModRevision)
 	}
 	t.config, t.rules = t.o.Config(), t.o.Rules()
 	t.restore(works, states)
-	t.wg.Go(t.readEnded)
+	t.wg.Go(t.loadEnded)
 	t.followAll()
 	return true
 }
@@ -62,7 +62,7 @@
 			t.log.Error("dispatch: a state cannot be read", zap.String("key", states[i].Key), zap.Error(err))
 			continue
 		}
-		progressOf[workID(states[i].Key, statePrefix)] = p
+		progressOf[idFromKey(states[i].Key, statePrefix)] = p
 	}
 	runs := 0
 	for i := range works {
@@ -72,13 +72,13 @@
 		}
 		p := progressOf[w.ID]
 		if p == nil {
-			t.add(w)
+			t.addWork(w)
 			continue
 		}
-		runs += t.resume(w, p)
+		runs += t.restoreEntry(w, p)
 	}
 	t.log.Info("dispatch: the cell's state was read", zap.Int("works", len(t.entries)), zap.Int("runs", runs),
-		zap.Duration("took", time.Since(t.since)))
+		zap.Duration("took", time.Since(t.startedAt)))
 }
 
 func (t *term) decodeWork(p store.Pair) *job.Work {
@@ -90,51 +90,51 @@
 	return w
 }
 
-// resume rebuilds an entry that had started, and gives how many of its runs may be present on workers.
-func (t *term) resume(w *job.Work, p *progress) int {
+// restoreEntry rebuilds an entry that had started, and gives how many of its runs may be present on workers.
+func (t *term) restoreEntry(w *job.Work, p *progress) int {
 	e := newEntry(w)
-	t.adopt(e)
-	e.runs, e.begun = p.Runs, p.Begun
+	t.applyQueueConfig(e)
+	e.lastRun, e.occurrencesBegun = p.Runs, p.Begun
 	e.state = job.WorkQueued
 	if p.State.Final() {
 		e.state = p.State
 	}
-	e.shown = e.visible()
+	e.durableState = e.reportedState()
 	t.entries[w.ID] = e
-	t.noteSize(e)
+	t.recordSize(e)
 	for i := range p.Live {
-		t.resumeOccurrence(e, &p.Live[i])
+		t.restoreOccurrence(e, &p.Live[i])
 	}
-	if w.Occurrences > e.begun {
+	if w.Occurrences > e.occurrencesBegun {
 		t.timed[e] = struct{}{}
 	}
 	if e.state.Final() {
-		t.settle(e)
+		t.saveUnlessEnded(e)
 		t.haltAll(e)
-		return e.held
+		return e.activeRuns
 	}
-	for _, o := range e.live {
+	for _, o := range e.occurrences {
 		t.openStages(o)
 	}
-	return e.held
+	return e.activeRuns
 }
 
-func (t *term) resumeOccurrence(e *entry, or *occurrenceRecord) {
-	begun := e.begun
-	o := e.begin(or.Number)
-	e.begun = begun
+func (t *term) restoreOccurrence(e *entry, or *occurrenceRecord) {
+	begun := e.occurrencesBegun
+	o := e.openOccurrence(or.Number)
+	e.occurrencesBegun = begun
 	for i := range or.Steps {
 		if i < len(o.stages) {
-			t.resumeStage(o.stages[i], &or.Steps[i])
+			t.restoreStage(o.stages[i], &or.Steps[i])
 		}
 	}
 }
 
-func (t *term) resumeStage(s *stage, sr *stageRecord) {
-	s.fails = sr.Fails
-	s.occ.begun = s.occ.begun || slices.ContainsFunc(sr.Tasks, func(tr taskRecord) bool { return tr.Run > 0 })
-	for _, u := range sr.Unheard {
-		s.unheard = append(s.unheard, unheard{u.Run, u.Worker, t.firstLapse()})
+func (t *term) restoreStage(s *stage, sr *stageRecord) {
+	s.failures = sr.Fails
+	s.occurrence.started = s.occurrence.started || slices.ContainsFunc(sr.Tasks, func(tr taskRecord) bool { return tr.Run > 0 })
+	for _, u := range sr.Unresolved {
+		s.unresolved = append(s.unresolved, unresolvedRun{u.Run, u.Worker, t.initialLeaseEnd()})
 	}
 	for i := range sr.Tasks {
 		if i >= len(s.tasks) {
@@ -142,18 +142,18 @@
 		}
 		tr := &sr.Tasks[i]
 		k := &s.tasks[i]
-		k.fails, k.number, k.checkpoint = tr.Fails, tr.Run, tr.Checkpoint
+		k.failures, k.number, k.checkpoint = tr.Fails, tr.Run, tr.Checkpoint
 		switch tr.Phase {
 		case phaseStarted:
 			k.phase = phaseStarted
 			s.waiting--
-			t.resumeRun(s, i, tr)
+			t.restoreRun(s, i, tr)
 		case phaseDone:
 			k.phase = phaseDone
 			s.waiting--
 			s.done++
-			s.occ.left--
-			s.e.started = true
+			s.occurrence.tasksLeft--
+			s.entry.started = true
 		default:
 		}
 	}
@@ -161,32 +161,32 @@
 		// The worker was told that this end is taken note of, and will not list it again. Without the
 		// record the run would count as stopped, and the gang be started once too often.
 		s.gang.failed = true
-		t.breakGang(s)
+		t.abortGang(s)
 	}
 }
 
-// resumeRun charges a run that a former owner may have started.
-func (t *term) resumeRun(s *stage, index int, tr *taskRecord) {
+// restoreRun charges a run that a former owner may have started.
+func (t *term) restoreRun(s *stage, index int, tr *taskRecord) {
 	n := t.nodeFor(tr.Worker)
 	if n.leaseEnd.IsZero() {
-		n.leaseEnd = t.firstLapse()
+		n.leaseEnd = t.initialLeaseEnd()
 	}
-	r := &run{s: s, index: index, number: tr.Run, n: n, need: s.charge(), recovered: true, begun: t.since}
+	r := &run{stage: s, index: index, number: tr.Run, node: n, need: s.taskResources(), recovered: true, sentAt: t.startedAt}
 	s.tasks[index].run = r
-	s.e.held++
-	n.take(r)
+	s.entry.activeRuns++
+	n.charge(r)
 	if !s.spec.Gang {
 		return
 	}
 	if s.gang == nil {
 		s.gang = &gangRun{number: tr.Run}
 	}
-	s.gang.members++
+	s.gang.membersLeft++
 }
 
-// readEnded reads the records of ended work, which nothing waits for: a state that is asked for
+// loadEnded reads the records of ended work, which nothing waits for: a state that is asked for
 // meanwhile is read from the store.
-func (t *term) readEnded() {
+func (t *term) loadEnded() {
 	res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
 		return t.o.Store.Range(ctx, store.Range{Key: endedPrefix, End: store.PrefixEnd(endedPrefix)})
 	})
@@ -200,13 +200,13 @@
 			t.log.Error("dispatch: a record cannot be read", zap.String("key", res.Pairs[i].Key), zap.Error(err))
 			continue
 		}
-		found[workID(res.Pairs[i].Key, endedPrefix)] = end
+		found[idFromKey(res.Pairs[i].Key, endedPrefix)] = end
 	}
 	t.post(func() {
 		for id, end := range found {
-			t.noteEnded(id, end)
+			t.addEnded(id, end)
 		}
-		t.endedRead = true
+		t.endedLoaded = true
 	})
 }
 
@@ -221,7 +221,7 @@
 		}
 		t.post(func() {
 			for _, w := range works {
-				t.add(w)
+				t.addWork(w)
 			}
 		})
 	}
@@ -231,7 +231,7 @@
 // followWritten hears of the keys below a prefix that are there or are written.
 func (t *term) followWritten(prefix string, take func([]store.Pair)) {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: prefix, Pause: watchPause, Logger: t.log,
+		Store: t.o.Store, Prefix: prefix, Pause: worksWatchPause, Logger: t.log,
 		Reset: func(pairs []store.Pair, _ int64) { take(pairs) },
 		Change: func(events []store.Event, _ int64) {
 			if pairs := follow.Written(events); len(pairs) > 0 {
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -11,10 +11,10 @@
 	"turmericgap/worker"
 )
 
-// relayed is a cell whose owner reaches two of its 24 workers by itself and the others by way of other VMs.
-func relayed(t *testing.T) (c *cell, first *vm) {
+// relayedCell is a cell whose owner reaches two of its 24 workers by itself and the others by way of other VMs.
+func relayedCell(t *testing.T) (c *cell, first *vm) {
 	c = newCell(t, runsFor(2*time.Second))
-	c.own = 2
+	c.directWorkers = 2
 	for i := range 5 {
 		c.boot(fmt.Sprint("vm", i+1))
 	}
@@ -28,7 +28,7 @@
 func (c *cell) relaysOf(v *vm) []*vm {
 	var list []*vm
 	for _, other := range c.vms {
-		if other != v && other.served.Load() > 0 {
+		if other != v && other.relayedCalls.Load() > 0 {
 			list = append(list, other)
 		}
 	}
@@ -41,14 +41,14 @@
 func TestRelayIsLost(t *testing.T) {
 	for name, lose := range map[string]func(c *cell, r *vm){
 		"dies":                      func(c *cell, r *vm) { c.kill(r) },
-		"is cut off from the owner": func(_ *cell, r *vm) { r.unheard.Store(true) },
-		"is cut off from workers":   func(_ *cell, r *vm) { r.deaf.Store(true) },
-		"answers late":              func(_ *cell, r *vm) { r.lateRelay.Store(int64(400 * time.Millisecond)) },
+		"is cut off from the owner": func(_ *cell, r *vm) { r.repliesCut.Store(true) },
+		"is cut off from workers":   func(_ *cell, r *vm) { r.workersCut.Store(true) },
+		"answers late":              func(_ *cell, r *vm) { r.replyDelay.Store(int64(400 * time.Millisecond)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c, first := relayed(t)
+				c, first := relayedCell(t)
 				for i := range 6 {
 					c.submit(first, c.work(fmt.Sprint("before", i), job.Step{Tasks: 8}))
 				}
@@ -62,7 +62,7 @@
 				for i := range 6 {
 					for _, when := range []string{"before", "after"} {
 						id := fmt.Sprint(when, i)
-						c.until(first, id, job.WorkCompleted, 6*time.Second)
+						c.waitForState(first, id, job.WorkCompleted, 6*time.Second)
 						is.Equal(c.runs(id), 8)
 					}
 				}
@@ -70,7 +70,7 @@
 					is.Equal(r.How, worker.EndingDone)
 				}
 				is.True(first.disp.Leads())
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -79,11 +79,11 @@
 // The owner dies while starts of its are under way by way of a relay that holds them up. They reach the workers after
 // its successor has: they are refused there, and each task is done once.
 func TestLateOrdersOfARelay(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c, first := relayed(t)
+		c, first := relayedCell(t)
 		relays := c.relaysOf(first)
-		relays[0].lateCalls.Store(int64(1200 * time.Millisecond))
+		relays[0].callDelay.Store(int64(1200 * time.Millisecond))
 		for i := range 6 {
 			c.submit(first, c.work(fmt.Sprint("work", i), job.Step{Tasks: 8}))
 		}
@@ -91,11 +91,11 @@
 		c.kill(first)
 		next := c.successor(first)
 		time.Sleep(time.Second)
-		relays[0].lateCalls.Store(0)
+		relays[0].callDelay.Store(0)
 		for i := range 6 {
-			c.until(next, fmt.Sprint("work", i), job.WorkCompleted, 20*time.Second)
+			c.waitForState(next, fmt.Sprint("work", i), job.WorkCompleted, 20*time.Second)
 		}
 		is.True(next.disp.Leads())
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -21,7 +21,7 @@
 	term *term
 	// ticker stands for the term's own ticks.
 	ticker *time.Ticker
-	due    moments
+	events eventHeap
 	// runs gives how long a task works.
 	runs map[string]time.Duration
 	// began is when the load began; the decisions are listed from there.
@@ -31,20 +31,20 @@
 	ended int
 }
 
-// moment is something that happens at a time.
-type moment struct {
+// timedEvent is something that happens at a time.
+type timedEvent struct {
 	at time.Time
 	do func()
 }
 
-// moments is a heap of them.
-type moments []moment
+// eventHeap is a heap of them.
+type eventHeap []timedEvent
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m eventHeap) Len() int           { return len(m) }
+func (m eventHeap) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
+func (m eventHeap) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
+func (m *eventHeap) Push(x any)        { *m = append(*m, x.(timedEvent)) }
+func (m *eventHeap) Pop() any {
 	last := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return last
@@ -61,7 +61,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(takes + apart(q.Work, q.Step, q.Workers[0])):
+		case <-time.After(takes + jitter(q.Work, q.Step, q.Workers[0])):
 		}
 		a := &permit.Answer{Valid: 1500 * time.Millisecond}
 		for _, id := range names {
@@ -72,12 +72,12 @@
 	opts = append(opts, Permits(func() []owner.Node { return nodes }, ask))
 	tenure := &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }}
 	r := &replay{term: newTerm(ctx, newOptions(opts), tenure), runs: make(map[string]time.Duration), began: time.Now()}
-	r.term.endedRead = true
+	r.term.endedLoaded = true
 	return r
 }
 
-// apart is a short time that differs from event to event.
-func apart(parts ...any) time.Duration {
+// jitter is a short time that differs from event to event.
+func jitter(parts ...any) time.Duration {
 	h := fnv.New32a()
 	fmt.Fprint(h, parts...)
 	return time.Duration(h.Sum32()%999_983) * time.Nanosecond
@@ -89,7 +89,7 @@
 	n := t.nodeFor(id)
 	n.listing = worker.Listing{Info: worker.Info{ID: id, Zone: zone, Rack: rack, Has: has}, Pool: "p"}
 	n.listed, n.synced, n.free = true, true, has
-	n.file()
+	n.updateIndex()
 	n.agent = &worker.Agent{
 		Launch: func(context.Context, *worker.Launch) (time.Duration, error) { return 0, nil },
 		Halt:   func(context.Context, *worker.Halt) (time.Duration, error) { return 0, nil },
@@ -97,87 +97,87 @@
 	return n
 }
 
-// after has f done at a time after the load began.
-func (r *replay) after(d time.Duration, f func()) {
-	heap.Push(&r.due, moment{r.began.Add(d), f})
+// at has f done at a time at the load began.
+func (r *replay) at(d time.Duration, f func()) {
+	heap.Push(&r.events, timedEvent{r.began.Add(d), f})
 }
 
-// hand hands in a work whose tasks work so long.
-func (r *replay) hand(d time.Duration, w *job.Work, runs time.Duration) {
+// submitAt hands in a work whose tasks work so long.
+func (r *replay) submitAt(d time.Duration, w *job.Work, runs time.Duration) {
 	r.runs[w.ID] = runs
-	r.after(d, func() {
+	r.at(d, func() {
 		w.Accepted = time.Now()
-		r.term.add(w)
+		r.term.addWork(w)
 	})
 }
 
-// play runs the load until a time after it began.
-func (r *replay) play(until time.Duration) {
-	r.ticker = time.NewTicker(tickEvery)
+// run runs the load until a time after it began.
+func (r *replay) run(until time.Duration) {
+	r.ticker = time.NewTicker(tickInterval)
 	defer r.ticker.Stop()
-	r.hear()
-	r.after(until, func() {})
+	r.markHeard()
+	r.at(until, func() {})
 	for end := r.began.Add(until); time.Now().Before(end); {
-		next := time.NewTimer(time.Until(r.due[0].at))
+		next := time.NewTimer(time.Until(r.events[0].at))
 		select {
 		case f := <-r.term.events:
 			f()
-			r.term.drain()
+			r.term.drainEvents()
 		case <-r.ticker.C:
-			r.hear()
-			r.term.dirty = r.term.dirty || len(r.term.stages) > 0
+			r.markHeard()
+			r.term.passNeeded = r.term.passNeeded || len(r.term.waitingStages) > 0
 		case <-next.C:
-			heap.Pop(&r.due).(moment).do()
+			heap.Pop(&r.events).(timedEvent).do()
 		}
 		next.Stop()
-		if r.term.dirty {
-			r.term.placeIfDue(time.Now())
+		if r.term.passNeeded {
+			r.term.runPassIfDue(time.Now())
 		}
-		r.settle()
+		r.commitAll()
 	}
 	r.term.close()
 }
 
-// hear lets all workers have answered just now.
-func (r *replay) hear() {
+// markHeard lets all workers have answered just now.
+func (r *replay) markHeard() {
 	for _, n := range r.term.nodes {
-		n.heard, n.clockAt = time.Now(), time.Now()
+		n.heardAt, n.clockAt = time.Now(), time.Now()
 	}
 }
 
-// settle makes durable what was decided, and has the runs that began end in time.
-func (r *replay) settle() {
+// commitAll makes durable what was decided, and has the runs that began end in time.
+func (r *replay) commitAll() {
 	t := r.term
-	for len(t.commits.queue) > 0 {
-		s := t.commits.queue[0]
-		t.commits.queue = t.commits.queue[1:]
-		s.e.saving = nil
-		for _, o := range s.e.live {
+	for len(t.committer.queue) > 0 {
+		s := t.committer.queue[0]
+		t.committer.queue = t.committer.queue[1:]
+		s.entry.pendingSave = nil
+		for _, o := range s.entry.occurrences {
 			for _, st := range o.stages {
-				r.follow(st)
+				r.scheduleEnds(st)
 			}
 		}
 		for _, f := range s.effects {
 			f()
 		}
-		if s.e.over() && !s.e.settled {
-			s.e.settled = true
-			delete(t.entries, s.e.work.ID)
+		if s.entry.isRemovable() && !s.entry.endQueued {
+			s.entry.endQueued = true
+			delete(t.entries, s.entry.work.ID)
 			r.ended++
 		}
 	}
 }
 
-// follow has the runs of a stage that were decided just now end in time.
-func (r *replay) follow(s *stage) {
+// scheduleEnds has the runs of a stage that were decided just now end in time.
+func (r *replay) scheduleEnds(s *stage) {
 	for i := range s.tasks {
 		k := s.tasks[i].run
-		if k == nil || k.ended || !k.begun.IsZero() || k.stopping {
+		if k == nil || k.ended || !k.sentAt.IsZero() || k.stopping {
 			continue
 		}
 		task := k.task()
 		now := time.Since(r.began)
-		fmt.Fprintf(&r.decisions, "%9.3f ms %s.%d.%d run %d on %s\n", float64(now.Microseconds())/1000, task.Work, task.Step, task.Index, k.number, k.n.id)
-		r.after(now+r.runs[task.Work]+apart(task, k.number), func() { r.term.endRun(k, worker.EndingDone, "") })
+		fmt.Fprintf(&r.decisions, "%9.3f ms %s.%d.%d run %d on %s\n", float64(now.Microseconds())/1000, task.Work, task.Step, task.Index, k.number, k.node.id)
+		r.at(now+r.runs[task.Work]+jitter(task, k.number), func() { r.term.endRun(k, worker.EndingDone, "") })
 	}
 }
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -22,13 +22,13 @@
 		usable++
 		has += n.listing.Has.Millicores
 		free += n.free.Millicores
-		kept += n.held.Millicores
+		kept += n.setAside.Millicores
 		reserved += n.reserved.Millicores
 	}
 	waiting, asking, gangs := 0, 0, 0
-	for s := range t.stages {
+	for s := range t.waitingStages {
 		waiting += s.waiting
-		asking += s.asking
+		asking += s.openRequests
 		if s.spec.Gang {
 			gangs++
 		}
@@ -36,9 +36,9 @@
 	t.log.Info("dispatch: state of the cell", zap.Int("workers", len(t.nodes)), zap.Int("usable", usable),
 		zap.Int64("millicores", has), zap.Int64("freeMillicores", free), zap.Int64("keptMillicores", kept),
 		zap.Int64("reservedMillicores", reserved), zap.Int("works", len(t.entries)), zap.Int("runs", runs),
-		zap.Int("waitingSteps", len(t.stages)), zap.Int("waitingGangs", gangs), zap.Int("waitingTasks", waiting),
-		zap.Int("questions", asking), zap.Duration("lag", time.Duration(t.lag.usual.Load())), zap.Float64("turnedAway", t.behind.Share()),
-		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.tried), zap.Int("looksInPass", t.pass.looks),
+		zap.Int("waitingSteps", len(t.waitingStages)), zap.Int("waitingGangs", gangs), zap.Int("waitingTasks", waiting),
+		zap.Int("questions", asking), zap.Duration("lag", time.Duration(t.lag.mean.Load())), zap.Float64("turnedAway", t.overloadDetector.Share()),
+		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.triedStages), zap.Int("looksInPass", t.pass.examined),
 		zap.Duration("pass", t.pass.took))
 	t.reportSizes(now)
 }
@@ -49,32 +49,32 @@
 func (t *term) reportSizes(now time.Time) {
 	type waiting struct {
 		steps, inTime int
-		gangs         map[gangWait]int
+		gangs         map[gangWaitReason]int
 	}
 	found := make(map[sizeClass]*waiting)
-	for s := range t.stages {
-		key := sizeClass{s.e.work.Queue.Name, s.e.class}
+	for s := range t.waitingStages {
+		key := sizeClass{s.entry.work.Queue.Name, s.entry.class}
 		w := found[key]
 		if w == nil {
-			w = &waiting{gangs: make(map[gangWait]int)}
+			w = &waiting{gangs: make(map[gangWaitReason]int)}
 			found[key] = w
 		}
 		w.steps++
-		if t.urgencyOf(s, now).hope == hopeInTime {
+		if t.urgencyOf(s, now).lateness == latenessOnTime {
 			w.inTime++
 		}
 		if s.spec.Gang {
-			w.gangs[s.waits]++
+			w.gangs[s.waitReason]++
 		}
 	}
 	for key, tally := range t.tallies {
-		if tally.told && found[key] == nil {
+		if tally.logged && found[key] == nil {
 			continue
 		}
-		tally.told = true
+		tally.logged = true
 		fields := []zap.Field{zap.String("queue", key.queue), zap.Stringer("class", key.class)}
-		for _, f := range []fate{fateTaken, fateInTime, fateLate, fateLost, fateFailed, fateCancelled} {
-			fields = append(fields, zap.Int(string(f), tally.became[f]))
+		for _, f := range []workOutcome{outcomeTaken, outcomeInTime, outcomeLate, outcomeLost, outcomeFailed, outcomeCancelled} {
+			fields = append(fields, zap.Int(string(f), tally.counts[f]))
 		}
 		if w := found[key]; w != nil {
 			fields = append(fields, zap.Int("waitingSteps", w.steps), zap.Int("waitingInTime", w.inTime))
--- a/dispatch/report_test.go
+++ b/dispatch/report_test.go
@@ -20,7 +20,7 @@
 	core, logs := observer.New(zap.InfoLevel)
 	tm := &term{
 		o: &Options{Metrics: metric.New()}, log: zap.New(core), sizes: aging.New(), tallies: make(map[sizeClass]*tally),
-		stages: make(map[*stage]struct{}),
+		waitingStages: make(map[*stage]struct{}),
 	}
 	lines := func() int {
 		tm.reportSizes(time.Now())
@@ -29,14 +29,14 @@
 		return n
 	}
 	s := stageOf(&job.Work{ID: "roster", Queue: job.Queue{Name: "rosters"}, Steps: []job.Step{{Tasks: 1, Gang: true}}})
-	tm.noteSize(s.e)
-	tm.noteSize(newEntry(&job.Work{ID: "empty", Queue: job.Queue{Name: "others"}}))
-	tm.stages[s] = struct{}{}
+	tm.recordSize(s.entry)
+	tm.recordSize(newEntry(&job.Work{ID: "empty", Queue: job.Queue{Name: "others"}}))
+	tm.waitingStages[s] = struct{}{}
 	is.Equal(lines(), 2)
 	is.Equal(lines(), 1) // the roster waits
-	delete(tm.stages, s)
+	delete(tm.waitingStages, s)
 	is.Equal(lines(), 0)
-	tm.judgeSize(s.e, fateLost)
+	tm.countOutcomeOnce(s.entry, outcomeLost)
 	is.Equal(lines(), 1)
 	is.Equal(lines(), 0)
 }
--- a/dispatch/govern.go
+++ b/dispatch/rules.go
@@ -2,9 +2,9 @@
 
 import "go.uber.org/zap"
 
-// govern puts the first of the operators' rules that holds for a work in force for it. What the rule leaves
+// applyRules puts the first of the operators' rules that holds for a work in force for it. What the rule leaves
 // open is as the work's queue says.
-func (t *term) govern(e *entry) {
+func (t *term) applyRules(e *entry) {
 	was := e.effect.Rule
 	e.effect = t.rules.DecideWork(e.work)
 	if e.effect.Rule != was {
@@ -35,26 +35,26 @@
 
 // emptiestFirst reports whether a stage's tasks go to the workers with the most room: a gang then needs few
 // of them, and what a rule spreads shares its worker with little else.
-func (s *stage) emptiestFirst() bool { return s.spec.Gang || s.e.effect.Strategy == strategySpread }
+func (s *stage) emptiestFirst() bool { return s.spec.Gang || s.entry.effect.Strategy == strategySpread }
 
-// readLimits counts, for each rule with a bound, how many more tasks may run under it.
-func (t *term) readLimits() {
-	clear(t.underRule)
+// refreshRuleLimits counts, for each rule with a bound, how many more tasks may run under it.
+func (t *term) refreshRuleLimits() {
+	clear(t.ruleCapacity)
 	if t.rules == nil {
 		return
 	}
 	for _, e := range t.entries {
 		if most := e.effect.MostRunning; most > 0 {
-			left, known := t.underRule[e.effect.Rule]
+			left, known := t.ruleCapacity[e.effect.Rule]
 			if !known {
 				left = most
 			}
-			t.underRule[e.effect.Rule] = left - e.held
+			t.ruleCapacity[e.effect.Rule] = left - e.activeRuns
 		}
 	}
 }
 
-// mayRun reports whether so many more tasks of a work may run under its rule.
-func (t *term) mayRun(e *entry, tasks int) bool {
-	return e.effect.MostRunning == 0 || t.underRule[e.effect.Rule] >= tasks
+// ruleAllows reports whether so many more tasks of a work may run under its rule.
+func (t *term) ruleAllows(e *entry, tasks int) bool {
+	return e.effect.MostRunning == 0 || t.ruleCapacity[e.effect.Rule] >= tasks
 }
--- a/dispatch/size.go
+++ b/dispatch/size.go
@@ -23,16 +23,16 @@
 	return sum
 }
 
-// fate is what became of a work, in the words of the log.
-type fate string
+// workOutcome is what became of a work, in the words of the log.
+type workOutcome string
 
 const (
-	fateTaken     fate = "taken"
-	fateInTime    fate = "inTime"
-	fateLate      fate = "late"
-	fateLost      fate = "lost" // worth nothing any more before it was done
-	fateFailed    fate = "failed"
-	fateCancelled fate = "cancelled"
+	outcomeTaken     workOutcome = "taken"
+	outcomeInTime    workOutcome = "inTime"
+	outcomeLate      workOutcome = "late"
+	outcomeLost      workOutcome = "lost" // worth nothing any more before it was done
+	outcomeFailed    workOutcome = "failed"
+	outcomeCancelled workOutcome = "cancelled"
 )
 
 // sizeClass is the works of one class of sizes in one queue.
@@ -43,34 +43,34 @@
 
 // tally counts what became of the works of a class under this owner.
 type tally struct {
-	became map[fate]int
-	// told says that the log has told of all of it: the queues of a cell come and go, and a line each second for
+	counts map[workOutcome]int
+	// logged says that the log has logged of all of it: the queues of a cell come and go, and a line each second for
 	// each that was ever there would fill the log.
-	told bool
+	logged bool
 }
 
-// became counts what became of a work, for the log by queue and for the metrics by class alone.
-func (t *term) became(e *entry, what fate) {
+// countOutcome counts what countOutcome of a work, for the log by queue and for the metrics by class alone.
+func (t *term) countOutcome(e *entry, what workOutcome) {
 	key := sizeClass{e.work.Queue.Name, e.class}
 	tally := t.tallyOf(key)
-	tally.became[what]++
-	tally.told = false
+	tally.counts[what]++
+	tally.logged = false
 	t.o.Metrics.Counter("dispatch.works." + e.class.String() + "." + string(what)).Inc(1)
 }
 
 func (t *term) tallyOf(key sizeClass) *tally {
 	if t.tallies[key] == nil {
-		t.tallies[key] = &tally{became: make(map[fate]int)}
+		t.tallies[key] = &tally{counts: make(map[workOutcome]int)}
 	}
 	return t.tallies[key]
 }
 
-// noteSize takes in how large a work is that the term did not know.
-func (t *term) noteSize(e *entry) {
+// recordSize takes in how large a work is that the term did not know.
+func (t *term) recordSize(e *entry) {
 	name := e.work.Queue.Name
 	t.sizes.Note(name, e.size)
 	e.class = t.sizes.Class(name, e.size)
-	t.became(e, fateTaken)
+	t.countOutcome(e, outcomeTaken)
 	tasks := 0
 	for i := range e.work.Steps {
 		tasks += e.work.Steps[i].Tasks
@@ -80,36 +80,36 @@
 		zap.Duration("objective", e.objective), zap.Duration("age", time.Since(e.work.Accepted)))
 }
 
-// judgeSize tells once what became of a work.
-func (t *term) judgeSize(e *entry, what fate) {
-	if e.sizeJudged {
+// countOutcomeOnce tells once what became of a work.
+func (t *term) countOutcomeOnce(e *entry, what workOutcome) {
+	if e.outcomeCounted {
 		return
 	}
-	e.sizeJudged = true
-	t.became(e, what)
+	e.outcomeCounted = true
+	t.countOutcome(e, what)
 }
 
-// judgeEnded takes in how a work has ended.
-func (t *term) judgeEnded(e *entry, now time.Time) {
+// countEnded takes in how a work has ended.
+func (t *term) countEnded(e *entry, now time.Time) {
 	switch {
 	case e.state == job.WorkCancelled:
-		t.judgeSize(e, fateCancelled)
+		t.countOutcomeOnce(e, outcomeCancelled)
 	case e.state == job.WorkFailed:
-		t.judgeSize(e, fateFailed)
-	case now.After(e.lastGoal()):
-		t.judgeSize(e, fateLate)
+		t.countOutcomeOnce(e, outcomeFailed)
+	case now.After(e.lastDeadline()):
+		t.countOutcomeOnce(e, outcomeLate)
 	default:
-		t.judgeSize(e, fateInTime)
+		t.countOutcomeOnce(e, outcomeInTime)
 	}
 }
 
-// judgeLost notes the works that are worth nothing any more.
-func (t *term) judgeLost(now time.Time) {
+// countExpired notes the works that are worth nothing any more.
+func (t *term) countExpired(now time.Time) {
 	for _, e := range t.entries {
-		if !e.sizeJudged && e.work.Occurrences == 0 && !e.state.Final() && now.After(e.work.Due(0).Add(lostAfter*e.objective)) {
+		if !e.outcomeCounted && e.work.Occurrences == 0 && !e.state.Final() && now.After(e.work.Due(0).Add(expiryFactor*e.objective)) {
 			t.log.Info("dispatch: work is worth nothing any more", zap.String("id", e.work.ID),
 				zap.Stringer("class", e.class), zap.Bool("started", e.started))
-			t.judgeSize(e, fateLost)
+			t.countOutcomeOnce(e, outcomeLost)
 		}
 	}
 }
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -16,7 +16,7 @@
 // each would be started shortly before it is late, and most would end late. The small ones first, more
 // callers are served in time; the large ones must get their share all the same.
 func TestSmallWorksFirstUnderOverload(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
@@ -55,6 +55,6 @@
 		t.Logf("%d of 144 in time, of the 12 largest %d before they are worth nothing", inTime, large)
 		is.True(inTime >= 110)
 		is.True(large >= 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/store_test.go
+++ b/dispatch/store_test.go
@@ -29,13 +29,13 @@
 	} {
 		for _, kill := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, owner dies %v", name, kill), func(t *testing.T) {
-				play(t, func(t *testing.T) { commitFault(t, fault, kill) })
+				inBubble(t, func(t *testing.T) { runCommitFault(t, fault, kill) })
 			})
 		}
 	}
 }
 
-func commitFault(t *testing.T, fault func(*vm), kill bool) {
+func runCommitFault(t *testing.T, fault func(*vm), kill bool) {
 	is := is.New(t)
 	c := newCell(t, runsFor(1500*time.Millisecond), "vm1", "vm2", "vm3")
 	c.workers(4, 4)
@@ -71,17 +71,17 @@
 	}
 	v := c.owner()
 	for _, id := range accepted {
-		c.until(v, id, job.WorkCompleted, 40*time.Second)
+		c.waitForState(v, id, job.WorkCompleted, 40*time.Second)
 		is.Equal(c.runs(id), 2)
 	}
 	is.True(len(accepted) >= 4)
-	c.judge()
+	c.checkHistory()
 }
 
 // The store takes the owner's key away without any answer that shows it. Its next commit is refused, a
 // VM takes the cell over, and nothing of what ran is run again.
 func TestOwnerKeyTaken(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(3*time.Second), "vm1", "vm2", "vm3")
 		c.workers(3, 4)
@@ -96,23 +96,23 @@
 		v := c.owner()
 		is.Equal(len(v.group.Nodes()), 3)
 		c.submit(v, c.work("after", job.Step{Tasks: 2}))
-		c.until(v, "roster", job.WorkCompleted, 20*time.Second)
-		c.until(v, "after", job.WorkCompleted, 20*time.Second)
+		c.waitForState(v, "roster", job.WorkCompleted, 20*time.Second)
+		c.waitForState(v, "after", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("roster"), 10)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A VM is cut off from the store and from the owner while it hands work in. Its caller was told that the
 // outcome is open; a repeat at the same VM, refused for want of the store, must not say "never runs".
 func TestRepeatAfterOpenOutcome(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(1, 4)
 		first := c.owner()
 		time.Sleep(time.Second)
-		first.apart.Store(true)
+		first.peersCut.Store(true)
 		first.store.Cut(true)
 		code := func() rpc.Code {
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
--- a/dispatch/succession_test.go
+++ b/dispatch/succession_test.go
@@ -21,7 +21,7 @@
 		"cut off from the store": func(_ *cell, v *vm) { v.store.Cut(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(2*time.Second), "vm1", "vm2", "vm3", "vm4")
 				c.workers(3, 4)
@@ -40,10 +40,10 @@
 				first.store.Cut(false)
 				for i := range 3 {
 					id := fmt.Sprint("work", i)
-					c.until(next, id, job.WorkCompleted, 10*time.Second)
+					c.waitForState(next, id, job.WorkCompleted, 10*time.Second)
 					is.Equal(c.runs(id), 4)
 				}
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -54,7 +54,7 @@
 func TestSlowOwnerHandsOver(t *testing.T) {
 	for name, all := range map[string]bool{"one VM is slow": false, "all are slow": true} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(3*time.Second), "vm1", "vm2", "vm3")
 				c.workers(2, 4)
@@ -62,13 +62,13 @@
 				c.submit(first, c.work("roster", job.Step{Tasks: 8}))
 				time.Sleep(time.Second)
 				for _, v := range c.vms {
-					v.slow.Store(all || v == first)
+					v.overloaded.Store(all || v == first)
 				}
 				time.Sleep(3 * time.Second)
 				is.Equal(first.disp.Leads(), all)
-				c.until(c.owner(), "roster", job.WorkCompleted, 10*time.Second)
+				c.waitForState(c.owner(), "roster", job.WorkCompleted, 10*time.Second)
 				is.Equal(c.runs("roster"), 8)
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -78,14 +78,14 @@
 // longer than they usually wait for one. It serves the cell all the same. Were it taken for dead, the next owner
 // would have the same load and all workers to meet besides, and be taken for dead as well, once in each second.
 func TestBusyOwnerKeepsTheCell(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(2*time.Second), "vm1", "vm2", "vm3", "vm4", "vm5")
 		c.workers(3, 4)
 		first := c.owner()
 		time.Sleep(time.Second)
 		for _, v := range c.vms {
-			v.busy.Store(int64(350 * time.Millisecond))
+			v.replyDelayAsOwner.Store(int64(350 * time.Millisecond))
 		}
 		c.submit(first, c.work("roster", job.Step{Tasks: 8}))
 		for range 40 {
@@ -93,27 +93,27 @@
 			is.True(first.disp.Leads())
 		}
 		is.Equal(c.runs("roster"), 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // The process of the owner stands still: connections to it are opened, and nothing answers on them. Another VM owns
 // the cell before the lease alone would let it.
 func TestFrozenOwnerIsReplaced(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(2*time.Second), "vm1", "vm2", "vm3", "vm4")
 		c.workers(3, 4)
 		first := c.owner()
 		time.Sleep(time.Second)
-		first.busy.Store(int64(time.Hour))
+		first.replyDelayAsOwner.Store(int64(time.Hour))
 		first.store.Cut(true)
 		frozen := time.Now()
 		c.successor(first)
 		took := time.Since(frozen)
 		t.Logf("owned again after %v", took)
 		is.True(took < owner.DefaultTTL)
-		first.busy.Store(0)
+		first.replyDelayAsOwner.Store(0)
 		first.store.Cut(false)
 	})
 }
@@ -121,13 +121,13 @@
 // A VM is cut off from all others, and reaches the store. It must not take the cell from an owner that
 // serves the rest: its callers alone would be served.
 func TestLonelyVMTakesNothing(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.workers(1, 4)
 		first := c.owner()
 		for _, v := range c.vms {
-			v.apart.Store(v != first && v.id != "vm3")
+			v.peersCut.Store(v != first && v.id != "vm3")
 		}
 		time.Sleep(5 * time.Second)
 		is.True(first.disp.Leads())
@@ -137,7 +137,7 @@
 // The store answers nobody. An owner that gave the cell up then would leave it without one for the whole
 // outage, and the leases of what runs would lapse.
 func TestOwnerStaysInOutage(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(7*time.Second), "vm1", "vm2", "vm3")
 		c.workers(2, 4)
@@ -152,9 +152,9 @@
 		for _, v := range c.vms {
 			v.store.Down(false)
 		}
-		c.until(first, "roster", job.WorkCompleted, 10*time.Second)
+		c.waitForState(first, "roster", job.WorkCompleted, 10*time.Second)
 		is.Equal(c.runs("roster"), 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
--- a/dispatch/taken_test.go
+++ b/dispatch/taken_test.go
@@ -17,10 +17,10 @@
 // up, and hand the same IDs in at another VM. Told "refused" there, they would believe that their works never run, and
 // these run all the same: neither the store nor the other VM knows of them, the owner alone does.
 func TestTakenWorkIsNotRefusedElsewhere(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(300*time.Millisecond))
-		c.spend = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
+		c.onExamined = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
 		c.boot("vm1")
 		c.workers(20, 16)
 		first := c.owner()
@@ -30,7 +30,7 @@
 		for i := range 400 {
 			time.Sleep(20 * time.Millisecond)
 			callers.Go(func() {
-				c.try(other, c.work(fmt.Sprint("load", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
+				c.trySubmit(other, c.work(fmt.Sprint("load", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
 			})
 		}
 		first.store.Delay(600 * time.Millisecond)
@@ -43,7 +43,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				defer cancel()
 				_ = first.front.Submit(ctx, c.work(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
-				fault := c.try(other, c.work(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
+				fault := c.trySubmit(other, c.work(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
 				mu.Lock()
 				defer mu.Unlock()
 				refused[id] = fault != nil && fault.Code == rpc.CodeRefused
@@ -63,6 +63,6 @@
 		}
 		t.Logf("%d of %d have run", ran, len(refused))
 		is.True(ran > 0)
-		c.judge()
+		c.checkHistory()
 	})
 }
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -17,89 +17,89 @@
 
 // term is one tenure, from the reading of the cell's state to its end.
 type term struct {
-	o      *Options
-	log    *zap.Logger
-	tenure *owner.Tenure
-	ctx    context.Context
-	end    context.CancelFunc
-	events chan func()
-	wg     sync.WaitGroup
-	since  time.Time
+	o         *Options
+	log       *zap.Logger
+	tenure    *owner.Tenure
+	ctx       context.Context
+	cancelCtx context.CancelFunc
+	events    chan func()
+	wg        sync.WaitGroup
+	startedAt time.Time
 
 	// The rest belongs to the loop.
 	entries map[string]*entry
 	ended   map[string]Ended
-	// endedRead says that the records of work that ended under former owners have been read.
-	endedRead bool
+	// endedLoaded says that the records of work that ended under former owners have been read.
+	endedLoaded bool
 	// endedOrder holds the ended works by their end, oldest first.
 	endedOrder []string
 	nodes      map[string]*node
-	// roll holds the same nodes by ID; nodesChange counts the changes of which they are.
-	roll        []*node
-	nodesChange int
-	rooms       rooms
-	// shapes holds what workers have when they are empty, as they were at the shapesAt-th change.
-	shapes   map[resources]struct{}
-	shapesAt int
-	// processors is the sum of theirs, in millicores.
-	processors int64
+	// sortedNodes holds the same nodes by ID; nodesVersion counts the changes of which they are.
+	sortedNodes  []*node
+	nodesVersion int
+	roomIndex    roomIndex
+	// capacities holds what workers have when they are empty, as they were at the capacitiesVersion-th change.
+	capacities        map[resources]struct{}
+	capacitiesVersion int
+	// totalMillicores is the sum of theirs, in millicores.
+	totalMillicores int64
 	// unreadable holds the IDs of workers whose entries cannot be read.
 	unreadable map[string]bool
 	// unlistedAt is when the entry of a worker was last missing.
 	unlistedAt time.Time
-	// stages holds those with waiting tasks whose turn has come.
-	stages map[*stage]struct{}
+	// waitingStages holds those with waiting tasks whose turn has come.
+	waitingStages map[*stage]struct{}
 	// timed holds the entries with occurrences that are not due yet.
 	timed map[*entry]struct{}
 	// unsent holds new works that were not durable when last looked at.
-	unsent  []*entry
-	commits commits
-	desk    *permit.Desk
-	turns   turns
-	askers  askers
-	config  *job.Config
-	rules   *rule.List
-	dirty   bool
-	lag     lag
-	behind  admission.Behind
-	// reported is when the state of the cell was last logged.
-	reported time.Time
-	// removed lists the ended records that the next commits take away.
-	removed []string
-	// dirtySince is when something changed that no pass has taken in yet, passDelay how long that took for the latest
-	// pass, which ended at passEnded.
-	dirtySince time.Time
-	passDelay  time.Duration
-	passEnded  time.Time
-	// nextPass is when the next pass may be made, passWaits says that a timer will ask for it.
-	nextPass  time.Time
-	passWaits bool
-	pass      pass
-	// grants is the share of named workers that each queue is allowed.
-	grants map[string]float64
-	sizes  *aging.Sizes
+	unsent           []*entry
+	committer        committer
+	vmSelector       *permit.Desk
+	callLimiter      callLimiter
+	permitVMs        permitVMs
+	config           *job.Config
+	rules            *rule.List
+	passNeeded       bool
+	lag              lag
+	overloadDetector admission.Behind
+	// reportedAt is when the state of the cell was last logged.
+	reportedAt time.Time
+	// endedToRemove lists the ended records that the next commits take away.
+	endedToRemove []string
+	// passNeededSince is when something changed that no pass has taken in yet, lastPassLatency how long that took for the latest
+	// pass, which ended at passEndedAt.
+	passNeededSince time.Time
+	lastPassLatency time.Duration
+	passEndedAt     time.Time
+	// nextPassAt is when the next pass may be made, passTimerSet says that a timer will ask for it.
+	nextPassAt   time.Time
+	passTimerSet bool
+	pass         pass
+	// grantShares is the share of named workers that each queue is allowed.
+	grantShares map[string]float64
+	sizes       *aging.Sizes
 	// tallies tell what became of works by queue and class of sizes.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
-	// underRule is how many more tasks may run under each rule that bounds them, in the present pass.
-	underRule map[string]int
+	// ruleCapacity is how many more tasks may run under each rule that bounds them, in the present pass.
+	ruleCapacity map[string]int
 }
 
 func newTerm(ctx context.Context, o *Options, tenure *owner.Tenure) *term {
 	t := &term{
-		o: o, log: o.Logger.With(zap.Int64("fence", tenure.Fence)), tenure: tenure, since: time.Now(),
-		events: make(chan func(), eventRing), entries: make(map[string]*entry), ended: make(map[string]Ended),
-		nodes: make(map[string]*node), unreadable: make(map[string]bool), stages: make(map[*stage]struct{}), timed: make(map[*entry]struct{}),
-		pass: newPass(), shapes: make(map[resources]struct{}), desk: permit.NewDesk(), turns: newTurns(), grants: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), underRule: make(map[string]int),
+		o: o, log: o.Logger.With(zap.Int64("fence", tenure.Fence)), tenure: tenure, startedAt: time.Now(),
+		events: make(chan func(), eventBuffer), entries: make(map[string]*entry), ended: make(map[string]Ended),
+		nodes: make(map[string]*node), unreadable: make(map[string]bool), waitingStages: make(map[*stage]struct{}), timed: make(map[*entry]struct{}),
+		pass: newPass(), capacities: make(map[resources]struct{}), vmSelector: permit.NewDesk(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
 	}
-	t.commits.name()
-	t.ctx, t.end = context.WithCancel(ctx)
+	t.committer.init()
+	t.ctx, t.cancelCtx = context.WithCancel(ctx)
 	return t
 }
 
 // loop is the one goroutine that owns the term's state.
 func (t *term) loop() {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -107,23 +107,23 @@
 			return
 		case f := <-t.events:
 			f()
-			t.drain()
+			t.drainEvents()
 		case at := <-tick.C:
-			t.lag.take(time.Since(at))
-			t.behind.Note(time.Now(), max(time.Since(at), t.passWait(time.Now()), t.holdsLate(time.Now())))
+			t.lag.observe(time.Since(at))
+			t.overloadDetector.Note(time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
 			t.onTick(time.Now())
 		}
 		t.syncConfig()
-		if now := time.Now(); t.dirty {
-			t.placeIfDue(now)
+		if now := time.Now(); t.passNeeded {
+			t.runPassIfDue(now)
 		}
 		t.flush()
 	}
 }
 
-// drain runs what else has come, so that one plan and one commit serve many events.
-func (t *term) drain() {
-	for range eventRing {
+// drainEvents runs what else has come, so that one plan and one commit serve many events.
+func (t *term) drainEvents() {
+	for range eventBuffer {
 		select {
 		case f := <-t.events:
 			f()
@@ -141,8 +141,8 @@
 	}
 }
 
-// ask runs f on the loop and gives its result.
-func ask[T any](ctx context.Context, t *term, f func() T) (T, error) {
+// callLoop runs f on the loop and gives its result.
+func callLoop[T any](ctx context.Context, t *term, f func() T) (T, error) {
 	var none T
 	got := make(chan T, 1)
 	select {
@@ -162,18 +162,18 @@
 	}
 }
 
-// lose ends the term because a worker or the store has told of another owner.
-func (t *term) lose(reason string, err error) {
+// loseOwnership ends the term because a worker or the store has told of another owner.
+func (t *term) loseOwnership(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
-	t.end()
+	t.cancelCtx()
 	t.tenure.Lost()
 }
 
 // close waits for the goroutines of the term.
 func (t *term) close() {
-	t.end()
+	t.cancelCtx()
 	t.wg.Wait()
-	for _, n := range t.roll {
+	for _, n := range t.sortedNodes {
 		n.agent.End()
 	}
 }
@@ -189,22 +189,22 @@
 	}
 	t.config, t.rules = c, rules
 	for _, e := range t.entries {
-		t.adopt(e)
+		t.applyQueueConfig(e)
 	}
-	t.dirty = true
+	t.passNeeded = true
 	t.log.Info("dispatch: configuration taken over", zap.Int64("version", t.configVersion()), zap.Int64("rules", t.rulesVersion()))
 }
 
-// adopt gives an entry the newest configuration of its queue. A queue that was removed goes on under
+// applyQueueConfig gives an entry the newest configuration of its queue. A queue that was removed goes on under
 // its last one, since what was accepted must end.
-func (t *term) adopt(e *entry) {
+func (t *term) applyQueueConfig(e *entry) {
 	if t.config != nil {
 		if q := t.config.Named(e.work.Queue.Name); q != nil {
 			e.queue = q
-			e.reckon()
+			e.updateObjective()
 		}
 	}
-	t.govern(e)
+	t.applyRules(e)
 }
 
 // followAll starts the goroutines that hear of workers and accepted work.
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -8,30 +8,30 @@
 
 // onTick does what depends on time alone.
 func (t *term) onTick(now time.Time) {
-	t.lapse(now)
-	t.overWithGang()
-	t.haltAgain(now)
-	t.askOverdue(now)
-	t.leaveStill(now)
+	t.endLapsed(now)
+	t.endMembersOfEndedGangs()
+	t.retryHalts(now)
+	t.probeOverdue(now)
+	t.stopStalled(now)
 	for e := range t.timed {
 		t.beginDue(e, now)
 	}
 	t.withdrawUnsent(now)
 	t.forgetEnded(now)
-	t.keepUp(now)
-	if now.Sub(t.reported) >= reportEvery {
-		t.reported = now
-		t.judgeLost(now)
+	t.advanceWaves(now)
+	if now.Sub(t.reportedAt) >= reportEvery {
+		t.reportedAt = now
+		t.countExpired(now)
 		t.report(now)
 	}
-	t.dirty = t.dirty || len(t.stages) > 0
+	t.passNeeded = t.passNeeded || len(t.waitingStages) > 0
 }
 
-// haltAgain repeats orders to stop whose end is not listed.
-func (t *term) haltAgain(now time.Time) {
+// retryHalts repeats orders to stop whose end is not listed.
+func (t *term) retryHalts(now time.Time) {
 	for _, n := range t.nodes {
 		for _, r := range n.runs {
-			if r.stopping && now.Sub(r.haltedAt) > haltAgain+t.o.StopWithin {
+			if r.stopping && now.Sub(r.haltedAt) > haltRetryPause+t.o.StopWithin {
 				t.halt(r)
 			}
 		}
@@ -39,39 +39,39 @@
 }
 
 const (
-	// stillAfter is how long a run may stand still at least, a quarter of its estimate where that is
+	// stallTimeout is how long a run may stand still at least, a quarter of its estimate where that is
 	// more: what is a percent of a task takes a worker that is eight times as slow a twelfth of it.
-	stillAfter = 3 * time.Second
-	stillShare = 4
+	stallTimeout         = 3 * time.Second
+	stallEstimateDivisor = 4
 )
 
-// leaveStill stops runs that no longer get on, so that their tasks go on elsewhere from their checkpoints.
+// stopStalled stops runs that no longer get on, so that their tasks go on elsewhere from their checkpoints.
 // A worker may answer every call while nothing on it moves: its tasks would hold it, and their callers,
 // for as long as that lasts. A service is at its hundred percent for good.
-func (t *term) leaveStill(now time.Time) {
+func (t *term) stopStalled(now time.Time) {
 	for _, n := range t.nodes {
-		if n.misses > 0 || !n.heard.After(now.Add(-holdWait-holdSlack)) {
+		if n.misses > 0 || !n.heardAt.After(now.Add(-holdWait-holdTimeoutSlack)) {
 			continue
 		}
 		for _, r := range n.runs {
-			if r.stands(now) {
-				t.log.Info("dispatch: run stands still", zap.String("id", r.s.e.work.ID), zap.Int("step", r.s.index), zap.Int("task", r.index),
+			if r.isStalled(now) {
+				t.log.Info("dispatch: run stands still", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
 					zap.Int64("run", r.number), zap.String("worker", n.id), zap.Int("percent", r.percent))
-				n.unwell = now.Add(stillAfter)
-				r.s.failedOn(n.id)
+				n.unwellUntil = now.Add(stallTimeout)
+				r.stage.noteFailureOn(n.id)
 				t.halt(r)
 			}
 		}
 	}
 }
 
-// stands reports whether a run has stood still for too long.
-func (r *run) stands(now time.Time) bool {
-	spec := r.s.spec
-	if !r.confirmed || r.stopping || spec.Service || spec.Gang || spec.Estimate == 0 || r.movedAt.IsZero() {
+// isStalled reports whether a run has stood still for too long.
+func (r *run) isStalled(now time.Time) bool {
+	spec := r.stage.spec
+	if !r.confirmed || r.stopping || spec.Service || spec.Gang || spec.Estimate == 0 || r.progressAt.IsZero() {
 		return false
 	}
-	return now.Sub(r.movedAt) > max(stillAfter, spec.Estimate/stillShare)
+	return now.Sub(r.progressAt) > max(stallTimeout, spec.Estimate/stallEstimateDivisor)
 }
 
 // beginDue begins the occurrences of a timed work that are due.
@@ -80,11 +80,11 @@
 		delete(t.timed, e)
 		return
 	}
-	for e.begun < e.work.Count() && !now.Before(e.work.Due(e.begun)) {
-		t.openStages(e.begin(e.begun))
+	for e.occurrencesBegun < e.work.Count() && !now.Before(e.work.Due(e.occurrencesBegun)) {
+		t.openStages(e.openOccurrence(e.occurrencesBegun))
 		t.save(e, nil)
 	}
-	if e.begun == e.work.Count() {
+	if e.occurrencesBegun == e.work.Count() {
 		delete(t.timed, e)
 	}
 }
@@ -93,11 +93,11 @@
 func (t *term) forgetEnded(now time.Time) {
 	for len(t.endedOrder) > 0 {
 		id := t.endedOrder[0]
-		if now.Sub(t.ended[id].At) < t.o.KeepEnded+endedExtra {
+		if now.Sub(t.ended[id].At) < t.o.KeepEnded+endedRetentionExtra {
 			return
 		}
 		t.endedOrder = t.endedOrder[1:]
 		delete(t.ended, id)
-		t.removed = append(t.removed, id)
+		t.endedToRemove = append(t.endedToRemove, id)
 	}
 }
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -33,12 +33,12 @@
 	c  *cell
 	mu sync.Mutex
 	// vms holds the VMs, workers the present worker of each, done those that have had their upkeep.
-	vms     map[string]*maintenance.VM
-	workers map[string]*floor.Worker
-	done    map[string]bool
-	lives   int
-	// loses drops the answers of the next orders, which are carried out; drops loses the next orders.
-	loses, drops int
+	vms        map[string]*maintenance.VM
+	workers    map[string]*floor.Worker
+	done       map[string]bool
+	generation int
+	// answersToDrop ordersToDrop the answers of the next orders, which are carried out; ordersToDrop answersToDrop the next orders.
+	answersToDrop, ordersToDrop int
 	// slowList is how long a list is under way after it was made, slowOrder an order before it is carried out.
 	slowList, slowOrder time.Duration
 	// suspends is how much each look at the clock that counts suspends is later than the one before.
@@ -112,7 +112,7 @@
 func (k *cloud) carryOut(o maintenance.Order) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.drops--; k.drops >= 0 {
+	if k.ordersToDrop--; k.ordersToDrop >= 0 {
 		return true, nil
 	}
 	now := time.Now()
@@ -137,9 +137,9 @@
 	vm.State, vm.Worker = maintenance.Upkeep, ""
 	old := k.workers[o.VM]
 	old.Crash(true)
-	time.AfterFunc(upkeepTakes, func() { k.back(vm, old) })
-	k.loses--
-	return k.loses >= 0, nil
+	time.AfterFunc(upkeepTakes, func() { k.returnVM(vm, old) })
+	k.answersToDrop--
+	return k.answersToDrop >= 0, nil
 }
 
 // served counts the VMs that have had their upkeep.
@@ -149,14 +149,14 @@
 	return len(k.done)
 }
 
-// back lets a VM come back with another worker.
-func (k *cloud) back(vm *maintenance.VM, old *floor.Worker) {
+// returnVM lets a VM come returnVM with another worker.
+func (k *cloud) returnVM(vm *maintenance.VM, old *floor.Worker) {
 	k.c.put(store.Op{Delete: true, Key: workersPrefix + old.Info().ID})
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.away--
-	k.lives++
-	w := k.c.worker(fmt.Sprintf("%s-%d", vm.ID, k.lives), 4)
+	k.generation++
+	w := k.c.worker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
 	k.workers[vm.ID] = w
 	vm.State, vm.Worker = maintenance.Up, w.Info().ID
 }
@@ -194,12 +194,12 @@
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(1500*time.Millisecond))
 				ws := c.workers(4, 4)
 				k := newCloud(c, ws, 1)
-				k.loses, k.drops = one.loses, one.drops
+				k.answersToDrop, k.ordersToDrop = one.loses, one.drops
 				k.slowOrder, k.slowList = one.slow, one.slow
 				c.cloud = k
 				kill := one.kill
@@ -212,7 +212,7 @@
 				for i := 0; !c.completed(7); i++ {
 					is.True(time.Since(begun) < 40*time.Second)
 					if !v.dead.Load() {
-						_ = c.try(v, c.work(fmt.Sprint("batch", i), job.Step{Tasks: 2}))
+						_ = c.trySubmit(v, c.work(fmt.Sprint("batch", i), job.Step{Tasks: 2}))
 					}
 					time.Sleep(500 * time.Millisecond)
 					if kill && k.served() == 2 {
@@ -227,7 +227,7 @@
 				for _, r := range c.floor.History() {
 					is.True(r.How == worker.EndingDone)
 				}
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -236,7 +236,7 @@
 // A service runs on two VMs and may miss one task at a time. Both VMs are to have their upkeep, two at once as
 // far as the wave is concerned: the second must wait until the first task is at work elsewhere.
 func TestUpkeepLeavesServices(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Runs: time.Hour, How: worker.EndingDone, Lasts: true, Needs: job.Resources{Millicores: 1000}}
@@ -258,8 +258,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.Equal(k.faults, nil)
-		is.True(alwaysAtWork(c.floor.History()))
-		c.judge()
+		is.True(alwaysRunning(c.floor.History()))
+		c.checkHistory()
 	})
 }
 
@@ -284,7 +284,7 @@
 // still be under way for the platform's lease, and the platform compares no fences: the next owner must give
 // none before that time has passed.
 func TestNewOwnerWaitsBeforeUpkeep(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c, k := idleWave(t, "vm1", "vm2")
 		c.wholeWave()
@@ -304,7 +304,7 @@
 // the platform's service for VMs. It must not order upkeep on its own word: the next owner does so, and a VM
 // would go down for two of them, or more VMs than the wave allows.
 func TestCutOwnerOrdersNoUpkeep(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c, k := idleWave(t, "vm1", "vm2")
 		cut := c.owner()
@@ -313,7 +313,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		cut.store.Cut(true)
-		cut.deaf.Store(true)
+		cut.workersCut.Store(true)
 		for begun := time.Now(); k.served() < 4; time.Sleep(100 * time.Millisecond) {
 			is.True(time.Since(begun) < 30*time.Second)
 		}
@@ -325,7 +325,7 @@
 // The VM of the owner is suspended each time between the store's word that it owns the cell and its order. Its
 // own steady clock does not show that. The word is old when it wakes: no order may be sent.
 func TestNoUpkeepAfterSuspend(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c, k := idleWave(t, "vm1")
 		k.suspends = time.Second
@@ -341,8 +341,8 @@
 	})
 }
 
-// alwaysAtWork reports whether another run was there whenever one ended.
-func alwaysAtWork(history []floor.Run) bool {
+// alwaysRunning reports whether another run was there whenever one ended.
+func alwaysRunning(history []floor.Run) bool {
 	for _, ended := range history {
 		others := 0
 		for _, r := range history {
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -15,9 +15,9 @@
 func stageOf(w *job.Work) *stage {
 	e := newEntry(w)
 	for range w.Count() {
-		e.begin(e.begun)
+		e.openOccurrence(e.occurrencesBegun)
 	}
-	return e.live[len(e.live)-1].stages[0]
+	return e.occurrences[len(e.occurrences)-1].stages[0]
 }
 
 // A service goes before all else, since each moment without it counts. Timed work goes by when it is due:
@@ -46,7 +46,7 @@
 	}
 	slices.SortFunc(found, urgency.compare)
 	for i, u := range found {
-		is.Equal(u.s.e.work.ID, order[i])
+		is.Equal(u.stage.entry.work.ID, order[i])
 	}
 }
 
@@ -80,8 +80,8 @@
 		})
 	}
 	service := work("service", 1)
-	service.spec.Service, service.e.work.Accepted = true, now.Add(-time.Minute)
-	step := work("later step", 30).occ.stages[1]
+	service.spec.Service, service.entry.work.Accepted = true, now.Add(-time.Minute)
+	step := work("later step", 30).occurrence.stages[1]
 	stages := []*stage{work("large", 20), step, service}
 	for _, id := range []string{"small 1", "small 2", "small 3", "small 4"} {
 		stages = append(stages, work(id, 1))
@@ -94,7 +94,7 @@
 	tm.shareTurns(order)
 	at := make(map[string]int)
 	for i, u := range order {
-		at[u.s.e.work.ID] = i
+		at[u.stage.entry.work.ID] = i
 	}
 	is.Equal(at["service"], 0)
 	is.Equal(at["later step"], 1)
@@ -106,9 +106,9 @@
 func TestResumedWorkHasHadItsTurn(t *testing.T) {
 	is := is.New(t)
 	s := stageOf(&job.Work{ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
-	(&term{}).resumeStage(s, &stageRecord{Tasks: []taskRecord{{Phase: phaseDone, Run: 1}}})
-	is.True(s.occ.begun)
+	(&term{}).restoreStage(s, &stageRecord{Tasks: []taskRecord{{Phase: phaseDone, Run: 1}}})
+	is.True(s.occurrence.started)
 	fresh := stageOf(&job.Work{ID: "fresh", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
-	(&term{}).resumeStage(fresh, &stageRecord{Tasks: []taskRecord{{}}})
-	is.True(!fresh.occ.begun)
+	(&term{}).restoreStage(fresh, &stageRecord{Tasks: []taskRecord{{}}})
+	is.True(!fresh.occurrence.started)
 }
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -22,14 +22,14 @@
 	since time.Time
 	// begun holds the VMs whose upkeep has begun.
 	begun map[string]bool
-	// orderedAt is when this owner's order for a VM was answered.
-	orderedAt map[string]time.Time
-	// clearing holds those that are being emptied, since when.
-	clearing map[string]time.Time
-	// ordered holds those whose order is under way.
-	ordered map[string]bool
-	// known says that what former owners have recorded was read, told that its end is recorded.
-	known, told bool
+	// answeredAt is when this owner's order for a VM was answered.
+	answeredAt map[string]time.Time
+	// draining holds those that are being emptied, since when.
+	draining map[string]time.Time
+	// orderPending holds those whose order is under way.
+	orderPending map[string]bool
+	// loaded says that what former owners have recorded was read, completionSaved that its end is recorded.
+	loaded, completionSaved bool
 }
 
 // waveRecord is the durable form of how far a wave is.
@@ -61,8 +61,8 @@
 		return
 	}
 	w := &wave{
-		Wave: m, since: time.Now(), begun: make(map[string]bool), clearing: make(map[string]time.Time), ordered: make(map[string]bool),
-		orderedAt: make(map[string]time.Time),
+		Wave: m, since: time.Now(), begun: make(map[string]bool), draining: make(map[string]time.Time), orderPending: make(map[string]bool),
+		answeredAt: make(map[string]time.Time),
 	}
 	t.upkeep.waves[m.Number] = w
 	t.log.Info("dispatch: wave of upkeep", zap.Int64("wave", m.Number), zap.Int("vms", len(m.VMs)), zap.Duration("within", m.Within), zap.Int("most", m.Most))
@@ -90,10 +90,10 @@
 	}
 	t.post(func() {
 		maps.Copy(w.begun, r.Begun)
-		w.known, w.told = true, bytes.Equal(status, completed)
+		w.loaded, w.completionSaved = true, bytes.Equal(status, completed)
 		if status == nil {
 			key, value := t.o.Waves.Status(w.Number, false)
-			t.record(w, key, value)
+			t.writeInBackground(w, key, value)
 		}
 	})
 }
@@ -101,10 +101,10 @@
 // readKey reads a key until the store answers, nil where there is none; an error means that the term has ended.
 func (t *term) readKey(key string) ([]byte, error) {
 	res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
-		ctx, cancel := context.WithTimeout(ctx, storeWithin)
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		return t.o.Store.Range(ctx, store.Range{Key: key})
-	}, retry.Between(commitAgain, commitAgainMost))
+	}, retry.Between(commitRetryMin, commitRetryMax))
 	if err != nil || len(res.Pairs) == 0 {
 		return nil, err
 	}
@@ -113,20 +113,22 @@
 
 // recordWave makes durable which VMs have begun. A successor that does not know of one clears it again and
 // repeats the order, which changes nothing where it was done.
-func (t *term) recordWave(w *wave) { t.record(w, w.key(), encode(&waveRecord{Begun: w.begun})) }
+func (t *term) recordWave(w *wave) {
+	t.writeInBackground(w, w.key(), encode(&waveRecord{Begun: w.begun}))
+}
 
-// record writes something of a wave that may be behind for a while.
-func (t *term) record(w *wave, key string, value []byte) {
+// writeInBackground writes something of a wave that may be behind for a while.
+func (t *term) writeInBackground(w *wave, key string, value []byte) {
 	t.wg.Go(func() {
-		if err := t.confirm(key, value); err != nil {
+		if err := t.writeAsOwner(key, value); err != nil {
 			t.log.Info("dispatch: the record of a wave is behind", zap.Int64("wave", w.Number), zap.String("key", key), zap.Error(err))
 		}
 	})
 }
 
-// confirm writes a record under the condition that this VM owns the cell.
-func (t *term) confirm(key string, value []byte) error {
-	ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
+// writeAsOwner writes a record under the condition that this VM owns the cell.
+func (t *term) writeAsOwner(key string, value []byte) error {
+	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
 	res, err := t.o.Store.Txn(ctx, store.Txn{Compares: []store.Compare{t.tenure.Compare()}, Then: []store.Op{{Key: key, Value: value}}})
 	switch {
--- a/dispatch/work.go
+++ b/dispatch/work.go
@@ -8,70 +8,70 @@
 	"turmericgap/job"
 )
 
-// add takes an accepted work that the term does not know yet.
-func (t *term) add(w *job.Work) {
+// addWork takes an accepted work that the term does not know yet.
+func (t *term) addWork(w *job.Work) {
 	if e := t.entries[w.ID]; e != nil {
 		// An entry VM has created the work itself: it must not be withdrawn for want of an own commit.
-		e.unwritten, e.stored = false, true
+		e.needsCreate, e.createdElsewhere = false, true
 		return
 	}
 	if _, over := t.ended[w.ID]; over {
 		return
 	}
 	e := newEntry(w)
-	t.adopt(e)
+	t.applyQueueConfig(e)
 	t.entries[w.ID] = e
-	t.noteSize(e)
+	t.recordSize(e)
 	if w.Occurrences > 0 {
 		t.timed[e] = struct{}{}
 		t.beginDue(e, time.Now())
 		return
 	}
-	t.openStages(e.begin(0))
+	t.openStages(e.openOccurrence(0))
 }
 
 // offer takes work that an entry VM has just accepted. An offer that was under way while its work
 // ran and ended under a former owner would run it again; until the ended work is known, only the
 // watch tells of new work, which the store orders after its end.
 func (t *term) offer(works []job.Work) {
-	if !t.endedRead {
+	if !t.endedLoaded {
 		return
 	}
 	for i := range works {
-		t.add(&works[i])
+		t.addWork(&works[i])
 	}
 }
 
 // openStages makes the stages of an occurrence whose turn has come ready.
 func (t *term) openStages(o *occurrence) {
 	for _, s := range o.stages {
-		if s.waiting == 0 || s.e.state.Final() || !s.open() {
+		if s.waiting == 0 || s.entry.state.Final() || !s.predecessorsDone() {
 			continue
 		}
 		if !s.ready {
-			s.ready, s.since = true, time.Now()
+			s.ready, s.readySince = true, time.Now()
 		}
-		t.stages[s] = struct{}{}
-		t.dirty = true
+		t.waitingStages[s] = struct{}{}
+		t.passNeeded = true
 	}
 }
 
-// shown gives the durable state of a work, empty where it is not held.
-func (t *term) shown(id string) job.WorkState {
+// durableStateOf gives the durable state of a work, empty where it is not held.
+func (t *term) durableStateOf(id string) job.WorkState {
 	if e := t.entries[id]; e != nil {
-		if !e.shown.Final() && e.started {
+		if !e.durableState.Final() && e.started {
 			return job.WorkRunning
 		}
-		return e.shown
+		return e.durableState
 	}
 	return t.ended[id].State
 }
 
-// current reports whether the store has lately confirmed the tenure. An owner that was replaced
+// isTenureConfirmed reports whether the store has lately confirmed the tenure. An owner that was replaced
 // without having heard of it does not know the newest work.
-func (t *term) current() bool { return t.tenure.Confirmed(countGrace) }
+func (t *term) isTenureConfirmed() bool { return t.tenure.Confirmed(countGrace) }
 
-func (t *term) waiting(queue string) int {
+func (t *term) countWaiting(queue string) int {
 	n := 0
 	for _, e := range t.entries {
 		if e.work.Queue.Name == queue && !e.started && !e.state.Final() {
@@ -94,20 +94,20 @@
 		t.afterSaved(e, func() { close(done) })
 		return true, done
 	}
-	t.log.Info("dispatch: work cancelled", zap.String("id", id), zap.Int("running", e.held))
-	t.conclude(e, job.WorkCancelled)
+	t.log.Info("dispatch: work cancelled", zap.String("id", id), zap.Int("running", e.activeRuns))
+	t.finish(e, job.WorkCancelled)
 	t.afterSaved(e, func() { close(done) })
 	return true, done
 }
 
-// conclude decides a final state: nothing new starts, and what runs is stopped once that is durable.
-func (t *term) conclude(e *entry, state job.WorkState) {
+// finish decides a final state: nothing new starts, and what runs is stopped once that is durable.
+func (t *term) finish(e *entry, state job.WorkState) {
 	e.state = state
 	delete(t.timed, e)
-	for _, o := range e.live {
+	for _, o := range e.occurrences {
 		for _, s := range o.stages {
-			delete(t.stages, s)
-			t.letGo(s)
+			delete(t.waitingStages, s)
+			t.releaseSetAside(s)
 		}
 	}
 	t.save(e, func() { t.haltAll(e) })
@@ -115,7 +115,7 @@
 
 // haltAll stops all runs of a work.
 func (t *term) haltAll(e *entry) {
-	for _, o := range e.live {
+	for _, o := range e.occurrences {
 		for _, s := range o.stages {
 			for i := range s.tasks {
 				if r := s.tasks[i].run; r != nil && !r.ended {
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -18,7 +18,7 @@
 func TestWorkerCutOff(t *testing.T) {
 	for name, cutFor := range map[string]time.Duration{"shorter than its lease": 5 * time.Second, "longer than its lease": 40 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(8*time.Second), "vm1", "vm2")
 				ws := c.workers(2, 4)
@@ -28,10 +28,10 @@
 				ws[0].Set(floor.Faults{Cut: true})
 				time.Sleep(cutFor)
 				ws[0].Set(floor.Faults{})
-				c.until(v, "roster", job.WorkCompleted, 40*time.Second)
+				c.waitForState(v, "roster", job.WorkCompleted, 40*time.Second)
 				again := c.runs("roster") - 8
 				is.Equal(again > 0, cutFor > mostHold)
-				c.judge()
+				c.checkHistory()
 			})
 		})
 	}
@@ -40,7 +40,7 @@
 // The owner dies while a worker is cut off from everybody. The successor cannot ask that worker, and
 // must wait until a lease that the dead owner may have extended last has lapsed.
 func TestTakeOverBesideCutWorker(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(12*time.Second), "vm1", "vm2")
 		ws := c.workers(2, 4)
 		first := c.owner()
@@ -49,15 +49,15 @@
 		ws[1].Set(floor.Faults{Cut: true})
 		time.Sleep(100 * time.Millisecond)
 		c.kill(first)
-		c.until(c.owner(), "roster", job.WorkCompleted, time.Minute)
-		c.judge()
+		c.waitForState(c.owner(), "roster", job.WorkCompleted, time.Minute)
+		c.checkHistory()
 	})
 }
 
 // An owner that the store and the other VMs cannot reach goes on calling the workers. The successor's
 // fence ends that at each worker it reaches, and no task runs twice.
 func TestOwnerCutFromStore(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(6*time.Second), "vm1", "vm2", "vm3")
 		c.workers(3, 4)
@@ -73,11 +73,11 @@
 			}
 		}
 		is.True(second != nil)
-		c.until(second, "roster", job.WorkCompleted, time.Minute)
+		c.waitForState(second, "roster", job.WorkCompleted, time.Minute)
 		is.Equal(c.runs("roster"), 20)
 		first.store.Cut(false)
 		time.Sleep(time.Second)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -86,7 +86,7 @@
 func TestLateStart(t *testing.T) {
 	for _, late := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				c := newCell(t, runsFor(time.Second), "vm1")
 				ws := c.workers(1, 2)
 				v := c.owner()
@@ -95,8 +95,8 @@
 				c.submit(v, c.work("check", job.Step{Tasks: 4}))
 				time.Sleep(time.Second)
 				ws[0].Set(floor.Faults{})
-				c.until(v, "check", job.WorkCompleted, 20*time.Second)
-				c.judge()
+				c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
+				c.checkHistory()
 			})
 		})
 	}
@@ -105,7 +105,7 @@
 // A worker crashes and another lifetime answers at its address: what ran is over for certain, and goes on
 // elsewhere without the wait for a lease.
 func TestWorkerReplaced(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(4*time.Second), "vm1")
 		ws := c.workers(2, 4)
@@ -118,15 +118,15 @@
 				break
 			}
 		}
-		c.until(v, "roster", job.WorkCompleted, 7*time.Second)
+		c.waitForState(v, "roster", job.WorkCompleted, 7*time.Second)
 		is.Equal(c.runs("roster"), 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A worker that says that it is leaving gets nothing new, and what runs there ends there.
 func TestLeavingWorker(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(3*time.Second), "vm1")
 		ws := c.workers(2, 4)
@@ -134,21 +134,21 @@
 		c.submit(v, c.work("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active(), 4)
-		c.list(worker.Listing{Info: leaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
+		c.register(worker.Listing{Info: asLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 8}))
-		c.until(v, "second", job.WorkCompleted, 20*time.Second)
+		c.waitForState(v, "second", job.WorkCompleted, 20*time.Second)
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "second" {
 				is.Equal(r.Worker, ws[1].Info().ID)
 			}
 		}
 		is.Equal(c.runs("first"), 8)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
-func leaving(i worker.Info) worker.Info {
+func asLeaving(i worker.Info) worker.Info {
 	i.Leaving = true
 	return i
 }
@@ -156,7 +156,7 @@
 // Tasks run near their data while there is room; those that fill what others leave keep away from those
 // whose response times have a bound; a service runs again however it ends.
 func TestWhereTasksRun(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			b := floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
@@ -171,7 +171,7 @@
 		for id, rack := range map[string]string{"w1": "r1", "w2": "r2", "w3": "r3"} {
 			info := worker.Info{ID: id, Address: id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
 			c.floor.Add(info)
-			c.list(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", rack}})
+			c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", rack}})
 		}
 		v := c.owner()
 		time.Sleep(time.Second)
@@ -193,15 +193,15 @@
 		is.Equal(on["label"], map[string]int{"w3": 3})
 		is.Equal(on["spread"], map[string]int{"w1": 1, "w2": 1, "w3": 1})
 		is.True(c.runs("service") >= 4)
-		is.Equal(meetings(c.floor.History(), "filler", "service"), 0)
+		is.Equal(overlaps(c.floor.History(), "filler", "service"), 0)
 		is.Equal(c.runs("filler"), 2)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // Work that repeats starts each time when it is due, not before, and is completed after the last time.
 func TestOccurrences(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
 		c.workers(1, 4)
@@ -211,19 +211,19 @@
 		c.submit(first, w)
 		time.Sleep(4 * time.Second)
 		c.kill(first)
-		c.until(c.owner(), "sweep", job.WorkCompleted, 30*time.Second)
+		c.waitForState(c.owner(), "sweep", job.WorkCompleted, 30*time.Second)
 		for _, r := range c.floor.History() {
 			late := r.Begun.Sub(w.Due(r.Task.Occurrence))
 			is.True(late >= 0)
 			is.True(late < 2500*time.Millisecond)
 		}
 		is.Equal(c.runs("sweep"), 4)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
-// meetings counts the pairs of runs of two works that were on one worker at a time.
-func meetings(history []floor.Run, a, b string) int {
+// overlaps counts the pairs of runs of two works that were on one worker at a time.
+func overlaps(history []floor.Run, a, b string) int {
 	n := 0
 	for i := range history {
 		for k := range history {
@@ -242,7 +242,7 @@
 // A worker carries a start out and its answer is lost; to the repeat it says that it is unwell and did
 // nothing. That holds for the repeat alone: the task runs, and must not be started elsewhere.
 func TestUnwellAfterLostAnswer(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(5*time.Second), "vm1")
 		ws := c.workers(2, 4)
@@ -261,16 +261,16 @@
 		for _, w := range ws {
 			w.Set(floor.Faults{})
 		}
-		c.until(v, "check", job.WorkCompleted, 20*time.Second)
+		c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("check"), 1)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
 // A worker takes tasks and answers every call, and nothing on it gets on. Their callers must not wait for
 // ever: the tasks are stopped and go on elsewhere, those that are merely slow are left alone.
 func TestStillWorker(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(8*time.Second), "vm1")
 		ws := c.workers(2, 4)
@@ -278,7 +278,7 @@
 		time.Sleep(5 * time.Second)
 		ws[0].Set(floor.Faults{Still: true})
 		c.submit(v, c.work("check", job.Step{Tasks: 6, Estimate: time.Second}))
-		c.until(v, "check", job.WorkCompleted, 25*time.Second)
+		c.waitForState(v, "check", job.WorkCompleted, 25*time.Second)
 		still := 0
 		for _, r := range c.floor.History() {
 			if r.How == worker.EndingStopped {
@@ -288,7 +288,7 @@
 		}
 		is.True(still > 0)
 		is.Equal(c.runs("check"), 6+still)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -305,7 +305,7 @@
 		"entry lapsed, cut off": {5 * time.Second, 40 * time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T) {
+			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				cell := newCell(t, runsFor(6*time.Second), "vm1")
 				ws := cell.workers(2, 4)
@@ -317,7 +317,7 @@
 				if ws[1].Active() > 0 {
 					w = ws[1]
 				}
-				cell.list(worker.Listing{Info: leaving(w.Info()), Pool: pool, Clock: w.Clock()})
+				cell.register(worker.Listing{Info: asLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
 				time.Sleep(time.Second)
 				if c.again > 0 {
 					w.Crash(false)
@@ -330,9 +330,9 @@
 					time.Sleep(2 * time.Second)
 					w.Set(floor.Faults{})
 				}
-				cell.until(v, "roster", job.WorkCompleted, c.within)
+				cell.waitForState(v, "roster", job.WorkCompleted, c.within)
 				is.Equal(cell.runs("roster"), 4+c.again)
-				cell.judge()
+				cell.checkHistory()
 			})
 		})
 	}
@@ -342,7 +342,7 @@
 // full. Callers whose tasks wait must not pay for that room with their attempts: after a few failures the
 // worker rests, is tried again with one task at a time, and serves as before once a task is done there.
 func TestFailingWorkerRests(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1")
 		ws := c.workers(4, 4)
@@ -354,7 +354,7 @@
 			time.Sleep(75 * time.Millisecond)
 		}
 		for i := range 120 {
-			c.until(v, fmt.Sprint("check", i), job.WorkCompleted, 20*time.Second)
+			c.waitForState(v, fmt.Sprint("check", i), job.WorkCompleted, 20*time.Second)
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
@@ -368,11 +368,11 @@
 		c.submit(v, c.work("first", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
 		is.Equal(ws[0].Active(), 1)
-		c.until(v, "first", job.WorkCompleted, 3*time.Second)
+		c.waitForState(v, "first", job.WorkCompleted, 3*time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
 		is.Equal(ws[0].Active(), 4)
-		c.judge()
+		c.checkHistory()
 	})
 }
 
@@ -380,7 +380,7 @@
 // tasks end where they are and once, new ones go to the other worker, and the spoiled one is used again
 // when its own entry is back.
 func TestEntryThatCannotBeRead(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(3*time.Second), "vm1")
 		ws := c.workers(2, 4)
@@ -393,16 +393,16 @@
 		c.put(store.Op{Key: workersPrefix + "nobody", Value: spoiled})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 4}))
-		c.until(v, "second", job.WorkCompleted, 10*time.Second)
-		c.until(v, "first", job.WorkCompleted, time.Second)
+		c.waitForState(v, "second", job.WorkCompleted, 10*time.Second)
+		c.waitForState(v, "first", job.WorkCompleted, time.Second)
 		is.Equal(c.runs("first")+c.runs("second"), 12)
 		for _, r := range c.floor.History() {
 			is.True(r.Task.Work == "first" || r.Worker == ws[1].Info().ID)
 		}
-		c.list(worker.Listing{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
+		c.register(worker.Listing{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("third", job.Step{Tasks: 8}))
-		c.until(v, "third", job.WorkCompleted, 5*time.Second)
-		c.judge()
+		c.waitForState(v, "third", job.WorkCompleted, 5*time.Second)
+		c.checkHistory()
 	})
 }
--- a/dispatch/zone_test.go
+++ b/dispatch/zone_test.go
@@ -16,7 +16,7 @@
 // heals; the checks of the others must not wait for tasks on workers behind the cut, whose ends nobody can
 // hear: spread over all workers more than half of them would.
 func TestChecksStayInTheirCallersZone(t *testing.T) {
-	play(t, func(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
 		zones := []string{"kochi-hall", "alappuzha-hall", "kollam-hall"}
@@ -25,7 +25,7 @@
 			zone := zones[i%len(zones)]
 			info := worker.Info{ID: fmt.Sprintf("w%02d", i), Address: fmt.Sprintf("w%02d", i), Zone: zone, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}
 			w := c.floor.Add(info)
-			c.list(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
+			c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 			if zone == zones[2] {
 				cut = append(cut, w)
 			}
@@ -58,6 +58,6 @@
 		}
 		t.Logf("%d of %d checks of the other zones were late", late, len(handed))
 		is.Equal(late, 0)
-		c.judge()
+		c.checkHistory()
 	})
 }
