--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -39,7 +39,7 @@
 
 // maxLeaseSpan is how long after a hold was sent the lease may last on the worker's clock.
 func (t *term) maxLeaseSpan() time.Duration {
-	return t.o.MostHold + time.Duration(clockDriftFactor*float64(t.o.MostHold)) + lapseMargin
+	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + lapseMargin
 }
 
 // sendHolds sends the holds of one worker, one at a time.
@@ -82,7 +82,7 @@
 	h := worker.Hold{Fence: t.tenure.Fence, Observed: n.lastEndObserved, Wait: wait}
 	if n.synced && n.misses < extendMissLimit && t.tenure.Confirmed(extendGrace) {
 		// The order is sent after the pause; the lease then ends that much earlier.
-		h.Until = n.clockNow(now) + t.o.MostHold
+		h.Until = n.clockNow(now) + t.o.MaxHold
 		n.leaseEnd = now.Add(pause + t.maxLeaseSpan())
 	}
 	n.holding, n.holdSentAt, n.holdDue = true, now.Add(pause), now.Add(pause+wait+holdLateAfter)
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -111,8 +111,8 @@
 // reportExamined tells of the workers that were looked at since it last did.
 func (t *term) reportExamined() {
 	p := &t.pass
-	if t.o.Spend != nil {
-		t.o.Spend(p.examined - p.examinedReported)
+	if t.o.OnExamined != nil {
+		t.o.OnExamined(p.examined - p.examinedReported)
 	}
 	p.examinedReported = p.examined
 }
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -21,8 +21,8 @@
 	Self string
 	// Lease is how long a former owner's orders may still arrive: a new owner gives none before that.
 	Lease time.Duration
-	// Away is how long a VM is away for its upkeep.
-	Away time.Duration
+	// UpkeepDuration is how long a VM is away for its upkeep.
+	UpkeepDuration time.Duration
 	// SinceBoot is a clock that counts the time for which this VM was suspended.
 	SinceBoot func() time.Duration
 }
@@ -138,7 +138,7 @@
 	if !known {
 		at = t.startedAt
 	}
-	return at.Add(t.o.Waves.Away)
+	return at.Add(t.o.Waves.UpkeepDuration)
 }
 
 // runsOn counts what runs on a VM.
@@ -165,7 +165,7 @@
 		return
 	}
 	n.draining = true
-	most := w.drainTimeout(t.o.Waves.Away)
+	most := w.drainTimeout(t.o.Waves.UpkeepDuration)
 	bound := false
 	for _, r := range n.runs {
 		if r.stage.spec.Service && !t.canBeAway(r) {
