--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -32,7 +32,7 @@
 	// Nodes lists the entry VMs that may put questions to the policy service; it gives the same list until they
 	// change. Ask puts a question from such a VM.
 	Nodes   func() []owner.Node
-	Ask     func(ctx context.Context, from owner.Node, q *permit.Question) (*permit.Answer, error)
+	Ask     func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error)
 	Logger  *zap.Logger
 	Metrics *metric.Registry
 	// Waves says where waves of upkeep lie and how they are answered; nil leaves them alone.
@@ -126,7 +126,7 @@
 func Rules(f func() *rule.List) Option { return func(o *Options) { o.Rules = f } }
 
 // Permits sets which entry VMs put questions to the policy service, and how.
-func Permits(nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Question) (*permit.Answer, error)) Option {
+func Permits(nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Request) (*permit.Response, error)) Option {
 	return func(o *Options) { o.Nodes, o.Ask = nodes, ask }
 }
 
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -54,14 +54,14 @@
 	// unsent holds new works that were not durable when last looked at.
 	unsent           []*entry
 	committer        committer
-	vmSelector       *permit.Desk
+	vmSelector       *permit.VMSelector
 	callLimiter      callLimiter
 	permitVMs        permitVMs
 	config           *job.Config
 	rules            *rule.List
 	passNeeded       bool
 	lag              lag
-	overloadDetector admission.Behind
+	overloadDetector admission.OverloadDetector
 	// reportedAt is when the state of the cell was last logged.
 	reportedAt time.Time
 	// endedToRemove lists the ended records that the next commits take away.
@@ -77,7 +77,7 @@
 	pass         pass
 	// grantShares is the share of named workers that each queue is allowed.
 	grantShares map[string]float64
-	sizes       *aging.Sizes
+	sizes       *aging.SizeStats
 	// tallies tell what became of works by queue and class of sizes.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
@@ -90,7 +90,7 @@
 		o: o, log: o.Logger.With(zap.Int64("fence", tenure.Fence)), tenure: tenure, startedAt: time.Now(),
 		events: make(chan func(), eventBuffer), entries: make(map[string]*entry), ended: make(map[string]Ended),
 		nodes: make(map[string]*node), unreadable: make(map[string]bool), waitingStages: make(map[*stage]struct{}), timed: make(map[*entry]struct{}),
-		pass: newPass(), capacities: make(map[resources]struct{}), vmSelector: permit.NewDesk(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
+		pass: newPass(), capacities: make(map[resources]struct{}), vmSelector: permit.NewVMSelector(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
 	}
 	t.committer.init()
 	t.ctx, t.cancelCtx = context.WithCancel(ctx)
@@ -110,7 +110,7 @@
 			t.drainEvents()
 		case at := <-tick.C:
 			t.lag.observe(time.Since(at))
-			t.overloadDetector.Note(time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
+			t.overloadDetector.Observe(time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
 			t.onTick(time.Now())
 		}
 		t.syncConfig()
@@ -166,7 +166,7 @@
 func (t *term) loseOwnership(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
 	t.cancelCtx()
-	t.tenure.Lost()
+	t.tenure.ReportLost()
 }
 
 // close waits for the goroutines of the term.
--- a/front/front.go
+++ b/front/front.go
@@ -178,7 +178,7 @@
 		f.logOffer(w, f.o.Dispatcher.Offer(ctx, []job.Work{*w}))
 		return
 	}
-	peer, _, ok := f.o.Group.Owned()
+	peer, _, ok := f.o.Group.Owner()
 	if !ok {
 		return
 	}
