--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,4 +1,3 @@
-// Package placement chooses the workers on which tasks run: packed, spread over racks, or whole gangs
-// near each other. Workers are indexed by what they have free, so that the cost of a choice grows
-// more slowly than their number.
+// Package placement chooses the workers on which tasks run: packed, spread over racks, or close together for a gang.
+// Workers are indexed by free capacity, so the cost of a choice grows more slowly than their number.
 package placement
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -6,9 +6,9 @@
 	"turmericgap/job"
 )
 
-// FindGang gives a worker for each of count equal tasks, all in one zone and in as few racks as can be,
-// or nil if no zone has room for all. Room is what a node offers; workers on probe get none.
-func (x *Index) FindGang(each job.Resources, count int, zoneName string, room func(n *Node) job.Resources) []*Node {
+// FindGang returns a worker for each of count equal tasks, all in one zone and in as few racks as possible, or nil if
+// no zone has room for all. room returns the resources usable on a node. Workers on probe are not used.
+func (x *Index) FindGang(request job.Resources, count int, zoneName string, room func(n *Node) job.Resources) []*Node {
 	var best []*Node
 	bestRacks := 0
 	for i := range x.zones {
@@ -16,7 +16,7 @@
 		if zoneName != "" && z.name != zoneName {
 			continue
 		}
-		if nodes, racks := z.gang(each, count, room); nodes != nil && (best == nil || racks < bestRacks) {
+		if nodes, racks := z.findGang(request, count, room); nodes != nil && (best == nil || racks < bestRacks) {
 			best, bestRacks = nodes, racks
 		}
 	}
@@ -28,14 +28,14 @@
 	count int
 }
 
-func (z *zone) gang(each job.Resources, count int, room func(n *Node) job.Resources) (nodes []*Node, racks int) {
+func (z *zone) findGang(request job.Resources, count int, room func(n *Node) job.Resources) (nodes []*Node, racks int) {
 	total := 0
 	var rooms []rackRoom
 	for _, r := range z.racks {
 		fit := 0
 		for _, n := range r.nodes {
 			if n.Open && !n.Probe {
-				fit += FitCount(room(n), each, count)
+				fit += FitCount(room(n), request, count)
 			}
 		}
 		if fit > 0 {
@@ -47,7 +47,7 @@
 		return nil, 0
 	}
 	sort.SliceStable(rooms, func(i, j int) bool { return rooms[i].count > rooms[j].count })
-	// The smallest rack that holds all of them leaves the larger ones to larger gangs.
+	// Using the smallest rack that holds the whole gang keeps larger racks free for larger gangs.
 	whole := sort.Search(len(rooms), func(i int) bool { return rooms[i].count < count })
 	if whole > 0 {
 		rooms = rooms[whole-1:]
@@ -58,7 +58,7 @@
 			if !n.Open || n.Probe {
 				continue
 			}
-			for range FitCount(room(n), each, count-len(nodes)) {
+			for range FitCount(room(n), request, count-len(nodes)) {
 				nodes = append(nodes, n)
 			}
 		}
@@ -69,9 +69,9 @@
 	return nodes, racks
 }
 
-// Feasible reports whether count tasks, or one if they are no gang, would fit into the empty
-// workers, closed ones included.
-func (x *Index) Feasible(each job.Resources, count int, gang bool, zoneName string) bool {
+// Feasible reports whether count tasks, or one task if gang is false, would fit into the workers if they were empty.
+// Closed workers are included.
+func (x *Index) Feasible(request job.Resources, count int, gang bool, zoneName string) bool {
 	if !gang {
 		count = 1
 	}
@@ -82,7 +82,7 @@
 		fit := 0
 		for _, r := range z.racks {
 			for _, n := range r.nodes {
-				if fit += FitCount(n.Info.Has, each, count); fit >= count {
+				if fit += FitCount(n.Info.Has, request, count); fit >= count {
 					return true
 				}
 			}
--- a/placement/grid.go
+++ b/placement/grid.go
@@ -6,79 +6,79 @@
 	"turmericgap/job"
 )
 
-// Quantities fall into classes of half an octave; what is below smallest falls into class zero.
+// Quantities are divided into classes, two per power of two; values below 1<<minBits are in class zero.
 const (
-	classes      = 32
-	smallestBits = 6
-	// enough bounds the nodes compared in a cell all of whose nodes fit.
-	enough = 16
+	numClasses = 32
+	minBits    = 6
+	// maxCompared limits the nodes compared in a bucket if all of its nodes fit.
+	maxCompared = 16
 )
 
-func class(v int64) int {
+func sizeClass(v int64) int {
 	length := bits.Len64(uint64(v))
-	if length <= smallestBits {
+	if length <= minBits {
 		return 0
 	}
 	half := int(v>>(length-2)) & 1
-	return min(classes-1, 2*(length-smallestBits)-1+half)
+	return min(numClasses-1, 2*(length-minBits)-1+half)
 }
 
-// grid holds nodes by class of free millicores and of free memory. A set bit of a row marks a cell
-// that is not empty.
+// grid holds nodes in buckets by their classes of free millicores and free memory. In nonEmpty, the bits of a row mark
+// its buckets that are not empty.
 type grid struct {
-	rows  [classes]uint32
-	cells [classes]*[classes]cell
+	nonEmpty [numClasses]uint32
+	buckets  [numClasses]*[numClasses]bucket
 }
 
-type cell struct {
-	grid  *grid
-	c, m  int
-	nodes []*Node
+type bucket struct {
+	grid                  *grid
+	cpuClass, memoryClass int
+	nodes                 []*Node
 }
 
 func (g *grid) add(n *Node) {
-	c, m := class(n.avail.Millicores), class(n.avail.MemoryMB)
-	if g.cells[c] == nil {
-		g.cells[c] = new([classes]cell)
+	c, m := sizeClass(n.avail.Millicores), sizeClass(n.avail.MemoryMB)
+	if g.buckets[c] == nil {
+		g.buckets[c] = new([numClasses]bucket)
 	}
-	cl := &g.cells[c][m]
-	cl.grid, cl.c, cl.m = g, c, m
-	n.cell, n.slot = cl, len(cl.nodes)
-	cl.nodes = append(cl.nodes, n)
-	g.rows[c] |= 1 << m
+	b := &g.buckets[c][m]
+	b.grid, b.cpuClass, b.memoryClass = g, c, m
+	n.bucket, n.bucketIndex = b, len(b.nodes)
+	b.nodes = append(b.nodes, n)
+	g.nonEmpty[c] |= 1 << m
 }
 
-func (n *Node) leaveCell() {
-	cl := n.cell
-	if cl == nil {
+func (n *Node) leaveBucket() {
+	b := n.bucket
+	if b == nil {
 		return
 	}
-	last := len(cl.nodes) - 1
-	moved := cl.nodes[last]
-	cl.nodes[n.slot], moved.slot = moved, n.slot
-	cl.nodes[last] = nil
-	cl.nodes = cl.nodes[:last]
+	last := len(b.nodes) - 1
+	moved := b.nodes[last]
+	b.nodes[n.bucketIndex], moved.bucketIndex = moved, n.bucketIndex
+	b.nodes[last] = nil
+	b.nodes = b.nodes[:last]
 	if last == 0 {
-		cl.grid.rows[cl.c] &^= 1 << cl.m
+		b.grid.nonEmpty[b.cpuClass] &^= 1 << b.memoryClass
 	}
-	n.cell = nil
+	n.bucket = nil
 }
 
-// find gives the node that a task leaves fullest, nearly: it compares cells by their classes and
-// nodes of one cell by what they have.
-func (g *grid) find(each job.Resources) *Node {
-	c0, m0 := class(each.Millicores), class(each.MemoryMB)
+// find returns an approximate best fit: it compares buckets by their classes, and nodes within a bucket by what the
+// task would leave free.
+func (g *grid) find(request job.Resources) *Node {
+	c0, m0 := sizeClass(request.Millicores), sizeClass(request.MemoryMB)
 	var best *Node
-	bestClass := 2 * classes
-	for c := c0; c < classes && c+m0 < bestClass; c++ {
-		row := g.rows[c] >> m0 << m0
+	bestClass := 2 * numClasses
+	for c := c0; c < numClasses && c+m0 < bestClass; c++ {
+		row := g.nonEmpty[c] >> m0 << m0
 		for row != 0 {
 			m := bits.TrailingZeros32(row)
 			row &= row - 1
 			if c+m >= bestClass {
 				break
 			}
-			if n := g.cells[c][m].tightest(each, c > c0 && m > m0); n != nil {
+			if n := g.buckets[c][m].bestFit(request, c > c0 && m > m0); n != nil {
 				best, bestClass = n, c+m
 				break
 			}
@@ -87,19 +87,19 @@
 	return best
 }
 
-// tightest gives the node with the least left over; sure says that all of them fit.
-func (cl *cell) tightest(each job.Resources, sure bool) *Node {
+// bestFit returns the node with the least capacity left over, or nil; allFit skips the check whether the task fits.
+func (b *bucket) bestFit(request job.Resources, allFit bool) *Node {
 	var best *Node
 	var bestLeft int64
-	nodes := cl.nodes
-	if sure && len(nodes) > enough {
-		nodes = nodes[:enough]
+	nodes := b.nodes
+	if allFit && len(nodes) > maxCompared {
+		nodes = nodes[:maxCompared]
 	}
 	for _, n := range nodes {
-		if !sure && !each.Fits(n.avail) {
+		if !allFit && !request.Fits(n.avail) {
 			continue
 		}
-		left := leftOver(n, each)
+		left := leftover(n, request)
 		if best == nil || left < bestLeft {
 			best, bestLeft = n, left
 		}
@@ -107,9 +107,9 @@
 	return best
 }
 
-// leftOver weighs what a task would leave free, each part by what the worker has.
-func leftOver(n *Node, each job.Resources) int64 {
+// leftover returns a score of what a task would leave free, relative to the capacity of the worker.
+func leftover(n *Node, request job.Resources) int64 {
 	const scale = 1 << 16
-	return (n.avail.Millicores-each.Millicores)*scale/max(n.Info.Has.Millicores, 1) +
-		(n.avail.MemoryMB-each.MemoryMB)*scale/max(n.Info.Has.MemoryMB, 1)
+	return (n.avail.Millicores-request.Millicores)*scale/max(n.Info.Has.Millicores, 1) +
+		(n.avail.MemoryMB-request.MemoryMB)*scale/max(n.Info.Has.MemoryMB, 1)
 }
--- a/placement/node.go
+++ b/placement/node.go
@@ -5,32 +5,32 @@
 	"turmericgap/worker"
 )
 
-// Node is a worker with what its tasks have taken.
+// Node is a worker and the resources allocated on it.
 type Node struct {
 	Info worker.Info
-	// Open says that it gets new tasks, Probe that it gets them one at a time.
+	// Open is set if the worker gets new tasks; Probe limits it to one task at a time.
 	Open  bool
 	Probe bool
-	// Free is what the worker has less what its tasks hold; negative if it has shrunk.
+	// Free is the capacity minus the allocated resources; negative if the worker has shrunk below its allocations.
 	Free  job.Resources
 	Tasks int
 
-	reserved bool
-	spare    job.Resources
-	zone     *zone
-	rack     *rack
-	cell     *cell
-	slot     int
-	avail    job.Resources
+	reserved    bool
+	spare       job.Resources
+	zone        *zone
+	rack        *rack
+	bucket      *bucket
+	bucketIndex int
+	avail       job.Resources
 }
 
-// Available is what a task that may run for any time can take.
+// Available returns the resources usable by tasks of any duration.
 func (n *Node) Available() job.Resources { return n.avail }
 
-// Reserved says that part of the worker is kept for a job that waits.
+// Reserved reports whether the worker is reserved for a waiting job.
 func (n *Node) Reserved() bool { return n.reserved }
 
-// AvailableNow is what a task can take that ends before the reservation is due.
+// AvailableNow returns the resources usable by tasks that end before the reservation starts.
 func (n *Node) AvailableNow() job.Resources {
 	if !n.Open || (n.Probe && n.Tasks > 0) {
 		return job.Resources{}
@@ -48,16 +48,16 @@
 	return r
 }
 
-// FitCount is how many tasks of the given size fit into r, most at the most.
-func FitCount(r, each job.Resources, most int) int {
-	n := int64(most)
+// FitCount returns how many tasks of the requested size fit into r, limited to limit.
+func FitCount(r, request job.Resources, limit int) int {
+	n := int64(limit)
 	part := func(have, need int64) {
 		if need > 0 {
 			n = min(n, max(have, 0)/need)
 		}
 	}
-	part(r.Millicores, each.Millicores)
-	part(r.MemoryMB, each.MemoryMB)
-	part(r.Accelerators, each.Accelerators)
+	part(r.Millicores, request.Millicores)
+	part(r.MemoryMB, request.MemoryMB)
+	part(r.Accelerators, request.Accelerators)
 	return int(n)
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -9,33 +9,33 @@
 	"turmericgap/worker"
 )
 
-// The strategies.
+// Placement strategies.
 const (
 	Pack   = "pack"
 	Spread = "spread"
 )
 
-// maxAccelerators is the largest count of free accelerators that is told apart.
+// maxAccelerators is the largest number of free accelerators that the index distinguishes.
 const maxAccelerators = 16
 
 // Index holds the workers of one or more zones. It is not safe for concurrent use.
 type Index struct {
-	nodes map[string]*Node
-	zones []*zone
-	has   job.Resources
-	free  job.Resources
-	open  int
-	seed  uint64
-	// largest is the most of each part that any worker had.
-	largest job.Resources
+	nodes    map[string]*Node
+	zones    []*zone
+	capacity job.Resources
+	free     job.Resources
+	open     int
+	seed     uint64
+	// maxCapacity is the largest value of each resource that any worker ever had.
+	maxCapacity job.Resources
 }
 
 type zone struct {
 	name string
-	// plain holds workers without accelerators; scarce the others, by free accelerators.
-	plain  grid
-	scarce [maxAccelerators + 1]*grid
-	racks  []*rack
+	// withoutAccelerators holds workers without accelerators; byAccelerators holds the others by free accelerators.
+	withoutAccelerators grid
+	byAccelerators      [maxAccelerators + 1]*grid
+	racks               []*rack
 }
 
 type rack struct {
@@ -43,37 +43,37 @@
 	nodes []*Node
 }
 
-// Query asks for a worker for one task.
+// Query describes a search for a worker for one task.
 type Query struct {
 	Request job.Resources
-	// Zone pins the task; Prefer names zones to try first.
+	// Zone restricts the search to one zone; PreferredZones are tried first.
 	Zone           string
 	PreferredZones []string
 	// Strategy is Pack or Spread.
 	Strategy string
-	// TasksOnNode counts the job's running tasks on a node, for Spread.
+	// TasksOnNode returns the number of the job's running tasks on a node, for Spread.
 	TasksOnNode func(n *Node) int
 }
 
-// New makes an index without workers; the seed says which of equal zones goes first.
+// New returns an empty index. The seed sets the zone from which searches start.
 func New(seed uint64) *Index { return &Index{nodes: map[string]*Node{}, seed: seed} }
 
-// MaxCapacity gives the most of each part that any worker had.
-func (x *Index) MaxCapacity() job.Resources { return x.largest }
+// MaxCapacity returns the largest value of each resource that any worker ever had.
+func (x *Index) MaxCapacity() job.Resources { return x.maxCapacity }
 
-// Node gives the worker with this id, or nil.
+// Node returns the worker with the given id, or nil.
 func (x *Index) Node(id string) *Node { return x.nodes[id] }
 
-// Len counts the workers.
+// Len returns the number of workers.
 func (x *Index) Len() int { return len(x.nodes) }
 
-// OpenCount counts the workers that get new tasks.
+// OpenCount returns the number of workers that get new tasks.
 func (x *Index) OpenCount() int { return x.open }
 
-// Totals gives what all workers have and what of it is free.
-func (x *Index) Totals() (has, free job.Resources) { return x.has, x.free }
+// Totals returns the total capacity of all workers and how much of it is free.
+func (x *Index) Totals() (capacity, free job.Resources) { return x.capacity, x.free }
 
-// ForEach calls visit for all workers, by zone, rack and id.
+// ForEach calls visit for all workers, ordered by zone, rack and id.
 func (x *Index) ForEach(visit func(n *Node)) {
 	for _, z := range x.zones {
 		for _, r := range z.racks {
@@ -84,12 +84,12 @@
 	}
 }
 
-// Set adds a worker or changes it; what its tasks hold stays taken.
+// Set adds or updates a worker and keeps the resources that are allocated on it.
 func (x *Index) Set(info worker.Info, open, probe bool) *Node {
 	n := x.nodes[info.ID]
-	held, tasks := job.Resources{}, 0
+	allocated, tasks := job.Resources{}, 0
 	if n != nil {
-		held, tasks = n.Info.Has.Minus(n.Free), n.Tasks
+		allocated, tasks = n.Info.Has.Minus(n.Free), n.Tasks
 		if n.Info.Zone != info.Zone || n.Info.Rack != info.Rack {
 			x.Remove(info.ID)
 			n = nil
@@ -99,26 +99,26 @@
 		n = &Node{Tasks: tasks}
 		x.nodes[info.ID] = n
 		n.Info = info
-		x.join(n)
+		x.insert(n)
 	} else {
-		x.count(n, -1)
+		x.addToTotals(n, -1)
 	}
 	n.Info, n.Open, n.Probe = info, open && !info.Leaving, probe
-	n.Free = info.Has.Minus(held)
-	x.count(n, 1)
-	x.largest = x.largest.Max(info.Has)
-	x.refresh(n)
+	n.Free = info.Has.Minus(allocated)
+	x.addToTotals(n, 1)
+	x.maxCapacity = x.maxCapacity.Max(info.Has)
+	x.reindex(n)
 	return n
 }
 
-// Remove forgets a worker.
+// Remove removes a worker.
 func (x *Index) Remove(id string) {
 	n := x.nodes[id]
 	if n == nil {
 		return
 	}
-	n.leaveCell()
-	x.count(n, -1)
+	n.leaveBucket()
+	x.addToTotals(n, -1)
 	delete(x.nodes, id)
 	r, z := n.rack, n.zone
 	at := slices.Index(r.nodes, n)
@@ -133,15 +133,15 @@
 	x.zones = slices.Delete(x.zones, at, at+1)
 }
 
-func (x *Index) count(n *Node, sign int) {
-	x.has = x.has.Plus(n.Info.Has.Times(sign))
+func (x *Index) addToTotals(n *Node, sign int) {
+	x.capacity = x.capacity.Plus(n.Info.Has.Times(sign))
 	x.free = x.free.Plus(n.Free.Times(sign))
 	if n.Open {
 		x.open += sign
 	}
 }
 
-func (x *Index) join(n *Node) {
+func (x *Index) insert(n *Node) {
 	at, ok := sort.Find(len(x.zones), func(i int) int { return strings.Compare(n.Info.Zone, x.zones[i].name) })
 	if !ok {
 		x.zones = slices.Insert(x.zones, at, &zone{name: n.Info.Zone})
@@ -157,58 +157,58 @@
 	n.zone, n.rack = z, r
 }
 
-// refresh puts a changed node into its cell; one with nothing free is in none.
-func (x *Index) refresh(n *Node) {
-	n.leaveCell()
+// reindex moves a changed node to its bucket. A node without free resources is in no bucket.
+func (x *Index) reindex(n *Node) {
+	n.leaveBucket()
 	n.avail = n.available()
 	if n.avail.Millicores <= 0 || n.avail.MemoryMB <= 0 {
 		return
 	}
-	g := &n.zone.plain
+	g := &n.zone.withoutAccelerators
 	if n.Info.Has.Accelerators > 0 {
 		at := min(max(n.avail.Accelerators, 0), maxAccelerators)
-		if n.zone.scarce[at] == nil {
-			n.zone.scarce[at] = new(grid)
+		if n.zone.byAccelerators[at] == nil {
+			n.zone.byAccelerators[at] = new(grid)
 		}
-		g = n.zone.scarce[at]
+		g = n.zone.byAccelerators[at]
 	}
 	g.add(n)
 }
 
-// Allocate charges a task to a worker. It does not ask whether it fits, since after a recovery what
-// runs is a fact.
-func (x *Index) Allocate(n *Node, each job.Resources) {
-	n.Free, x.free = n.Free.Minus(each), x.free.Minus(each)
+// Allocate charges a task to a worker. It does not check that the task fits, since tasks found running during recovery
+// must be counted in any case.
+func (x *Index) Allocate(n *Node, request job.Resources) {
+	n.Free, x.free = n.Free.Minus(request), x.free.Minus(request)
 	n.Tasks++
-	x.refresh(n)
+	x.reindex(n)
 }
 
-// Release frees what a task held.
-func (x *Index) Release(n *Node, each job.Resources) {
-	n.Free, x.free = n.Free.Plus(each), x.free.Plus(each)
+// Release frees the resources of a task.
+func (x *Index) Release(n *Node, request job.Resources) {
+	n.Free, x.free = n.Free.Plus(request), x.free.Plus(request)
 	n.Tasks--
-	x.refresh(n)
+	x.reindex(n)
 }
 
-// Reserve keeps the worker for a waiting job: tasks that may run for any time can take spare only.
+// Reserve reserves the worker for a waiting job: other tasks of any duration can use only the spare resources.
 func (x *Index) Reserve(n *Node, spare job.Resources) {
 	n.reserved, n.spare = true, spare
-	x.refresh(n)
+	x.reindex(n)
 }
 
-// UseSpare lowers the spare of a reserved worker by a task that will outlast the reservation.
-func (x *Index) UseSpare(n *Node, each job.Resources) {
-	n.spare = n.spare.Minus(each)
-	x.refresh(n)
+// UseSpare reduces the spare resources of a reserved worker by a task that outlasts the start of the reservation.
+func (x *Index) UseSpare(n *Node, request job.Resources) {
+	n.spare = n.spare.Minus(request)
+	x.reindex(n)
 }
 
 // Unreserve ends a reservation.
 func (x *Index) Unreserve(n *Node) {
 	n.reserved, n.spare = false, job.Resources{}
-	x.refresh(n)
+	x.reindex(n)
 }
 
-// Find gives a worker on which the task fits, or nil.
+// Find returns a worker on which the task fits, or nil.
 func (x *Index) Find(q *Query) *Node {
 	for _, name := range q.PreferredZones {
 		if q.Zone != "" && q.Zone != name {
@@ -229,7 +229,7 @@
 		if q.Zone != "" && q.Zone != z.name {
 			continue
 		}
-		if n := z.find(q); n != nil && (best == nil || q.better(n, best)) {
+		if n := z.find(q); n != nil && (best == nil || q.prefers(n, best)) {
 			best = n
 		}
 	}
@@ -240,85 +240,86 @@
 	return x.zones[(uint64(i)+x.seed)%uint64(len(x.zones))]
 }
 
-func (q *Query) better(a, b *Node) bool {
+func (q *Query) prefers(a, b *Node) bool {
 	if q.Strategy != Spread {
-		return leftOver(a, q.Request) < leftOver(b, q.Request)
+		return leftover(a, q.Request) < leftover(b, q.Request)
 	}
-	if na, nb := a.zone.near(q), b.zone.near(q); na != nb {
+	if na, nb := a.zone.taskCount(q), b.zone.taskCount(q); na != nb {
 		return na < nb
 	}
-	return leftOver(a, q.Request) > leftOver(b, q.Request)
+	return leftover(a, q.Request) > leftover(b, q.Request)
 }
 
 func (z *zone) find(q *Query) *Node {
-	n := z.pack(q.Request)
+	n := z.findPacked(q.Request)
 	if n == nil || q.Strategy != Spread {
 		return n
 	}
-	return z.spread(q, n)
+	return z.findSpread(q, n)
 }
 
-// pack keeps workers with accelerators for work that needs them, as long as others fit.
-func (z *zone) pack(each job.Resources) *Node {
-	if each.Accelerators == 0 {
-		if n := z.plain.find(each); n != nil {
+// findPacked uses workers with accelerators for tasks that need none only if no other worker fits.
+func (z *zone) findPacked(request job.Resources) *Node {
+	if request.Accelerators == 0 {
+		if n := z.withoutAccelerators.find(request); n != nil {
 			return n
 		}
 	}
-	for at := min(each.Accelerators, maxAccelerators); at <= maxAccelerators; at++ {
-		if z.scarce[at] == nil {
+	for at := min(request.Accelerators, maxAccelerators); at <= maxAccelerators; at++ {
+		if z.byAccelerators[at] == nil {
 			continue
 		}
-		if n := z.scarce[at].find(each); n != nil {
+		if n := z.byAccelerators[at].find(request); n != nil {
 			return n
 		}
 	}
 	return nil
 }
 
-// spread prefers the rack with the fewest tasks of the job, then the worker with the fewest, then
-// the emptiest. sure is a node that fits, so that the racks are only gone through where one will be
-// found.
-func (z *zone) spread(q *Query, sure *Node) *Node {
-	best, bestRack := sure, sure.rack.near(q)
-	bestNear := q.near(sure)
+// findSpread prefers the rack with the fewest tasks of the job, then the worker with the fewest, then the worker with
+// the most left over. fallback is a node that fits; the caller finds it first, so that racks are scanned only if a
+// placement exists.
+func (z *zone) findSpread(q *Query, fallback *Node) *Node {
+	best, bestRackCount := fallback, fallback.rack.taskCount(q)
+	bestCount := q.tasksOn(fallback)
 	for _, r := range z.racks {
-		count := r.near(q)
-		if count > bestRack {
+		rackCount := r.taskCount(q)
+		if rackCount > bestRackCount {
 			continue
 		}
 		for _, n := range r.nodes {
 			if !q.Request.Fits(n.avail) || (q.Request.Accelerators == 0) != (n.Info.Has.Accelerators == 0) {
 				continue
 			}
-			near := q.near(n)
-			if count < bestRack || near < bestNear || (near == bestNear && leftOver(n, q.Request) > leftOver(best, q.Request)) {
-				best, bestRack, bestNear = n, count, near
+			nodeCount := q.tasksOn(n)
+			if rackCount < bestRackCount || nodeCount < bestCount ||
+				(nodeCount == bestCount && leftover(n, q.Request) > leftover(best, q.Request)) {
+				best, bestRackCount, bestCount = n, rackCount, nodeCount
 			}
 		}
 	}
 	return best
 }
 
-func (q *Query) near(n *Node) int {
+func (q *Query) tasksOn(n *Node) int {
 	if q.TasksOnNode == nil {
 		return 0
 	}
 	return q.TasksOnNode(n)
 }
 
-func (r *rack) near(q *Query) int {
+func (r *rack) taskCount(q *Query) int {
 	total := 0
 	for _, n := range r.nodes {
-		total += q.near(n)
+		total += q.tasksOn(n)
 	}
 	return total
 }
 
-func (z *zone) near(q *Query) int {
+func (z *zone) taskCount(q *Query) int {
 	total := 0
 	for _, r := range z.racks {
-		total += r.near(q)
+		total += r.taskCount(q)
 	}
 	return total
 }
