--- a/queue/doc.go
+++ b/queue/doc.go
@@ -1,5 +1,5 @@
-// Package queue orders what waits. Items that need the same stand in one lane, so that a lane whose
-// first item cannot start is passed over whole. Bands go from the most to the least urgent; within a
-// band the team that holds the smallest share of its quota is next. Items that have waited long, or
-// whose deadline presses, are late and get a part of all turns, so that nothing waits for ever.
+// Package queue orders waiting items. Items with equal requirements share a lane; if the first item of a lane cannot
+// start, the whole lane is skipped. Bands are tried from the most to the least urgent, and within a band the pool that
+// uses the smallest share of its quota goes first. Items that have waited long or whose deadline is close are late and
+// get a fixed part of all starts, so that no item starves.
 package queue
--- a/queue/lane.go
+++ b/queue/lane.go
@@ -6,37 +6,37 @@
 	"github.com/google/btree"
 )
 
-// lane holds items of the same key, the first to be late at the top.
+// lane holds items of the same key in a heap ordered by the time at which they become late.
 type lane[T any] struct {
 	key  Key
-	team *team[T]
-	// heap is ordered by less.
+	pool *poolLanes[T]
+	// heap is ordered by Item.before.
 	heap []*Item[T]
-	// head is the item under which the lane stands in its team's tree, nil if it does not.
-	head *Item[T]
-	// blocked says that its first item could not start.
+	// readyItem is the item by which the lane is stored in the ready tree of its pool, nil if it is not stored.
+	readyItem *Item[T]
+	// blocked is set if the first item could not start.
 	blocked bool
-	// tried is the round in which it was last tried in vain.
-	tried uint64
-	// place is where it stands among the blocked ones.
-	place int
+	// triedRound is the round in which the lane was last blocked.
+	triedRound uint64
+	// blockedIndex is the index in Queue.blocked.
+	blockedIndex int
 }
 
 func (l *lane[T]) Len() int           { return len(l.heap) }
 func (l *lane[T]) Less(i, j int) bool { return l.heap[i].before(l.heap[j]) }
 func (l *lane[T]) Swap(i, j int) {
 	l.heap[i], l.heap[j] = l.heap[j], l.heap[i]
-	l.heap[i].at, l.heap[j].at = i, j
+	l.heap[i].heapIndex, l.heap[j].heapIndex = i, j
 }
 
-// Push is for container/heap alone.
+// Push implements heap.Interface.
 func (l *lane[T]) Push(x any) {
 	it, _ := x.(*Item[T])
-	it.at = len(l.heap)
+	it.heapIndex = len(l.heap)
 	l.heap = append(l.heap, it)
 }
 
-// Pop is for container/heap alone.
+// Pop implements heap.Interface.
 func (l *lane[T]) Pop() any {
 	last := len(l.heap) - 1
 	it := l.heap[last]
@@ -47,39 +47,39 @@
 
 func (l *lane[T]) insert(it *Item[T]) {
 	heap.Push(l, it)
-	l.relink()
+	l.updateReady()
 }
 
 func (l *lane[T]) remove(it *Item[T]) {
-	heap.Remove(l, it.at)
-	l.relink()
+	heap.Remove(l, it.heapIndex)
+	l.updateReady()
 }
 
-// relink puts the lane where its first item belongs; a blocked or empty one stands nowhere.
-func (l *lane[T]) relink() {
+// updateReady stores the lane in the ready tree by its current first item, or removes it if it is blocked or empty.
+func (l *lane[T]) updateReady() {
 	var head *Item[T]
 	if len(l.heap) > 0 && !l.blocked {
 		head = l.heap[0]
 	}
-	if head == l.head {
+	if head == l.readyItem {
 		return
 	}
-	if l.head != nil {
-		l.team.ready.Delete(l.head)
+	if l.readyItem != nil {
+		l.pool.ready.Delete(l.readyItem)
 	}
-	if l.head = head; head != nil {
-		l.team.ready.ReplaceOrInsert(head)
+	if l.readyItem = head; head != nil {
+		l.pool.ready.ReplaceOrInsert(head)
 	}
 }
 
-// team holds the lanes of one pool in one band that may start something.
-type team[T any] struct {
-	pool  string
-	lanes int
-	// share is the pool's share as it was asked for at stamp.
-	share float64
-	stamp uint64
-	// first is for Open alone.
-	first *lane[T]
-	ready *btree.BTreeG[*Item[T]]
+// poolLanes holds the lanes of one pool in one band.
+type poolLanes[T any] struct {
+	name      string
+	laneCount int
+	// share is the pool's quota share as of pass sharePass.
+	share     float64
+	sharePass uint64
+	// candidate is used only by UnblockCandidates.
+	candidate *lane[T]
+	ready     *btree.BTreeG[*Item[T]]
 }
--- a/queue/pass.go
+++ b/queue/pass.go
@@ -2,123 +2,123 @@
 
 import "time"
 
-// PoolUsage are the questions that a pass asks about pools.
+// PoolUsage provides the quota usage of pools to a pass.
 type PoolUsage struct {
-	// Share is how much of its quota a pool holds.
+	// Share returns the fraction of its quota that a pool uses.
 	Share func(pool string) float64
-	// WithinQuota reports whether the pool could start one more of the lane within its quota.
+	// WithinQuota reports whether the pool can start one more item of the lane within its quota.
 	WithinQuota func(k *Key) bool
 }
 
-// Pass goes once through what could start, in order.
+// Pass iterates over the items that could start, in order of precedence.
 type Pass[T any] struct {
 	q     *Queue[T]
 	now   time.Time
-	terms PoolUsage
-	// borrow is the second phase, in which pools may go beyond their quota.
-	borrow  bool
-	tried   int
-	looked  int
-	cursor  *Item[T]
-	lateEnd bool
-	// byTurn says that the last item came by the turn of the late ones.
-	byTurn bool
+	usage PoolUsage
+	// borrowing is set in the second phase, in which pools may exceed their quotas.
+	borrowing    bool
+	blockedCount int
+	lateScanned  int
+	lateCursor   *Item[T]
+	lateDone     bool
+	// lateTurn is set if the last item was returned because a start was due to late items.
+	lateTurn bool
 }
 
-// BeginPass starts a pass; the one before it ends.
-func (q *Queue[T]) BeginPass(now time.Time, terms PoolUsage) *Pass[T] {
-	q.stamp++
-	q.pass = Pass[T]{q: q, now: now, terms: terms}
+// BeginPass starts a pass and invalidates the previous one.
+func (q *Queue[T]) BeginPass(now time.Time, usage PoolUsage) *Pass[T] {
+	q.passSeq++
+	q.pass = Pass[T]{q: q, now: now, usage: usage}
 	return &q.pass
 }
 
-// Next gives the item that should start next, or nil at the end. The caller starts some of it, or
-// calls Block.
+// Next returns the item that should start next, or nil at the end. The caller must start at least a part of the item or
+// call BlockLane.
 func (p *Pass[T]) Next() *Item[T] {
-	if p.tried >= mostBlocked {
-		p.q.cut = true
+	if p.blockedCount >= maxBlockedPerPass {
+		p.q.passTruncated = true
 		return nil
 	}
-	if it := p.next(); it != nil || p.borrow {
+	if it := p.nextInPhase(); it != nil || p.borrowing {
 		return it
 	}
-	p.borrow, p.cursor, p.lateEnd, p.looked = true, nil, false, 0
-	return p.next()
+	p.borrowing, p.lateCursor, p.lateDone, p.lateScanned = true, nil, false, 0
+	return p.nextInPhase()
 }
 
-func (p *Pass[T]) next() *Item[T] {
-	p.byTurn = false
-	if p.q.turn >= lateTurn {
-		if it := p.late(); it != nil {
-			p.byTurn = true
+func (p *Pass[T]) nextInPhase() *Item[T] {
+	p.lateTurn = false
+	if p.q.startsSinceLate >= lateInterval {
+		if it := p.nextLate(); it != nil {
+			p.lateTurn = true
 			return it
 		}
 	}
-	if it := p.band(UrgentBand, MaxBand); it != nil {
+	if it := p.nextInBands(UrgentBand, MaxBand); it != nil {
 		return it
 	}
-	if it := p.late(); it != nil {
+	if it := p.nextLate(); it != nil {
 		return it
 	}
-	return p.band(MinBand, UrgentBand-1)
+	return p.nextInBands(MinBand, UrgentBand-1)
 }
 
-// MarkStarted notes a start, so that late items get their turns.
+// MarkStarted counts a start, which determines when late items are next.
 func (p *Pass[T]) MarkStarted(k *Key) {
 	for _, t := range p.q.bands[k.Band-MinBand] {
-		if t.pool == k.Pool {
-			t.stamp = 0
+		if t.name == k.Pool {
+			t.sharePass = 0
 		}
 	}
-	p.q.turn++
-	if p.byTurn {
-		p.q.turn = 0
+	p.q.startsSinceLate++
+	if p.lateTurn {
+		p.q.startsSinceLate = 0
 	}
 }
 
-// BlockLane passes over the lane of an item until Unblock.
+// BlockLane skips the lane of an item until it is unblocked.
 func (p *Pass[T]) BlockLane(it *Item[T]) {
-	p.tried++
+	p.blockedCount++
 	p.q.block(it.lane)
 }
 
-func (p *Pass[T]) late() *Item[T] {
-	if p.lateEnd {
+func (p *Pass[T]) nextLate() *Item[T] {
+	if p.lateDone {
 		return nil
 	}
 	var found *Item[T]
 	visit := func(it *Item[T]) bool {
-		if it.LateAt.After(p.now) || p.looked >= mostLate {
-			p.lateEnd = true
+		if it.LateAt.After(p.now) || p.lateScanned >= maxLateScanned {
+			p.lateDone = true
 			return false
 		}
-		p.cursor = it
-		if it.lane.blocked || (!p.borrow && !p.terms.WithinQuota(&it.lane.key)) {
-			p.looked++
+		p.lateCursor = it
+		if it.lane.blocked || (!p.borrowing && !p.usage.WithinQuota(&it.lane.key)) {
+			p.lateScanned++
 			return true
 		}
 		found = it
 		return false
 	}
-	if p.cursor == nil {
-		p.q.late.Ascend(visit)
+	if p.lateCursor == nil {
+		p.q.byLateAt.Ascend(visit)
 	} else {
-		p.q.late.AscendGreaterOrEqual(p.cursor, visit)
+		p.q.byLateAt.AscendGreaterOrEqual(p.lateCursor, visit)
 	}
 	return found
 }
 
-func (p *Pass[T]) band(from, to int) *Item[T] {
+func (p *Pass[T]) nextInBands(from, to int) *Item[T] {
 	for b := to; b >= from; b-- {
 		var best *Item[T]
 		var bestShare float64
 		for _, t := range p.q.bands[b-MinBand] {
 			it, ok := t.ready.Min()
-			if !ok || (!p.borrow && !p.terms.WithinQuota(&it.lane.key)) {
+			if !ok || (!p.borrowing && !p.usage.WithinQuota(&it.lane.key)) {
 				continue
 			}
-			if t.stamp != p.q.stamp {
-				t.stamp, t.share = p.q.stamp, p.terms.Share(t.pool)
+			if t.sharePass != p.q.passSeq {
+				t.sharePass, t.share = p.q.passSeq, p.usage.Share(t.name)
 			}
 			if best == nil || t.share < bestShare {
 				best, bestShare = it, t.share
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -11,25 +11,25 @@
 	"turmericgap/job"
 )
 
-// Bands run from MinBand to MaxBand; from UrgentBand on they go before late items of lower bands.
+// Bands run from MinBand to MaxBand. Bands from UrgentBand on take precedence over late items of lower bands.
 const (
 	MinBand    = -8
 	MaxBand    = 8
 	UrgentBand = 5
-	bands      = MaxBand - MinBand + 1
+	numBands   = MaxBand - MinBand + 1
 )
 
 const (
-	// lateTurn is how often late items go first: one of so many starts.
-	lateTurn = 8
-	// mostBlocked bounds the lanes tried in vain in one pass, and with them its time.
-	mostBlocked = 128
-	// mostLate bounds the late items looked at in one pass.
-	mostLate = 128
-	degree   = 16
+	// lateInterval is the number of starts after which a late item goes first.
+	lateInterval = 8
+	// maxBlockedPerPass limits the lanes that one pass tries without success, and thus its duration.
+	maxBlockedPerPass = 128
+	// maxLateScanned limits the late items that one phase of a pass skips.
+	maxLateScanned = 128
+	btreeDegree    = 16
 )
 
-// Key is what items of one lane have in common: one of them can start where any other can.
+// Key holds what the items of a lane have in common. Any item of a lane can start where any other can.
 type Key struct {
 	Band int
 	// Pool is charged for the items.
@@ -37,29 +37,29 @@
 	Rule    string
 	Zone    string
 	Request job.Resources
-	// GangSize is the number of tasks that start together, zero for no gang.
+	// GangSize is the number of tasks that start together, zero if the item is not a gang.
 	GangSize int
-	// Spread says that tasks are spread over racks.
+	// Spread is set if tasks are spread over racks.
 	Spread bool
-	// Limited says that a limit or quota may hold the items back although they fit.
+	// Limited is set if a limit or quota may prevent a start even if the items fit.
 	Limited bool
 }
 
-// Item waits in a queue.
+// Item is an element of a queue.
 type Item[T any] struct {
 	Value T
-	// LateAt is when the item becomes late.
+	// LateAt is the time at which the item becomes late.
 	LateAt time.Time
 
-	lane *lane[T]
-	seq  uint64
-	at   int
+	lane      *lane[T]
+	seq       uint64
+	heapIndex int
 }
 
-// Queued reports whether the item waits.
+// Queued reports whether the item is in a queue.
 func (it *Item[T]) Queued() bool { return it.lane != nil }
 
-// Key gives the key under which the item waits.
+// Key returns the key of the item's lane. The item must be queued.
 func (it *Item[T]) Key() *Key { return &it.lane.key }
 
 func (it *Item[T]) before(o *Item[T]) bool {
@@ -69,62 +69,62 @@
 	return it.seq < o.seq
 }
 
-// Queue orders items. It is not safe for concurrent use.
+// Queue orders waiting items. It is not safe for concurrent use.
 type Queue[T any] struct {
-	lanes   map[Key]*lane[T]
-	bands   [bands][]*team[T]
-	late    *btree.BTreeG[*Item[T]]
-	blocked []*lane[T]
-	cut     bool
-	seq     uint64
-	turn    int
-	stamp   uint64
-	round   uint64
-	// chances holds the lanes that had a chance in this round, once asked.
-	chances []*lane[T]
-	asked   bool
-	pass    Pass[T]
-}
-
-// New makes an empty queue.
+	lanes           map[Key]*lane[T]
+	bands           [numBands][]*poolLanes[T]
+	byLateAt        *btree.BTreeG[*Item[T]]
+	blocked         []*lane[T]
+	passTruncated   bool
+	seq             uint64
+	startsSinceLate int
+	passSeq         uint64
+	round           uint64
+	// candidates holds the blocked lanes that may start in this round, if candidatesKnown is set.
+	candidates      []*lane[T]
+	candidatesKnown bool
+	pass            Pass[T]
+}
+
+// New returns an empty queue.
 func New[T any]() *Queue[T] {
-	return &Queue[T]{lanes: map[Key]*lane[T]{}, late: newTree[T]()}
+	return &Queue[T]{lanes: map[Key]*lane[T]{}, byLateAt: newTree[T]()}
 }
 
 func newTree[T any]() *btree.BTreeG[*Item[T]] {
-	return btree.NewG(degree, func(a, b *Item[T]) bool { return a.before(b) })
+	return btree.NewG(btreeDegree, func(a, b *Item[T]) bool { return a.before(b) })
 }
 
-// Len is the number of items.
-func (q *Queue[T]) Len() int { return q.late.Len() }
+// Len returns the number of items.
+func (q *Queue[T]) Len() int { return q.byLateAt.Len() }
 
-// EachLate calls visit for the late items, the one that is so for longest first, while it returns true.
+// EachLate calls visit for the late items, the longest late first, until it returns false.
 func (q *Queue[T]) EachLate(now time.Time, visit func(v T) bool) {
-	q.late.Ascend(func(it *Item[T]) bool { return !it.LateAt.After(now) && visit(it.Value) })
+	q.byLateAt.Ascend(func(it *Item[T]) bool { return !it.LateAt.After(now) && visit(it.Value) })
 }
 
-// Push adds an item that does not wait yet.
+// Push adds an item that is not queued.
 func (q *Queue[T]) Push(it *Item[T], k Key) {
 	k.Band = min(max(k.Band, MinBand), MaxBand)
 	l, ok := q.lanes[k]
 	if !ok {
-		l = &lane[T]{key: k, team: q.team(k.Band, k.Pool)}
-		l.team.lanes++
+		l = &lane[T]{key: k, pool: q.poolLanes(k.Band, k.Pool)}
+		l.pool.laneCount++
 		q.lanes[k] = l
 	}
 	q.seq++
 	it.lane, it.seq = l, q.seq
 	l.insert(it)
-	q.late.ReplaceOrInsert(it)
+	q.byLateAt.ReplaceOrInsert(it)
 }
 
-// Remove takes an item out, wherever it stands.
+// Remove removes an item, if it is queued.
 func (q *Queue[T]) Remove(it *Item[T]) {
 	l := it.lane
 	if l == nil {
 		return
 	}
-	q.late.Delete(it)
+	q.byLateAt.Delete(it)
 	l.remove(it)
 	it.lane = nil
 	if len(l.heap) > 0 {
@@ -132,92 +132,91 @@
 	}
 	delete(q.lanes, l.key)
 	if l.blocked {
-		q.forget(l)
+		q.removeBlocked(l)
 		l.blocked = false
 	}
-	if l.team.lanes--; l.team.lanes == 0 {
+	if l.pool.laneCount--; l.pool.laneCount == 0 {
 		b := &q.bands[l.key.Band-MinBand]
-		at := slices.Index(*b, l.team)
+		at := slices.Index(*b, l.pool)
 		*b = slices.Delete(*b, at, at+1)
 	}
 }
 
-func (q *Queue[T]) team(band int, pool string) *team[T] {
+func (q *Queue[T]) poolLanes(band int, pool string) *poolLanes[T] {
 	b := &q.bands[band-MinBand]
-	at, ok := sort.Find(len(*b), func(i int) int { return strings.Compare(pool, (*b)[i].pool) })
+	at, ok := sort.Find(len(*b), func(i int) int { return strings.Compare(pool, (*b)[i].name) })
 	if !ok {
-		*b = slices.Insert(*b, at, &team[T]{pool: pool, ready: newTree[T]()})
+		*b = slices.Insert(*b, at, &poolLanes[T]{name: pool, ready: newTree[T]()})
 	}
 	return (*b)[at]
 }
 
-// BeginRound begins a round of Open, since something was freed.
+// BeginRound starts a new round of UnblockCandidates after capacity was freed.
 func (q *Queue[T]) BeginRound() {
 	q.round++
-	clear(q.chances)
-	q.chances, q.asked = q.chances[:0], false
-}
-
-// UnblockCandidates lets one blocked lane of each team and band be tried again: the first that has a chance and
-// was not tried in this round. It reports whether there was any. After a small thing was freed this
-// saves trying all lanes in vain. Chances only fall during a round, so that one look at all lanes
-// is enough.
-func (q *Queue[T]) UnblockCandidates(chance func(k *Key) bool) bool {
-	from := q.chances
-	if !q.asked {
-		from, q.asked = q.blocked, true
+	clear(q.candidates)
+	q.candidates, q.candidatesKnown = q.candidates[:0], false
+}
+
+// UnblockCandidates unblocks one lane per pool and band: the first one for which mayStart returns true and that was not
+// tried in this round. It reports whether it unblocked any. If little capacity was freed, this avoids trying all lanes.
+// The lanes that may start only become fewer during a round, so all lanes are examined only once.
+func (q *Queue[T]) UnblockCandidates(mayStart func(k *Key) bool) bool {
+	from := q.candidates
+	if !q.candidatesKnown {
+		from, q.candidatesKnown = q.blocked, true
 	}
-	kept := q.chances[:0]
+	kept := q.candidates[:0]
 	var opened []*lane[T]
 	for _, l := range from {
-		if !l.blocked || l.tried == q.round || !chance(&l.key) {
+		if !l.blocked || l.triedRound == q.round || !mayStart(&l.key) {
 			continue
 		}
 		kept = append(kept, l)
-		switch first := l.team.first; {
+		switch first := l.pool.candidate; {
 		case first == nil:
 			opened = append(opened, l)
-			l.team.first = l
+			l.pool.candidate = l
 		case l.heap[0].before(first.heap[0]):
 			opened[slices.Index(opened, first)] = l
-			l.team.first = l
+			l.pool.candidate = l
 		}
 	}
-	q.chances = kept
+	q.candidates = kept
 	for _, l := range opened {
-		l.team.first = nil
-		q.open(l)
+		l.pool.candidate = nil
+		q.unblock(l)
 	}
 	return len(opened) > 0
 }
 
-// UnblockAll lets all blocked lanes be tried again. If the last pass was cut short, only the top bands
-// are: the others go on where it ended, so that each lane has its try.
+// UnblockAll unblocks all lanes. If the last pass reached its limit, it unblocks only the urgent bands, so that the next
+// pass continues with the lanes that have not been tried yet.
 func (q *Queue[T]) UnblockAll() {
 	for i := len(q.blocked) - 1; i >= 0; i-- {
-		if l := q.blocked[i]; !q.cut || l.key.Band >= UrgentBand {
-			q.open(l)
+		if l := q.blocked[i]; !q.passTruncated || l.key.Band >= UrgentBand {
+			q.unblock(l)
 		}
 	}
-	q.cut = false
+	q.passTruncated = false
 }
 
 func (q *Queue[T]) block(l *lane[T]) {
-	l.blocked, l.tried, l.place = true, q.round, len(q.blocked)
+	l.blocked, l.triedRound, l.blockedIndex = true, q.round, len(q.blocked)
 	q.blocked = append(q.blocked, l)
-	l.relink()
+	l.updateReady()
 }
 
-func (q *Queue[T]) open(l *lane[T]) {
-	q.forget(l)
+func (q *Queue[T]) unblock(l *lane[T]) {
+	q.removeBlocked(l)
 	l.blocked = false
-	l.relink()
+	l.updateReady()
 }
 
-func (q *Queue[T]) forget(l *lane[T]) {
+func (q *Queue[T]) removeBlocked(l *lane[T]) {
 	last := len(q.blocked) - 1
 	moved := q.blocked[last]
-	q.blocked[l.place], moved.place = moved, l.place
+	q.blocked[l.blockedIndex], moved.blockedIndex = moved, l.blockedIndex
 	q.blocked[last] = nil
 	q.blocked = q.blocked[:last]
 }
