--- a/budget/budget.go
+++ b/budget/budget.go
@@ -2,58 +2,58 @@
 
 import "sync"
 
-// Defaults.
+// Default values of the options.
 const (
-	// DefaultRatio is how much of a retry one success earns.
+	// DefaultRatio is the number of retries that one success adds.
 	DefaultRatio = 0.1
-	// DefaultBurst is the most retries that can be saved up, and what a new Budget starts with.
+	// DefaultBurst is the maximum and the initial number of retries.
 	DefaultBurst = 10
 
-	one = 1000
+	unitsPerRetry = 1000
 )
 
-// Budget is a bucket of retries; it is safe for concurrent use.
+// Budget is a token bucket of retries. It is safe for concurrent use.
 type Budget struct {
-	// earn, burst and have count thousandths of a retry, so that no success is lost in rounding.
-	earn  int64
-	burst int64
-	mu    sync.Mutex
-	have  int64
+	// perSuccess, burst and balance are in thousandths of a retry, so that fractions are not lost by rounding.
+	perSuccess int64
+	burst      int64
+	mu         sync.Mutex
+	balance    int64
 }
 
-// Option sets up a Budget.
+// Option configures a Budget.
 type Option func(*Budget)
 
-// Ratio sets how much of a retry one success earns.
-func Ratio(r float64) Option { return func(b *Budget) { b.earn = int64(r * one) } }
+// Ratio sets the number of retries that one success adds.
+func Ratio(r float64) Option { return func(b *Budget) { b.perSuccess = int64(r * unitsPerRetry) } }
 
-// Burst sets the most retries that can be saved up.
-func Burst(n int) Option { return func(b *Budget) { b.burst = int64(n) * one } }
+// Burst sets the maximum number of retries.
+func Burst(n int) Option { return func(b *Budget) { b.burst = int64(n) * unitsPerRetry } }
 
 // New returns a full Budget.
 func New(opts ...Option) *Budget {
-	b := &Budget{earn: DefaultRatio * one, burst: DefaultBurst * one}
+	b := &Budget{perSuccess: DefaultRatio * unitsPerRetry, burst: DefaultBurst * unitsPerRetry}
 	for _, f := range opts {
 		f(b)
 	}
-	b.have = b.burst
+	b.balance = b.burst
 	return b
 }
 
-// Deposit notes a success.
+// Deposit adds the share of a retry for one success.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
-	b.have = min(b.burst, b.have+b.earn)
+	b.balance = min(b.burst, b.balance+b.perSuccess)
 	b.mu.Unlock()
 }
 
-// TryWithdraw takes one retry and reports whether there was one.
+// TryWithdraw takes one retry and reports whether one was available.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.have < one {
+	if b.balance < unitsPerRetry {
 		return false
 	}
-	b.have -= one
+	b.balance -= unitsPerRetry
 	return true
 }
--- a/budget/doc.go
+++ b/budget/doc.go
@@ -1,5 +1,5 @@
-// Package budget bounds retries by a share of recent successes.
+// Package budget limits retries to a fraction of recent successes.
 //
-// When targets fail, every request would otherwise become several, and the load that keeps them
-// down would multiply. A success earns a fraction of a retry; an outage earns none.
+// When targets fail, unlimited retries multiply the requests and keep the targets overloaded. Each success adds a
+// fraction of a retry; failures add none.
 package budget
--- a/learn/doc.go
+++ b/learn/doc.go
@@ -1,3 +1,3 @@
-// Package learn remembers how long the tasks of a job class ran and what they used at their peak.
-// Declared figures are far off; these decide the slack of deadlines, backfill and reservations.
+// Package learn records the run times and the peak usage of tasks by job class. Declared values are inaccurate; the
+// recorded ones determine the slack before deadlines, backfill and reservations.
 package learn
--- a/learn/learn.go
+++ b/learn/learn.go
@@ -9,91 +9,91 @@
 	"turmericgap/job"
 )
 
-// Bounds of what is remembered.
+// Limits of what is recorded.
 const (
 	DefaultMaxClasses = 512
-	// Window is how many recent tasks of a class count, so that old habits are forgotten.
+	// Window is the number of recent tasks per class that count, so that estimates follow changes.
 	Window = 64
-	// few is how many tasks must have been seen before they outweigh what was declared.
-	few      = 5
-	permille = 1000
+	// minSamples is the number of tasks from which an estimate replaces the declared values.
+	minSamples = 5
+	permille   = 1000
 )
 
-// What is assumed of a class of which few tasks were seen.
+// Assumptions for a class with fewer than minSamples tasks.
 const (
 	DefaultRunTime = 10 * time.Minute
-	// declaredFactor is how far a declared run time is trusted.
+	// declaredFactor is the assumed ratio of the 0.9 quantile to the declared run time.
 	declaredFactor = 2
 )
 
-// Key names a class of jobs; classes of different teams are different.
+// Key identifies a class of jobs. Classes belong to a team.
 type Key struct{ Team, Class string }
 
-// Estimate is what to expect of a task of a class.
+// Estimate is the expected run time and usage of a task of a class.
 type Estimate struct {
-	// Median and High are the quantiles 0.5 and 0.9 of run times.
+	// Median and P90 are the quantiles 0.5 and 0.9 of run times.
 	Median time.Duration
 	P90    time.Duration
-	// CorePermille and MemoryPermille are the quantile 0.95 of peak usage, in thousandths of what
-	// was declared; zero if unknown.
+	// CorePermille and MemoryPermille are the quantile 0.95 of peak usage, in thousandths of the declared resources;
+	// zero if unknown.
 	CorePermille   int64
 	MemoryPermille int64
-	// Learned says that enough tasks were seen; otherwise the declared run time counts.
+	// Learned is set if the estimate is based on recorded tasks, not on the declared run time.
 	Learned bool
 }
 
-// Learner holds a bounded number of classes and drops the one that was least recently observed.
+// Learner records a limited number of classes and evicts the least recently observed one.
 type Learner struct {
-	most    int
-	classes map[Key]*list.Element
-	recent  *list.List
+	maxClasses int
+	classes    map[Key]*list.Element
+	lru        *list.List
 }
 
 type history struct {
 	key      Key
-	seen     int
-	ran      [Window]time.Duration
+	count    int
+	runTimes [Window]time.Duration
 	cores    [Window]int64
 	memory   [Window]int64
 	estimate Estimate
 }
 
-// New makes a learner of at most most classes.
-func New(most int) *Learner {
-	return &Learner{most: most, classes: map[Key]*list.Element{}, recent: list.New()}
+// New returns a Learner that records at most maxClasses classes.
+func New(maxClasses int) *Learner {
+	return &Learner{maxClasses: maxClasses, classes: map[Key]*list.Element{}, lru: list.New()}
 }
 
-// Observe notes a task that gave its answer. Its peak counts against what was declared, since jobs
-// of a class have different sizes; a zero peak means that usage is unknown.
+// Observe records a task that delivered its result. Its peak usage is stored relative to the declared resources, since
+// jobs of a class differ in size. A zero peak means that usage is unknown.
 func (l *Learner) Observe(k Key, ran time.Duration, declared, peak job.Resources) {
 	element, ok := l.classes[k]
 	if !ok {
-		if l.recent.Len() >= l.most {
-			l.drop(l.recent.Back())
+		if l.lru.Len() >= l.maxClasses {
+			l.evict(l.lru.Back())
 		}
-		element = l.recent.PushFront(&history{key: k})
+		element = l.lru.PushFront(&history{key: k})
 		l.classes[k] = element
 	}
-	l.recent.MoveToFront(element)
+	l.lru.MoveToFront(element)
 	h, _ := element.Value.(*history)
-	at := h.seen % Window
-	h.ran[at] = ran
+	at := h.count % Window
+	h.runTimes[at] = ran
 	h.cores[at] = peak.Millicores * permille / max(declared.Millicores, 1)
 	h.memory[at] = peak.MemoryMB * permille / max(declared.MemoryMB, 1)
-	h.seen++
-	h.update()
+	h.count++
+	h.updateEstimate()
 }
 
-func (l *Learner) drop(at *list.Element) {
+func (l *Learner) evict(at *list.Element) {
 	h, _ := at.Value.(*history)
 	delete(l.classes, h.key)
-	l.recent.Remove(at)
+	l.lru.Remove(at)
 }
 
-// Classes is how many classes are held.
-func (l *Learner) Classes() int { return l.recent.Len() }
+// Classes returns the number of recorded classes.
+func (l *Learner) Classes() int { return l.lru.Len() }
 
-// Estimate tells what to expect of a task whose declared run time is given; zero is not declared.
+// Estimate returns the estimate for a task with the given declared run time, zero if none was declared.
 func (l *Learner) Estimate(k Key, declared time.Duration) Estimate {
 	if at, ok := l.classes[k]; ok {
 		if h, _ := at.Value.(*history); h.estimate.Learned {
@@ -106,36 +106,36 @@
 	return Estimate{Median: declared, P90: declaredFactor * declared}
 }
 
-func (h *history) update() {
-	if h.seen < few {
+func (h *history) updateEstimate() {
+	if h.count < minSamples {
 		return
 	}
-	n := min(h.seen, Window)
-	ran, cores, memory := sorted(h.ran, n), sorted(h.cores, n), sorted(h.memory, n)
+	n := min(h.count, Window)
+	ran, cores, memory := sortedCopy(h.runTimes, n), sortedCopy(h.cores, n), sortedCopy(h.memory, n)
 	h.estimate = Estimate{
-		Median: ran[quantile(n, 50)], P90: ran[quantile(n, 90)], Learned: true,
-		CorePermille: cores[quantile(n, 95)], MemoryPermille: memory[quantile(n, 95)],
+		Median: ran[quantileIndex(n, 50)], P90: ran[quantileIndex(n, 90)], Learned: true,
+		CorePermille: cores[quantileIndex(n, 95)], MemoryPermille: memory[quantileIndex(n, 95)],
 	}
 }
 
-// sorted orders the first n values of a copy.
-func sorted[T cmp.Ordered](values [Window]T, n int) [Window]T {
+// sortedCopy returns a copy of values with the first n sorted.
+func sortedCopy[T cmp.Ordered](values [Window]T, n int) [Window]T {
 	slices.Sort(values[:n])
 	return values
 }
 
-func quantile(n, percent int) int { return min(n-1, n*percent/100) }
+func quantileIndex(n, percent int) int { return min(n-1, n*percent/100) }
 
-// Charge is what a task should hold: what was declared, or the learned peak where that is more. It
-// is never more than the worker has, and never less than declared, so nothing is overcommitted.
-func (e *Estimate) Charge(declared, has job.Resources) job.Resources {
+// Charge returns the resources to allocate for a task: the declared ones, or the learned peak if it is larger. A learned
+// peak is capped at capacity, and the result is never less than declared, so that workers are not overcommitted.
+func (e *Estimate) Charge(declared, capacity job.Resources) job.Resources {
 	return job.Resources{
-		Millicores:   charge(declared.Millicores, e.CorePermille, has.Millicores),
-		MemoryMB:     charge(declared.MemoryMB, e.MemoryPermille, has.MemoryMB),
+		Millicores:   chargeOne(declared.Millicores, e.CorePermille, capacity.Millicores),
+		MemoryMB:     chargeOne(declared.MemoryMB, e.MemoryPermille, capacity.MemoryMB),
 		Accelerators: declared.Accelerators,
 	}
 }
 
-func charge(declared, usedPermille, has int64) int64 {
-	return max(declared, min(has, declared*usedPermille/permille))
+func chargeOne(declared, usedPermille, capacity int64) int64 {
+	return max(declared, min(capacity, declared*usedPermille/permille))
 }
--- a/learn/learn_test.go
+++ b/learn/learn_test.go
@@ -22,7 +22,7 @@
 	}
 	e := l.Estimate(k, time.Minute)
 	is.True(e.Learned)
-	is.Equal(e.Median, 69*time.Second) // Of the last 64, which are 37 to 100.
+	is.Equal(e.Median, 69*time.Second) // Quantile of the last 64 values, 37 to 100.
 	is.Equal(e.P90, 94*time.Second)
 	is.Equal(e.Charge(declared, job.Resources{Millicores: 8000, MemoryMB: 8000}), job.Resources{Millicores: 1000, MemoryMB: 3000})
 	is.Equal(e.Charge(declared, job.Resources{Millicores: 8000, MemoryMB: 2500}), job.Resources{Millicores: 1000, MemoryMB: 2500})
