--- a/planner/admit.go
+++ b/planner/admit.go
@@ -10,25 +10,25 @@
 	"turmericgap/rule"
 )
 
-// When a refused job may be offered again.
+// Delays after which a caller may submit a rejected job again.
 const (
-	retryFullQueue = 5 * time.Second
-	retryNoWorkers = 2 * time.Second
+	fullQueueRetryAfter = 5 * time.Second
+	noWorkersRetryAfter = 2 * time.Second
 )
 
-// Admit says whether the job would be accepted, and changes nothing.
+// Admit returns the decision that Add would make for j. It does not change the planner.
 func (p *Planner) Admit(_ time.Time, j *Job) Decision {
-	d, effect := p.ask(j.Spec, j.Accepted)
+	d, effect := p.evaluateRules(j.Spec, j.Accepted)
 	switch {
 	case d.RefusalReason != "":
 	case p.index.Len() == 0:
-		d.RefusalReason, d.RetryAfter = "no worker is known yet", retryNoWorkers
+		d.RefusalReason, d.RetryAfter = "no worker is known yet", noWorkersRetryAfter
 	case !p.index.Feasible(j.Spec.Each, j.Spec.Tasks, j.Spec.Gang, j.Spec.Zone):
-		d.RefusalReason, d.Infeasible = hopeless(j.Spec), true
+		d.RefusalReason, d.Infeasible = infeasibleReason(j.Spec), true
 	case p.pending+j.Spec.Tasks > p.options.MaxPending:
-		d.RefusalReason, d.RetryAfter = "the queue is full", retryFullQueue
+		d.RefusalReason, d.RetryAfter = "the queue is full", fullQueueRetryAfter
 	case effect.MostPending > 0 && p.pendingUnder(d.Rule)+j.Spec.Tasks > effect.MostPending:
-		d.RefusalReason, d.RetryAfter = "the queue of rule "+d.Rule+" is full", retryFullQueue
+		d.RefusalReason, d.RetryAfter = "the queue of rule "+d.Rule+" is full", fullQueueRetryAfter
 	case j.Spec.Gang && effect.MostRunning > 0 && j.Spec.Tasks > effect.MostRunning:
 		d.RefusalReason = "a gang of this size exceeds the limit of rule " + d.Rule
 	case !p.quotaAllows(j.Spec, effect):
@@ -37,7 +37,7 @@
 	return d
 }
 
-func hopeless(s *job.Submission) string {
+func infeasibleReason(s *job.Submission) string {
 	where := "the zone"
 	if s.Zone != "" {
 		where = "zone " + s.Zone
@@ -49,13 +49,13 @@
 }
 
 func (p *Planner) pendingUnder(ruleID string) int {
-	if t := p.rules[ruleID]; t != nil {
+	if t := p.ruleCounts[ruleID]; t != nil {
 		return t.pending
 	}
 	return 0
 }
 
-// quotaAllows refuses what could never start under a quota without borrowing.
+// quotaAllows reports whether the job could ever start under a quota that does not allow borrowing.
 func (p *Planner) quotaAllows(s *job.Submission, e *rule.Effect) bool {
 	need := s.Each
 	if s.Gang {
@@ -64,8 +64,8 @@
 	return e.Quota == nil || e.Quota.Borrow || need.Fits(e.Quota.Most)
 }
 
-// ask puts the job to the rules as it stood when it was accepted.
-func (p *Planner) ask(s *job.Submission, accepted time.Time) (Decision, *rule.Effect) {
+// evaluateRules evaluates the rules for a job as of the time it was accepted.
+func (p *Planner) evaluateRules(s *job.Submission, accepted time.Time) (Decision, *rule.Effect) {
 	if p.options.Rules == nil {
 		return Decision{}, noEffect
 	}
@@ -82,30 +82,30 @@
 	}, e
 }
 
-// Add enqueues all tasks of a job whose record is durable; a job that is known stays as it is.
+// Add enqueues all tasks of a job whose record is durable. Adding a known job again has no effect.
 func (p *Planner) Add(now time.Time, j *Job) Decision {
-	p.tick(now)
+	p.advanceClock(now)
 	if e, ok := p.jobs[j.ID]; ok {
 		return e.decision
 	}
 	e := &entry{
-		id: j.ID, spec: j.Spec, accepted: j.Accepted, kind: learn.Key{Team: j.Spec.Team, Class: j.Spec.Class},
-		running: map[int]*task{}, on: map[string]int{}, pending: make([]int, j.Spec.Tasks), waitsSince: now,
+		id: j.ID, spec: j.Spec, accepted: j.Accepted, classKey: learn.Key{Team: j.Spec.Team, Class: j.Spec.Class},
+		running: map[int]*task{}, tasksOn: map[string]int{}, pending: make([]int, j.Spec.Tasks), waitingSince: now,
 	}
 	for i := range e.pending {
 		e.pending[i] = i
 	}
 	e.item.Value = e
 	p.jobs[j.ID] = e
-	p.decide(e)
-	p.countPending(e, len(e.pending))
+	p.applyRules(e)
+	p.addPending(e, len(e.pending))
 	p.enqueue(e)
 	return e.decision
 }
 
-// decide fills in what the rules say of a job.
-func (p *Planner) decide(e *entry) {
-	e.decision, e.effect = p.ask(e.spec, e.accepted)
+// applyRules stores the outcome of the rules in e and joins the pool that they select.
+func (p *Planner) applyRules(e *entry) {
+	e.decision, e.effect = p.evaluateRules(e.spec, e.accepted)
 	e.decision.RefusalReason, e.decision.RetryAfter = "", 0
 	e.pool, e.strategy = e.spec.Team, e.effect.Strategy
 	if q := e.effect.Quota; q != nil {
@@ -117,29 +117,29 @@
 	p.ledger.Join(e.pool)
 	switch {
 	case e.strategy != "":
-	case e.service():
+	case e.isService():
 		e.strategy = placement.Spread
 	default:
 		e.strategy = p.options.Strategy
 	}
 }
 
-// enqueue puts a job with pending tasks where it belongs now.
+// enqueue computes the charge and the late time of a job and adds it to the queue if it has pending tasks.
 func (p *Planner) enqueue(e *entry) {
 	if len(e.pending) == 0 {
 		return
 	}
-	e.estimate = p.learner.Estimate(e.kind, time.Duration(e.spec.RunSeconds)*time.Second)
+	e.estimate = p.learner.Estimate(e.classKey, time.Duration(e.spec.RunSeconds)*time.Second)
 	e.charge = p.charge(e)
-	has, _ := p.index.Totals()
-	// Half of the cell is what a job can count on beside others.
-	width := placement.FitCount(has, e.charge, 2*len(e.pending)) / 2
+	capacity, _ := p.index.Totals()
+	// A job can expect about half of the cell, since others run beside it.
+	width := placement.FitCount(capacity, e.charge, 2*len(e.pending)) / 2
 	e.item.LateAt = e.lateAt(max(width, 1))
-	p.queue.Push(&e.item, e.key())
+	p.queue.Push(&e.item, e.laneKey())
 }
 
-// charge is what was declared, or the learned peak where that is more and still fits a worker. A
-// gang is charged as declared, since it was admitted as a whole by that.
+// charge returns the resources to allocate per task: the declared ones, or the learned peak if it is larger and
+// still fits a worker. A gang is charged as declared, since that is the size with which it was admitted.
 func (p *Planner) charge(e *entry) job.Resources {
 	if !e.estimate.Learned || e.spec.Gang {
 		return e.spec.Each
@@ -151,13 +151,13 @@
 	return want
 }
 
-// requeue puts the job back in its place after its pending tasks have changed.
+// requeue updates the queue after a change of the job's pending tasks.
 func (p *Planner) requeue(e *entry) {
 	p.queue.Remove(&e.item)
 	p.enqueue(e)
 }
 
-// MarkRunning notes that a task holds its resources on a worker already.
+// MarkRunning allocates resources for a task that already runs on a worker, as found during recovery.
 func (p *Planner) MarkRunning(jobID string, index int, workerID string) {
 	e, ok := p.jobs[jobID]
 	if !ok {
@@ -168,14 +168,14 @@
 		return
 	}
 	e.pending = slices.Delete(e.pending, at, at+1)
-	p.countPending(e, -1)
-	p.take(e, index, workerID)
+	p.addPending(e, -1)
+	p.allocate(e, index, workerID)
 	p.requeue(e)
 }
 
-// Release frees what an attempt held after it has surely ended.
+// Release frees the resources of an attempt that is known to have ended.
 func (p *Planner) Release(now time.Time, jobID string, index int, end AttemptResult) {
-	p.tick(now)
+	p.advanceClock(now)
 	e, ok := p.jobs[jobID]
 	if !ok {
 		return
@@ -184,22 +184,22 @@
 	if !ok {
 		return
 	}
-	p.drop(t)
-	// An owner that recovers releases tasks whose run it has not seen; learned as zero, they would
-	// make their class look instant and spoil the slack of its deadlines.
-	if end.Completed && end.RunTime > 0 && !e.service() {
-		p.learner.Observe(e.kind, end.RunTime, e.spec.Each, end.PeakUsage.Max(t.peak))
+	p.deallocate(t)
+	// A recovering owner releases tasks whose run time it does not know. Learning a run time of zero would make
+	// the class look instantaneous and leave no slack before its deadlines.
+	if end.Completed && end.RunTime > 0 && !e.isService() {
+		p.learner.Observe(e.classKey, end.RunTime, e.spec.Each, end.PeakUsage.Max(t.peakUsage))
 	}
 	if end.Requeue && !e.final {
 		e.pending = append(e.pending, index)
-		p.countPending(e, 1)
-		e.waitsSince = now
+		p.addPending(e, 1)
+		e.waitingSince = now
 		p.requeue(e)
 	}
-	p.forget(e)
+	p.removeIfDone(e)
 }
 
-// DropPending forgets the pending tasks of a job that is final.
+// DropPending removes the pending tasks of a job that has reached a final state.
 func (p *Planner) DropPending(jobID string) {
 	e, ok := p.jobs[jobID]
 	if !ok {
@@ -207,12 +207,12 @@
 	}
 	p.unreserve(e.reservation)
 	p.queue.Remove(&e.item)
-	p.countPending(e, -len(e.pending))
+	p.addPending(e, -len(e.pending))
 	e.pending, e.final = nil, true
-	p.forget(e)
+	p.removeIfDone(e)
 }
 
-func (p *Planner) forget(e *entry) {
+func (p *Planner) removeIfDone(e *entry) {
 	if len(e.pending) == 0 && len(e.running) == 0 {
 		p.unreserve(e.reservation)
 		p.ledger.Leave(e.pool)
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,3 +1,3 @@
-// Package planner decides which task starts where and when: admission, queue, quotas, placement and
-// preemption. It is pure code without clock, I/O or goroutines, and one goroutine owns it.
+// Package planner decides which task starts where and when: admission, queueing, quotas, placement and
+// preemption. It uses no clock, I/O or goroutines, and must be used from a single goroutine.
 package planner
--- a/planner/entry.go
+++ b/planner/entry.go
@@ -11,18 +11,18 @@
 	"turmericgap/rule"
 )
 
-// When a job becomes late: after so long, or when its deadline presses.
+// Limits from which the time is computed at which a job becomes late.
 const (
-	lateAfter    = 4 * time.Hour
-	lateAfterTop = time.Minute
-	// slackMargin is kept between the latest start and the deadline, besides the run itself.
-	slackMargin = 2 * time.Minute
-	// sizeLead is how much older a job counts for each doubling of its tasks' size: where large and
-	// small work both fit, the large goes first, since the small finds room later as well.
-	sizeLead = 30 * time.Minute
+	lateAfter       = 4 * time.Hour
+	lateAfterUrgent = time.Minute
+	// deadlineMargin is kept between the expected end of a job and its deadline.
+	deadlineMargin = 2 * time.Minute
+	// headStartPerDoubling makes a job late earlier for each doubling of its tasks' cores. If both large and small
+	// tasks fit, the large ones start first, since small ones are easier to place later.
+	headStartPerDoubling = 30 * time.Minute
 )
 
-// entry is a job with tasks that wait or run.
+// entry is the state of a job with pending or running tasks.
 type entry struct {
 	id       string
 	spec     *job.Submission
@@ -31,28 +31,28 @@
 	effect   *rule.Effect
 	pool     string
 	strategy string
-	kind     learn.Key
-	// charge is what the next task will hold.
+	classKey learn.Key
+	// charge is the resources allocated to the next task.
 	charge   job.Resources
 	estimate learn.Estimate
-	// pending holds the indexes of waiting tasks, running those that hold resources.
+	// pending holds the indexes of waiting tasks; running holds the tasks with allocated resources, by index.
 	pending []int
 	running map[int]*task
-	// leaving counts the running tasks that were asked to give way.
-	leaving int
-	// on counts the running tasks on each worker.
-	on    map[string]int
-	item  queue.Item[*entry]
-	final bool
-
-	reservation *reservation
-	waits       wait
-	waitsSince  time.Time
-	// preempted is when preemption was last tried for the job.
-	preempted time.Time
+	// preempting counts the running tasks that were asked to stop.
+	preempting int
+	// tasksOn counts the running tasks on each worker.
+	tasksOn map[string]int
+	item    queue.Item[*entry]
+	final   bool
+
+	reservation  *reservation
+	waitReason   waitReason
+	waitingSince time.Time
+	// lastPreemption is the time of the last attempt to preempt tasks for the job.
+	lastPreemption time.Time
 }
 
-// task holds resources on a worker.
+// task is a task with resources allocated on a worker.
 type task struct {
 	entry   *entry
 	index   int
@@ -62,48 +62,48 @@
 	pool    string
 	rule    string
 	started time.Time
-	// end is when the task is expected to end.
-	end      time.Time
-	peak     job.Resources
-	borrowed bool
-	// leaving says that the task was asked to give way.
-	leaving bool
-	at      int
+	// plannedEnd is the start time plus the 0.9 quantile of the run time.
+	plannedEnd time.Time
+	peakUsage  job.Resources
+	borrowed   bool
+	// preempting is set once the task was asked to stop.
+	preempting   bool
+	runningIndex int
 }
 
-// wait is what the first pending task of a job waits for.
-type wait int
+// waitReason is the reason why the first pending task of a job has not started.
+type waitReason int
 
 const (
-	waitsTurn wait = iota
-	waitsCapacity
-	waitsLimit
-	waitsQuota
-	waitsStop
+	waitTurn waitReason = iota
+	waitCapacity
+	waitLimit
+	waitQuota
+	waitGangStop
 )
 
 var noEffect = &rule.Effect{}
 
 func (e *entry) band() int { return e.decision.Priority }
 
-// tasksNext is how many tasks must start together.
-func (e *entry) tasksNext() int {
+// nextStartCount returns the number of tasks that must start together.
+func (e *entry) nextStartCount() int {
 	if e.spec.Gang {
 		return len(e.pending)
 	}
 	return 1
 }
 
-func (e *entry) service() bool { return e.spec.Kind == job.Service }
+func (e *entry) isService() bool { return e.spec.Kind == job.Service }
 
-func (e *entry) spread() bool { return e.strategy == placement.Spread }
+func (e *entry) isSpread() bool { return e.strategy == placement.Spread }
 
-// near counts the job's tasks on a node, for spreading.
-func (e *entry) near(n *placement.Node) int { return e.on[n.Info.ID] }
+// tasksOnNode returns the number of the job's tasks on a node, for the spread strategy.
+func (e *entry) tasksOnNode(n *placement.Node) int { return e.tasksOn[n.Info.ID] }
 
-func (e *entry) key() queue.Key {
+func (e *entry) laneKey() queue.Key {
 	k := queue.Key{
-		Band: e.band(), Pool: e.pool, Rule: e.decision.Rule, Zone: e.spec.Zone, Request: e.charge, Spread: e.spread(),
+		Band: e.band(), Pool: e.pool, Rule: e.decision.Rule, Zone: e.spec.Zone, Request: e.charge, Spread: e.isSpread(),
 	}
 	k.Limited = e.effect.MostRunning > 0 || (e.effect.Quota != nil && !e.effect.Quota.Borrow)
 	if e.spec.Gang {
@@ -112,31 +112,31 @@
 	return k
 }
 
-// lateAt is when the job must go before others: when it has waited long, or when its deadline
-// would be missed if its tasks, run in waves of width, started later.
+// lateAt returns the time at which the job takes precedence over jobs that are not late: after a maximum wait, or
+// when its deadline would be missed if its tasks, run width at a time, started any later.
 func (e *entry) lateAt(width int) time.Time {
-	at := e.accepted.Add(lateAfter - e.lead())
+	at := e.accepted.Add(lateAfter - e.headStart())
 	if e.band() >= queue.UrgentBand {
-		at = e.accepted.Add(lateAfterTop)
+		at = e.accepted.Add(lateAfterUrgent)
 	}
-	if e.spec.Deadline.IsZero() || e.service() {
+	if e.spec.Deadline.IsZero() || e.isService() {
 		return at
 	}
 	waves := (len(e.pending) + width - 1) / max(width, 1)
 	need := time.Duration(max(waves, 1)) * e.estimate.P90
-	if latest := e.spec.Deadline.Add(-need - need/4 - slackMargin - e.lead()); latest.Before(at) {
+	if latest := e.spec.Deadline.Add(-need - need/4 - deadlineMargin - e.headStart()); latest.Before(at) {
 		return latest
 	}
 	return at
 }
 
-// lead is the head start of large tasks.
-func (e *entry) lead() time.Duration {
+// headStart returns how much earlier the job becomes late because of the size of its tasks.
+func (e *entry) headStart() time.Duration {
 	const core = 1000
-	return sizeLead * time.Duration(bits.Len64(uint64(e.charge.Millicores/core)))
+	return headStartPerDoubling * time.Duration(bits.Len64(uint64(e.charge.Millicores/core)))
 }
 
-func (e *entry) takePending() int {
+func (e *entry) popPending() int {
 	index := e.pending[0]
 	e.pending = e.pending[1:]
 	return index
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -9,7 +9,7 @@
 	"turmericgap/rule"
 )
 
-// Explain explains what a job waits for.
+// Explain returns the state of a job and the reason why it waits.
 func (p *Planner) Explain(now time.Time, jobID string) Explanation {
 	e, ok := p.jobs[jobID]
 	if !ok {
@@ -25,39 +25,39 @@
 		x.Rules = p.options.Rules.Explain(&r)
 	}
 	if x.Pending > 0 {
-		x.WaitsFor = p.waitsFor(now, e)
+		x.WaitsFor = p.describeWait(now, e)
 		x.LateAt = e.item.LateAt
 	}
 	if e.reservation != nil {
-		x.ReservedAt = e.reservation.at
+		x.ReservedAt = e.reservation.startAt
 	}
 	return x
 }
 
-func (p *Planner) waitsFor(now time.Time, e *entry) string {
-	since := now.Sub(e.waitsSince).Round(time.Second)
-	switch e.waits {
-	case waitsCapacity:
-		what := fmt.Sprintf("a worker with %s free", size(e.charge))
+func (p *Planner) describeWait(now time.Time, e *entry) string {
+	since := now.Sub(e.waitingSince).Round(time.Second)
+	switch e.waitReason {
+	case waitCapacity:
+		what := fmt.Sprintf("a worker with %s free", formatResources(e.charge))
 		if e.spec.Gang {
-			what = fmt.Sprintf("one zone with room for %d tasks of %s", len(e.pending), size(e.charge))
+			what = fmt.Sprintf("one zone with room for %d tasks of %s", len(e.pending), formatResources(e.charge))
 		}
 		if e.reservation != nil {
 			return fmt.Sprintf("%s, for %s; reserved", what, since)
 		}
 		return fmt.Sprintf("%s, for %s", what, since)
-	case waitsLimit:
+	case waitLimit:
 		return fmt.Sprintf("the limit of %d running tasks under rule %s", e.effect.MostRunning, e.decision.Rule)
-	case waitsQuota:
+	case waitQuota:
 		return "the quota of pool " + e.pool
-	case waitsStop:
+	case waitGangStop:
 		return "the rest of its gang to stop"
-	case waitsTurn:
+	case waitTurn:
 	}
 	return "its turn"
 }
 
-func size(r job.Resources) string {
+func formatResources(r job.Resources) string {
 	text := fmt.Sprintf("%d millicores and %d MB", r.Millicores, r.MemoryMB)
 	if r.Accelerators > 0 {
 		text += fmt.Sprintf(" and %d accelerators", r.Accelerators)
@@ -65,26 +65,26 @@
 	return text
 }
 
-// Stats sums up the planner's state.
+// Stats returns a summary of the planner's state.
 func (p *Planner) Stats(_ time.Time) Stats {
-	has, free := p.index.Totals()
+	capacity, free := p.index.Totals()
 	s := Stats{
-		Pending: maps.Clone(p.classes), Running: len(p.running), Workers: p.index.Len(), Open: p.index.OpenCount(),
-		Has: has, Used: has.Minus(free),
+		Pending: maps.Clone(p.pendingByClass), Running: len(p.running), Workers: p.index.Len(), Open: p.index.OpenCount(),
+		Has: capacity, Used: capacity.Minus(free),
 	}
-	s.Packing = packing(s.Used, s.Has)
+	s.Packing = dominantShare(s.Used, s.Has)
 	return s
 }
 
-func packing(used, has job.Resources) float64 {
+func dominantShare(used, capacity job.Resources) float64 {
 	most := 0.0
 	share := func(u, h int64) {
 		if h > 0 {
 			most = max(most, float64(u)/float64(h))
 		}
 	}
-	share(used.Millicores, has.Millicores)
-	share(used.MemoryMB, has.MemoryMB)
-	share(used.Accelerators, has.Accelerators)
+	share(used.Millicores, capacity.Millicores)
+	share(used.MemoryMB, capacity.MemoryMB)
+	share(used.Accelerators, capacity.Accelerators)
 	return most
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -6,20 +6,20 @@
 	"turmericgap/worker"
 )
 
-// Load is one worker with what its tasks are charged.
+// Load is a worker and the resources charged to it.
 type Load struct {
 	Info  worker.Info   `json:"info"`
 	Used  job.Resources `json:"used"`
 	Tasks int           `json:"tasks"`
-	// Open says that it gets new tasks, Probe that it gets them one at a time.
+	// Open is set if the worker gets new tasks; Probe limits it to one task at a time.
 	Open  bool `json:"open"`
 	Probe bool `json:"probe"`
 }
 
-// Packing gives the largest part of the worker that is charged.
-func (l *Load) Packing() float64 { return packing(l.Used, l.Info.Has) }
+// Packing returns the largest used fraction of the worker's millicores, memory or accelerators.
+func (l *Load) Packing() float64 { return dominantShare(l.Used, l.Info.Has) }
 
-// Loads gives all workers by zone, rack and id.
+// Loads returns all workers, ordered by zone, rack and id.
 func (p *Planner) Loads() []Load {
 	out := make([]Load, 0, p.index.Len())
 	p.index.ForEach(func(n *placement.Node) {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// State says in a word whether the worker gets new tasks.
+// State returns a one-word state for display.
 func (l *Load) State() string {
 	switch {
 	case l.Info.Leaving:
--- a/planner/next.go
+++ b/planner/next.go
@@ -8,126 +8,129 @@
 	"turmericgap/placement"
 )
 
-// mostWanting bounds the blocked jobs for which one pass tries to make room.
-const mostWanting = 16
+// maxBlockedJobs limits the blocked jobs for which one call of Next tries to make room.
+const maxBlockedJobs = 16
 
-// mostUnfit bounds the sizes that are remembered to fit nowhere.
-const mostUnfit = 32
+// maxUnfitRequests limits the number of cached requests that fit no worker.
+const maxUnfitRequests = 32
 
-// Next decides up to most starts. Their resources are taken at once. A gang's starts come whole in
-// one plan, also if they are more than most.
+// Next plans up to most starts and allocates their resources. All tasks of a gang start in the same plan, even if
+// that exceeds most.
 func (p *Planner) Next(now time.Time, most int) Plan {
-	p.tick(now)
-	p.expire(now)
-	if p.freed || len(p.freedOn) > 0 {
-		p.unfit = p.unfit[:0]
+	p.advanceClock(now)
+	p.expireReservations(now)
+	if p.retryAll || len(p.freedNodes) > 0 {
+		p.unfitRequests = p.unfitRequests[:0]
 	}
 	var plan Plan
 	p.queue.BeginRound()
-	if p.freed {
+	if p.retryAll {
 		p.queue.UnblockAll()
-		p.wanting, p.freed = p.wanting[:0], false
+		p.blockedJobs, p.retryAll = p.blockedJobs[:0], false
 	}
-	// What was freed is for those who waited, so that lanes with a chance are opened before what is
-	// new is tried. Each pass opens some; the first is made in any case.
-	p.queue.UnblockCandidates(p.chance)
-	for more := true; more && len(plan.Starts) < most; more = p.queue.UnblockCandidates(p.chance) {
-		p.pass(now, most, &plan)
+	// Freed capacity goes to waiting jobs first, so lanes that may now start are unblocked before new jobs are tried.
+	// Each pass unblocks some lanes; the first pass always runs.
+	p.queue.UnblockCandidates(p.mayStart)
+	for more := true; more && len(plan.Starts) < most; more = p.queue.UnblockCandidates(p.mayStart) {
+		p.runPass(now, most, &plan)
 	}
 	if len(plan.Starts) < most {
-		clear(p.freedOn)
-		p.freedOn = p.freedOn[:0]
+		clear(p.freedNodes)
+		p.freedNodes = p.freedNodes[:0]
 	}
 	p.makeRoom(now, &plan)
 	return plan
 }
 
-// pass goes once through the lanes that are not blocked.
-func (p *Planner) pass(now time.Time, most int, plan *Plan) {
-	pass := p.queue.BeginPass(now, p.terms)
+// runPass tries the lanes that are not blocked, once each in order of precedence.
+func (p *Planner) runPass(now time.Time, most int, plan *Plan) {
+	pass := p.queue.BeginPass(now, p.poolUsage)
 	for len(plan.Starts) < most {
 		it := pass.Next()
 		if it == nil {
 			break
 		}
 		e, key := it.Value, *it.Key()
-		if p.try(now, e, plan) {
+		if p.tryStart(now, e, plan) {
 			pass.MarkStarted(&key)
 			continue
 		}
-		if e.waits == waitsCapacity {
-			p.want(e)
+		if e.waitReason == waitCapacity {
+			p.noteBlocked(e)
 		}
 		pass.BlockLane(it)
 	}
 }
 
-// want notes a blocked job; of too many, those that need a reservation least are left out.
-func (p *Planner) want(e *entry) {
-	if slices.Contains(p.wanting, e) {
+// noteBlocked remembers a blocked job. If there are too many, it keeps those that need a reservation most.
+func (p *Planner) noteBlocked(e *entry) {
+	if slices.Contains(p.blockedJobs, e) {
 		return
 	}
-	if len(p.wanting) < mostWanting {
-		p.wanting = append(p.wanting, e)
+	if len(p.blockedJobs) < maxBlockedJobs {
+		p.blockedJobs = append(p.blockedJobs, e)
 		return
 	}
 	lowest := 0
-	for i := range p.wanting {
-		if p.wanting[lowest].needsMore(p.wanting[i]) {
+	for i := range p.blockedJobs {
+		if p.blockedJobs[lowest].goesBefore(p.blockedJobs[i]) {
 			lowest = i
 		}
 	}
-	if e.needsMore(p.wanting[lowest]) {
-		p.wanting[lowest] = e
+	if e.goesBefore(p.blockedJobs[lowest]) {
+		p.blockedJobs[lowest] = e
 	}
 }
 
-// try starts one task of a job, or a whole gang.
-func (p *Planner) try(now time.Time, e *entry, plan *Plan) bool {
-	count := e.tasksNext()
+// tryStart starts one task of a job, or all tasks of a gang.
+func (p *Planner) tryStart(now time.Time, e *entry, plan *Plan) bool {
+	count := e.nextStartCount()
 	switch {
-	case e.leaving > 0 && e.spec.Gang:
-		// A part of a preempted gang would start beside those that have not stopped yet, and run
-		// alone once they have.
-		return e.wait(now, waitsStop)
-	case e.effect.MostRunning > 0 && p.tally(e.decision.Rule).running+count > e.effect.MostRunning:
-		return e.wait(now, waitsLimit)
+	case e.preempting > 0 && e.spec.Gang:
+		// Starting some tasks of a preempted gang now would leave them running alone once the others stop.
+		return e.setWaitReason(now, waitGangStop)
+	case e.effect.MostRunning > 0 && p.ruleTaskCounts(e.decision.Rule).running+count > e.effect.MostRunning:
+		return e.setWaitReason(now, waitLimit)
 	case !p.ledger.Within(e.pool, e.charge.Times(count)) && !p.ledger.MayBorrow(e.pool):
-		return e.wait(now, waitsQuota)
+		return e.setWaitReason(now, waitQuota)
 	case e.spec.Gang:
-		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources { return p.room(now, e, n) })
+		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources {
+			return p.roomFor(now, e, n)
+		})
 		if nodes == nil {
-			return e.wait(now, waitsCapacity)
+			return e.setWaitReason(now, waitCapacity)
 		}
-		p.start(now, e, nodes, plan)
+		p.startTasks(now, e, nodes, plan)
 		return true
 	}
-	n := p.place(now, e)
+	n := p.findNode(now, e)
 	if n == nil {
-		return e.wait(now, waitsCapacity)
+		return e.setWaitReason(now, waitCapacity)
 	}
-	p.start(now, e, []*placement.Node{n}, plan)
+	p.startTasks(now, e, []*placement.Node{n}, plan)
 	return true
 }
 
-func (e *entry) wait(now time.Time, w wait) bool {
-	if e.waits != w {
-		e.waits, e.waitsSince = w, now
+// setWaitReason records why the job waits. It always returns false, the result of a failed tryStart.
+func (e *entry) setWaitReason(now time.Time, w waitReason) bool {
+	if e.waitReason != w {
+		e.waitReason, e.waitingSince = w, now
 	}
 	return false
 }
 
-func (p *Planner) place(now time.Time, e *entry) *placement.Node {
+func (p *Planner) findNode(now time.Time, e *entry) *placement.Node {
 	if r := e.reservation; r != nil {
-		for _, k := range r.kept {
+		for _, k := range r.workers {
 			if n := p.index.Node(k.worker); n != nil && e.charge.Fits(n.AvailableNow()) {
 				return n
 			}
 		}
 	}
-	if !p.unfits(e) {
+	if !p.knownUnfit(e) {
 		q := placement.Query{
-			Request: e.charge, Zone: e.spec.Zone, PreferredZones: e.effect.Zones, Strategy: e.strategy, TasksOnNode: e.near,
+			Request: e.charge, Zone: e.spec.Zone, PreferredZones: e.effect.Zones, Strategy: e.strategy,
+			TasksOnNode: e.tasksOnNode,
 		}
 		if n := p.index.Find(&q); n != nil {
 			return n
@@ -137,49 +140,49 @@
 	return p.backfill(now, e)
 }
 
-// unfit is a size for which no worker of a zone had room.
-type unfit struct {
-	each job.Resources
-	zone string
+// unfitRequest is a request for which no worker of a zone had room.
+type unfitRequest struct {
+	request job.Resources
+	zone    string
 }
 
-// unfits reports whether no less was sought in vain since anything was freed.
-func (p *Planner) unfits(e *entry) bool {
-	for i := range p.unfit {
-		if u := &p.unfit[i]; u.each.Fits(e.charge) && (u.zone == "" || u.zone == e.spec.Zone) {
+// knownUnfit reports whether an equal or smaller request failed since capacity was last freed.
+func (p *Planner) knownUnfit(e *entry) bool {
+	for i := range p.unfitRequests {
+		if u := &p.unfitRequests[i]; u.request.Fits(e.charge) && (u.zone == "" || u.zone == e.spec.Zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteUnfit keeps the smallest sizes.
+// noteUnfit remembers that the job's request fits no worker and drops larger requests that this implies.
 func (p *Planner) noteUnfit(e *entry) {
-	p.unfit = slices.DeleteFunc(p.unfit, func(u unfit) bool {
-		return e.charge.Fits(u.each) && (e.spec.Zone == "" || e.spec.Zone == u.zone)
+	p.unfitRequests = slices.DeleteFunc(p.unfitRequests, func(u unfitRequest) bool {
+		return e.charge.Fits(u.request) && (e.spec.Zone == "" || e.spec.Zone == u.zone)
 	})
-	if len(p.unfit) < mostUnfit {
-		p.unfit = append(p.unfit, unfit{e.charge, e.spec.Zone})
+	if len(p.unfitRequests) < maxUnfitRequests {
+		p.unfitRequests = append(p.unfitRequests, unfitRequest{e.charge, e.spec.Zone})
 	}
 }
 
-// start takes the resources of the job's next tasks, one on each node.
-func (p *Planner) start(now time.Time, e *entry, nodes []*placement.Node, plan *Plan) {
+// startTasks allocates resources for the job's next tasks, one per element of nodes.
+func (p *Planner) startTasks(now time.Time, e *entry, nodes []*placement.Node, plan *Plan) {
 	if e.spec.Gang {
 		p.unreserve(e.reservation)
-		// The lane is keyed by the gang's size, which changes now.
+		// The lane key contains the size of the gang, which changes below.
 		p.queue.Remove(&e.item)
 	}
 	for _, n := range nodes {
-		index := e.takePending()
-		p.countPending(e, -1)
-		p.take(e, index, n.Info.ID)
-		p.consume(e.reservation, n.Info.ID)
+		index := e.popPending()
+		p.addPending(e, -1)
+		p.allocate(e, index, n.Info.ID)
+		p.consumeReservation(e.reservation, n.Info.ID)
 		plan.Starts = append(plan.Starts, Start{
 			Job: e.id, Task: index, Worker: n.Info.ID, Waited: now.Sub(e.accepted), Rule: e.decision.Rule,
 		})
 	}
-	e.waits, e.waitsSince = waitsTurn, now
+	e.waitReason, e.waitingSince = waitTurn, now
 	if len(e.pending) == 0 {
 		p.queue.Remove(&e.item)
 	}
--- a/planner/options.go
+++ b/planner/options.go
@@ -5,22 +5,22 @@
 	"turmericgap/rule"
 )
 
-// Options of a planner.
+// Options configures a Planner.
 type Options struct {
 	Rules *rule.List
-	// Strategy names how workers are chosen where no rule says it.
+	// Strategy is the placement strategy for jobs whose rule does not set one.
 	Strategy string
 	Seed     uint64
-	// Quotas holds what each team may hold; a team without one has no bound.
+	// Quotas holds the quota of each team; a team without an entry is not limited.
 	Quotas map[string]job.Resources
-	// MaxPending bounds the tasks that wait.
+	// MaxPending limits the number of waiting tasks.
 	MaxPending int
 }
 
 // Option sets one of the Options.
 type Option func(*Options)
 
-// Defaults of the options.
+// Default values of the options.
 const (
 	DefaultStrategy   = "pack"
 	DefaultMaxPending = 100_000
@@ -34,17 +34,17 @@
 	return o
 }
 
-// Rules sets the rules; without them every job has priority zero.
+// Rules sets the rules. Without rules every job has priority zero.
 func Rules(l *rule.List) Option { return func(o *Options) { o.Rules = l } }
 
-// Strategy sets how workers are chosen where no rule says it: "pack" or "spread".
+// Strategy sets the placement strategy for jobs whose rule does not set one: "pack" or "spread".
 func Strategy(name string) Option { return func(o *Options) { o.Strategy = name } }
 
-// Seed makes choices between equals differ from other planners'.
+// Seed sets the zone from which the search starts, so that planners choose differently between equal zones.
 func Seed(seed uint64) Option { return func(o *Options) { o.Seed = seed } }
 
-// Quotas sets what each team may hold.
+// Quotas sets the quota of each team.
 func Quotas(q map[string]job.Resources) Option { return func(o *Options) { o.Quotas = q } }
 
-// MaxPending bounds the tasks that wait.
+// MaxPending limits the number of waiting tasks.
 func MaxPending(n int) Option { return func(o *Options) { o.MaxPending = n } }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -14,8 +14,7 @@
 	"turmericgap/worker"
 )
 
-// Planner holds the pending and running tasks of the workers that its owner owns. It is not safe
-// for concurrent use.
+// Planner holds the pending and running tasks of a set of workers. It is not safe for concurrent use.
 type Planner struct {
 	options Options
 	index   *placement.Index
@@ -23,52 +22,52 @@
 	ledger  *quota.Ledger
 	learner *learn.Learner
 	jobs    map[string]*entry
-	// running holds all tasks that hold resources, held those of each worker.
-	running []*task
-	held    map[string][]*task
-	// rules counts the tasks under each rule, classes the waiting ones of each class.
-	rules        map[string]*tally
-	classes      map[string]int
-	pending      int
-	reservations []*reservation
-	// wanting holds blocked jobs for which room may be made.
-	wanting []*entry
-	// reserved is when a reservation was last worked out.
-	reserved time.Time
-	// freed says that anything may start since the last pass; otherwise only what has a chance on
-	// the workers of freedOn, or any gang or bounded job if something has ended.
-	freed   bool
-	freedOn []*placement.Node
-	// unfit holds sizes for which there was no room since anything was freed.
-	unfit []unfit
-	// now is the latest time that the owner gave.
-	now   time.Time
-	terms queue.PoolUsage
-}
-
-// mostFreed bounds the workers that are remembered one by one.
-const mostFreed = 64
-
-type tally struct{ pending, running int }
-
-// New makes a planner without workers.
+	// running holds all tasks with allocated resources; tasksByWorker holds the same tasks by worker id.
+	running       []*task
+	tasksByWorker map[string][]*task
+	// ruleCounts counts tasks by rule id, pendingByClass waiting tasks by class.
+	ruleCounts     map[string]*taskCounts
+	pendingByClass map[string]int
+	pending        int
+	reservations   []*reservation
+	// blockedJobs holds jobs that wait for capacity and may get it by preemption or a reservation.
+	blockedJobs []*entry
+	// lastReservation is the time at which a reservation was last computed.
+	lastReservation time.Time
+	// retryAll makes the next pass try all lanes. Otherwise it retries lanes whose request fits on one of freedNodes
+	// and, if there are any, lanes of gangs and of jobs under a limit.
+	retryAll   bool
+	freedNodes []*placement.Node
+	// unfitRequests caches requests that fit no worker, until capacity is freed.
+	unfitRequests []unfitRequest
+	// now is the latest time passed in by the caller.
+	now       time.Time
+	poolUsage queue.PoolUsage
+}
+
+// maxFreedNodes is the number of freed workers beyond which all lanes are retried.
+const maxFreedNodes = 64
+
+type taskCounts struct{ pending, running int }
+
+// New returns a planner without workers.
 func New(opts ...Option) *Planner {
 	o := newOptions(opts)
 	p := &Planner{
-		options: o,
-		index:   placement.New(o.Seed),
-		queue:   queue.New[*entry](),
-		ledger:  quota.New(),
-		learner: learn.New(learn.DefaultMaxClasses),
-		jobs:    map[string]*entry{},
-		held:    map[string][]*task{},
-		rules:   map[string]*tally{},
-		classes: map[string]int{},
-	}
-	p.terms = queue.PoolUsage{
+		options:        o,
+		index:          placement.New(o.Seed),
+		queue:          queue.New[*entry](),
+		ledger:         quota.New(),
+		learner:        learn.New(learn.DefaultMaxClasses),
+		jobs:           map[string]*entry{},
+		tasksByWorker:  map[string][]*task{},
+		ruleCounts:     map[string]*taskCounts{},
+		pendingByClass: map[string]int{},
+	}
+	p.poolUsage = queue.PoolUsage{
 		Share: func(pool string) float64 {
-			has, _ := p.index.Totals()
-			return p.ledger.Share(pool, has)
+			capacity, _ := p.index.Totals()
+			return p.ledger.Share(pool, capacity)
 		},
 		WithinQuota: func(k *queue.Key) bool { return p.ledger.Within(k.Pool, k.Request.Times(max(k.GangSize, 1))) },
 	}
@@ -85,8 +84,8 @@
 	}
 }
 
-// SetRules replaces the rules. All jobs are decided anew, as they stood when they were accepted; one
-// that was accepted is never refused afterwards, and what runs keeps its worker.
+// SetRules replaces the rules and evaluates them again for all jobs, as of the time each was accepted. Accepted jobs
+// are not refused afterwards, and running tasks keep their workers.
 func (p *Planner) SetRules(l *rule.List) {
 	p.options.Rules = l
 	p.ledger.Unlimit()
@@ -94,16 +93,16 @@
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		e := p.jobs[id]
 		p.queue.Remove(&e.item)
-		p.countPending(e, -len(e.pending))
+		p.addPending(e, -len(e.pending))
 		p.ledger.Leave(e.pool)
-		p.decide(e)
-		p.countPending(e, len(e.pending))
+		p.applyRules(e)
+		p.addPending(e, len(e.pending))
 		p.enqueue(e)
 	}
-	p.freed = true
+	p.retryAll = true
 }
 
-// Decision gives what the rules say now of a job that the planner holds.
+// Decision returns the current decision for a job.
 func (p *Planner) Decision(jobID string) (d Decision, known bool) {
 	e, ok := p.jobs[jobID]
 	if !ok {
@@ -112,88 +111,89 @@
 	return e.decision, true
 }
 
-// SetWorker adds or changes a worker. One that is not open gets nothing new; one on probe gets one
-// task at a time.
+// SetWorker adds or updates a worker. A worker that is not open gets no new tasks; one on probe gets one task at a
+// time.
 func (p *Planner) SetWorker(now time.Time, info worker.Info, open, probe bool) {
-	p.tick(now)
+	p.advanceClock(now)
 	known := p.index.Node(info.ID)
 	p.unreserveWorker(info.ID)
 	n := p.index.Set(info, open, probe)
 	if known == nil {
-		// What an attempt holds outlives the worker's absence from the VM list. Without this a
-		// worker that comes back would look empty, and be overfilled.
-		for _, t := range p.held[info.ID] {
+		// Tasks keep their resources while a worker is missing from the VM list. Without this a worker that comes
+		// back would look empty and be overcommitted.
+		for _, t := range p.tasksByWorker[info.ID] {
 			p.index.Allocate(n, t.charge)
 			t.zone = info.Zone
 		}
 	}
-	p.freed = true
+	p.retryAll = true
 }
 
-// RemoveWorker forgets a worker; its tasks are released one by one.
+// RemoveWorker removes a worker. Its tasks stay allocated until they are released.
 func (p *Planner) RemoveWorker(id string) {
 	p.unreserveWorker(id)
 	p.index.Remove(id)
 }
 
-func (p *Planner) tick(now time.Time) {
+func (p *Planner) advanceClock(now time.Time) {
 	if now.After(p.now) {
 		p.now = now
 	}
 }
 
-// take charges a task to its worker and pool.
-func (p *Planner) take(e *entry, index int, workerID string) *task {
+// allocate charges a task to its worker and pool.
+func (p *Planner) allocate(e *entry, index int, workerID string) *task {
 	t := &task{
-		entry: e, index: index, worker: workerID, charge: e.charge, pool: e.pool, rule: e.decision.Rule, started: p.now, at: len(p.running),
-		end: p.now.Add(e.estimate.P90), borrowed: !p.ledger.Within(e.pool, e.charge),
+		entry: e, index: index, worker: workerID, charge: e.charge, pool: e.pool, rule: e.decision.Rule,
+		started: p.now, runningIndex: len(p.running),
+		plannedEnd: p.now.Add(e.estimate.P90), borrowed: !p.ledger.Within(e.pool, e.charge),
 	}
 	p.running = append(p.running, t)
-	p.held[workerID] = append(p.held[workerID], t)
+	p.tasksByWorker[workerID] = append(p.tasksByWorker[workerID], t)
 	e.running[index] = t
-	e.on[workerID]++
+	e.tasksOn[workerID]++
 	p.ledger.Take(t.pool, t.charge)
-	p.tally(t.rule).running++
+	p.ruleTaskCounts(t.rule).running++
 	if n := p.index.Node(workerID); n != nil {
 		t.zone = n.Info.Zone
-		p.spend(n, t)
+		p.useSpare(n, t)
 		p.index.Allocate(n, t.charge)
 	}
 	return t
 }
 
-// drop is the opposite of take.
-func (p *Planner) drop(t *task) {
+// deallocate reverses allocate.
+func (p *Planner) deallocate(t *task) {
 	last := len(p.running) - 1
-	p.running[t.at] = p.running[last]
-	p.running[t.at].at = t.at
+	p.running[t.runningIndex] = p.running[last]
+	p.running[t.runningIndex].runningIndex = t.runningIndex
 	p.running[last] = nil
 	p.running = p.running[:last]
-	p.unhold(t)
+	p.removeFromWorker(t)
 	delete(t.entry.running, t.index)
-	if t.leaving {
-		t.entry.leaving--
+	if t.preempting {
+		t.entry.preempting--
 	}
-	if t.entry.on[t.worker]--; t.entry.on[t.worker] == 0 {
-		delete(t.entry.on, t.worker)
+	if t.entry.tasksOn[t.worker]--; t.entry.tasksOn[t.worker] == 0 {
+		delete(t.entry.tasksOn, t.worker)
 	}
 	p.ledger.Give(t.pool, t.charge)
-	p.tally(t.rule).running--
-	p.untally(t.rule)
+	p.ruleTaskCounts(t.rule).running--
+	p.pruneRuleCounts(t.rule)
 	if n := p.index.Node(t.worker); n != nil {
 		p.index.Release(n, t.charge)
-		p.freedOn = append(p.freedOn, n)
+		p.freedNodes = append(p.freedNodes, n)
 	}
-	p.freed = p.freed || len(p.freedOn) > mostFreed
+	p.retryAll = p.retryAll || len(p.freedNodes) > maxFreedNodes
 }
 
-// chance reports whether a blocked lane may start now that something was freed. Without the
-// question, each end of a task would have every lane of a full cell tried in vain.
-func (p *Planner) chance(k *queue.Key) bool {
+// mayStart reports whether a blocked lane may start on the freed workers. Without this check every task that ends in
+// a full cell would cause all lanes to be retried.
+func (p *Planner) mayStart(k *queue.Key) bool {
 	if k.GangSize > 0 || k.Limited {
-		return len(p.freedOn) > 0
+		return len(p.freedNodes) > 0
 	}
-	for _, n := range p.freedOn {
+	for _, n := range p.freedNodes {
 		if k.Request.Fits(n.AvailableNow()) {
 			return true
 		}
@@ -201,48 +201,48 @@
 	return false
 }
 
-func (p *Planner) unhold(t *task) {
-	held := p.held[t.worker]
+func (p *Planner) removeFromWorker(t *task) {
+	held := p.tasksByWorker[t.worker]
 	for i := range held {
 		if held[i] == t {
 			held = append(held[:i], held[i+1:]...)
 			break
 		}
 	}
-	if p.held[t.worker] = held; len(held) == 0 {
-		delete(p.held, t.worker)
+	if p.tasksByWorker[t.worker] = held; len(held) == 0 {
+		delete(p.tasksByWorker, t.worker)
 	}
 }
 
-func (p *Planner) tally(ruleID string) *tally {
-	t, ok := p.rules[ruleID]
+func (p *Planner) ruleTaskCounts(ruleID string) *taskCounts {
+	t, ok := p.ruleCounts[ruleID]
 	if !ok {
-		t = &tally{}
-		p.rules[ruleID] = t
+		t = &taskCounts{}
+		p.ruleCounts[ruleID] = t
 	}
 	return t
 }
 
-func (p *Planner) untally(ruleID string) {
-	if t := p.rules[ruleID]; t != nil && *t == (tally{}) {
-		delete(p.rules, ruleID)
+func (p *Planner) pruneRuleCounts(ruleID string) {
+	if t := p.ruleCounts[ruleID]; t != nil && *t == (taskCounts{}) {
+		delete(p.ruleCounts, ruleID)
 	}
 }
 
-func (p *Planner) countPending(e *entry, n int) {
+func (p *Planner) addPending(e *entry, n int) {
 	p.pending += n
-	p.tally(e.decision.Rule).pending += n
-	p.untally(e.decision.Rule)
-	if p.classes[e.spec.Class] += n; p.classes[e.spec.Class] == 0 {
-		delete(p.classes, e.spec.Class)
+	p.ruleTaskCounts(e.decision.Rule).pending += n
+	p.pruneRuleCounts(e.decision.Rule)
+	if p.pendingByClass[e.spec.Class] += n; p.pendingByClass[e.spec.Class] == 0 {
+		delete(p.pendingByClass, e.spec.Class)
 	}
 }
 
-// ObserveUsage notes what a running task lately used.
+// ObserveUsage records the current usage of a running task, of which the peak is kept.
 func (p *Planner) ObserveUsage(jobID string, index int, used job.Resources) {
 	if e, ok := p.jobs[jobID]; ok {
 		if t, ok := e.running[index]; ok {
-			t.peak = t.peak.Max(used)
+			t.peakUsage = t.peakUsage.Max(used)
 		}
 	}
 }
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// preemptTime is how long a victim takes to checkpoint and stop, at the most that is planned for.
-	preemptTime = 4 * time.Second
-	// preemptEvery bounds how often victims are sought for one job.
-	preemptEvery = time.Second
-	// reclaimAfter is how long a job within its quota waits before borrowed capacity is taken back.
-	reclaimAfter = 5 * time.Second
-	// mostVictims bounds the tasks that one job preempts at a time.
-	mostVictims = 512
-	// mostLate bounds the late jobs that are looked at for a reservation.
-	mostLate = 2 * mostReservations
+	// preemptDuration is the time planned for a preempted task to write a checkpoint and stop.
+	preemptDuration = 4 * time.Second
+	// preemptInterval is the minimum time between two searches for tasks to preempt for the same job.
+	preemptInterval = time.Second
+	// reclaimDelay is the time that a job within its quota waits before tasks on borrowed capacity are preempted.
+	reclaimDelay = 5 * time.Second
+	// maxVictims limits the tasks of a job for which one search makes room.
+	maxVictims = 512
+	// maxLateScanned limits the late jobs examined for a reservation.
+	maxLateScanned = 2 * maxReservations
 )
 
-// makeRoom helps blocked jobs: by preemption where that may be, and one by a reservation, which is
-// the late one that waits longest, so that not even large work can starve.
+// makeRoom preempts tasks for blocked jobs where allowed, and reserves workers for one job. The late job that comes first
+// in the queue takes precedence for the reservation, so that even large jobs cannot starve.
 func (p *Planner) makeRoom(now time.Time, plan *Plan) {
 	var first *entry
-	p.wanting = slices.DeleteFunc(p.wanting, (*entry).served)
-	for _, e := range p.wanting {
-		if !p.claims(now, e, plan) && p.large(e) && p.mayReserve(e) && e.stuck(now) && (first == nil || e.needsMore(first)) {
+	p.blockedJobs = slices.DeleteFunc(p.blockedJobs, (*entry).noLongerBlocked)
+	for _, e := range p.blockedJobs {
+		if !p.tryPreempt(now, e, plan) && p.isLarge(e) && p.canReserve(e) && e.waitedLong(now) &&
+			(first == nil || e.goesBefore(first)) {
 			first = e
 		}
 	}
-	if late := p.late(now); late != nil {
+	if late := p.findLate(now); late != nil {
 		first = late
 	}
 	if first != nil {
@@ -41,15 +42,14 @@
 	}
 }
 
-// late gives the late job that waits longest for capacity and has none reserved, if it is large or
-// starved. It may have become late long after it was last tried, so that it is looked for and not
-// remembered.
-func (p *Planner) late(now time.Time) *entry {
+// findLate returns the first late job that waits for capacity without a reservation and is large or starved. It scans
+// the queue, since a job may become late long after it was last tried.
+func (p *Planner) findLate(now time.Time) *entry {
 	var found *entry
-	left := mostLate
+	left := maxLateScanned
 	p.queue.EachLate(now, func(e *entry) bool {
 		left--
-		if e.waits == waitsCapacity && p.mayReserve(e) && (p.large(e) || now.Sub(e.waitsSince) >= starvedAfter) {
+		if e.waitReason == waitCapacity && p.canReserve(e) && (p.isLarge(e) || now.Sub(e.waitingSince) >= starvationDelay) {
 			found = e
 		}
 		return found == nil && left > 0
@@ -57,79 +57,79 @@
 	return found
 }
 
-// served reports whether a job no longer waits for capacity.
-func (e *entry) served() bool { return !e.item.Queued() || e.waits != waitsCapacity }
+// noLongerBlocked reports whether a job has left the queue or does not wait for capacity.
+func (e *entry) noLongerBlocked() bool { return !e.item.Queued() || e.waitReason != waitCapacity }
 
-// large reports whether a job can be starved by smaller work. To keep room for others as well drains
-// workers and gains nothing: more deadlines were missed.
-func (p *Planner) large(e *entry) bool {
+// isLarge reports whether smaller tasks can starve the job. Reserving workers for smaller jobs would drain them and
+// make more jobs miss their deadlines.
+func (p *Planner) isLarge(e *entry) bool {
 	most := p.index.MaxCapacity()
 	return e.spec.Gang || e.charge.Accelerators > 0 ||
 		2*e.charge.Millicores >= most.Millicores || 2*e.charge.MemoryMB >= most.MemoryMB
 }
 
-// mayReserve allows one reservation for each job, and two gangs that drain workers at a time.
-func (p *Planner) mayReserve(e *entry) bool {
-	if e.reservation != nil || len(p.reservations) >= mostReservations {
+// canReserve allows one reservation per job, and a limited number of gangs whose reservations drain workers.
+func (p *Planner) canReserve(e *entry) bool {
+	if e.reservation != nil || len(p.reservations) >= maxReservations {
 		return false
 	}
 	gangs := 0
 	for _, r := range p.reservations {
-		if r.entry.spec.Gang && !r.claimed {
+		if r.entry.spec.Gang && !r.preempted {
 			gangs++
 		}
 	}
-	return !e.spec.Gang || gangs < mostGangs
+	return !e.spec.Gang || gangs < maxGangReservations
 }
 
-// stuck reports whether a job has waited for capacity so long that others must have overtaken it.
-func (e *entry) stuck(now time.Time) bool { return now.Sub(e.waitsSince) >= reserveAfter }
+// waitedLong reports whether the job has waited for capacity long enough to get a reservation.
+func (e *entry) waitedLong(now time.Time) bool { return now.Sub(e.waitingSince) >= reserveDelay }
 
-// needsMore orders blocked jobs for a reservation: by band, then by what must be free at once,
-// since small work finds room without one.
-func (e *entry) needsMore(o *entry) bool {
+// goesBefore orders blocked jobs for a reservation: by band, then by the total number of cores that must be free at
+// once, since small jobs find room without a reservation.
+func (e *entry) goesBefore(o *entry) bool {
 	if e.band() != o.band() {
 		return e.band() > o.band()
 	}
-	return e.charge.Millicores*int64(e.tasksNext()) > o.charge.Millicores*int64(o.tasksNext())
+	return e.charge.Millicores*int64(e.nextStartCount()) > o.charge.Millicores*int64(o.nextStartCount())
 }
 
-// claims reports whether tasks were preempted for a job, now or before.
-func (p *Planner) claims(now time.Time, e *entry, plan *Plan) bool {
-	if e.reservation != nil && e.reservation.claimed {
+// tryPreempt reports whether tasks were preempted for a job, now or earlier.
+func (p *Planner) tryPreempt(now time.Time, e *entry, plan *Plan) bool {
+	if e.reservation != nil && e.reservation.preempted {
 		return true
 	}
-	if now.Sub(e.preempted) < preemptEvery || len(p.reservations) >= mostReservations {
+	if now.Sub(e.lastPreemption) < preemptInterval || len(p.reservations) >= maxReservations {
 		return false
 	}
 	return (e.effect.Preemption.May && p.preempt(now, e, plan, "urgent work", e.outranks)) ||
-		(p.mayReclaim(now, e) && p.preempt(now, e, plan, "borrowed capacity is due", p.borrowedFrom(e)))
+		(p.canReclaim(now, e) && p.preempt(now, e, plan, "borrowed capacity is due", p.borrowedByOthers(e)))
 }
 
-func (p *Planner) mayReclaim(now time.Time, e *entry) bool {
-	return now.Sub(e.waitsSince) >= reclaimAfter && p.ledger.Within(e.pool, e.charge.Times(e.tasksNext()))
+func (p *Planner) canReclaim(now time.Time, e *entry) bool {
+	return now.Sub(e.waitingSince) >= reclaimDelay && p.ledger.Within(e.pool, e.charge.Times(e.nextStartCount()))
 }
 
-// yields reports whether a task may be preempted at all: services, sessions and what is not
-// repeatable only if their rule says so.
-func (t *task) yields() bool {
+// preemptible reports whether a task may be preempted. Services and tasks that are not repeatable are preempted only if
+// their rule allows it.
+func (t *task) preemptible() bool {
 	x := &t.entry.effect.Preemption
-	if t.leaving || x.Never {
+	if t.preempting || x.Never {
 		return false
 	}
-	return x.EvenNotRepeatable || (t.entry.spec.Repeatable && !t.entry.service())
+	return x.EvenNotRepeatable || (t.entry.spec.Repeatable && !t.entry.isService())
 }
 
 func (e *entry) outranks(t *task) bool {
 	return t.entry.band() < e.band() && !t.entry.effect.Preemption.May
 }
 
-func (p *Planner) borrowedFrom(e *entry) func(*task) bool {
+func (p *Planner) borrowedByOthers(e *entry) func(*task) bool {
 	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Over(t.pool) }
 }
 
-// lost is the work that is lost at worst, in core seconds. A gang is lost whole.
-func (t *task) lost(now time.Time) int64 {
+// lostWork estimates the work lost by stopping a task, in core seconds. Stopping one task of a gang loses all of them.
+func (t *task) lostWork(now time.Time) int64 {
 	one := 1 + int64(now.Sub(t.started)/time.Second)*(1+t.charge.Millicores)/1000
 	if t.entry.spec.Gang {
 		return one * int64(len(t.entry.running))
@@ -137,128 +137,132 @@
 	return one
 }
 
-// option is one more slot on a node, for the price of some victims.
-type option struct {
+// slot is room for one task on a node and the tasks that must be preempted for it.
+type slot struct {
 	node    *placement.Node
 	victims []*task
 	cost    int64
 }
 
-// preempt asks the tasks whose loss costs least to give way. For a gang it does so only if all of
-// its tasks will fit.
-func (p *Planner) preempt(now time.Time, e *entry, plan *Plan, reason string, may func(*task) bool) bool {
-	e.preempted = now
-	need := min(len(e.pending), mostVictims)
-	zones := map[string][]option{}
+// preempt asks the tasks with the least lost work to stop. For a gang it does so only if all tasks of the gang will fit.
+func (p *Planner) preempt(now time.Time, e *entry, plan *Plan, reason string, eligible func(*task) bool) bool {
+	e.lastPreemption = now
+	need := min(len(e.pending), maxVictims)
+	zones := map[string][]slot{}
 	var names []string
 	p.index.ForEach(func(n *placement.Node) {
 		zone := n.Info.Zone
 		if e.spec.Zone != "" && e.spec.Zone != zone || !n.Open || n.Probe || n.Reserved() {
 			return
 		}
-		if options := p.slots(now, e, n, need, may); len(options) > 0 {
+		if slots := p.nodeSlots(now, e, n, need, eligible); len(slots) > 0 {
 			if zones[zone] == nil {
 				names = append(names, zone)
 			}
-			zones[zone] = append(zones[zone], options...)
+			zones[zone] = append(zones[zone], slots...)
 		}
 	})
-	chosen := choose(zones, names, need, e.spec.Gang)
+	chosen := chooseSlots(zones, names, need, e.spec.Gang)
 	if len(chosen) == 0 {
 		return false
 	}
-	p.yield(now, e, chosen, plan, reason)
+	p.commitPreemption(now, e, chosen, plan, reason)
 	return true
 }
 
-// slots gives the slots of one node, cheapest first. A slot's price is at least that of the one
-// before it on the node, since it can only be had after it.
-func (p *Planner) slots(now time.Time, e *entry, n *placement.Node, need int, may func(*task) bool) []option {
+// nodeSlots returns the slots of a node, cheapest first. A slot costs at least as much as the previous one on the
+// node, since it is available only after that one.
+func (p *Planner) nodeSlots(now time.Time, e *entry, n *placement.Node, need int, eligible func(*task) bool) []slot {
 	var victims []*task
-	for _, t := range p.held[n.Info.ID] {
-		if t.yields() && may(t) {
+	for _, t := range p.tasksByWorker[n.Info.ID] {
+		if t.preemptible() && eligible(t) {
 			victims = append(victims, t)
 		}
 	}
-	slices.SortStableFunc(victims, func(a, b *task) int { return cmp.Compare(a.lost(now), b.lost(now)) })
+	slices.SortStableFunc(victims, func(a, b *task) int { return cmp.Compare(a.lostWork(now), b.lostWork(now)) })
 	room := n.AvailableNow()
 	have := placement.FitCount(room, e.charge, need)
-	var options []option
+	var slots []slot
 	for range have {
-		options = append(options, option{node: n})
+		slots = append(slots, slot{node: n})
 	}
 	var group []*task
 	var cost, least int64
 	for _, t := range victims {
 		room = room.Plus(t.charge)
-		group, cost = append(group, t), cost+t.lost(now)
+		group, cost = append(group, t), cost+t.lostWork(now)
 		for count := placement.FitCount(room, e.charge, need); have < count; have++ {
 			least = max(least, cost)
-			options = append(options, option{node: n, victims: group, cost: least})
+			slots = append(slots, slot{node: n, victims: group, cost: least})
 			group, cost = nil, 0
 		}
 	}
-	return options
+	return slots
 }
 
-// choose takes the cheapest slots; a gang's must all be in one zone.
-func choose(zones map[string][]option, names []string, need int, gang bool) []option {
+// chooseSlots returns the cheapest slots. For a gang they are all in one zone.
+func chooseSlots(zones map[string][]slot, names []string, need int, gang bool) []slot {
 	if !gang {
-		var all []option
+		var all []slot
 		for _, name := range names {
 			all = append(all, zones[name]...)
 		}
-		return cheapest(all, need)
+		return cheapestSlots(all, need)
 	}
-	var best []option
+	var best []slot
 	for _, name := range names {
-		if o := cheapest(zones[name], need); len(o) == need && (best == nil || total(o) < total(best)) {
+		if o := cheapestSlots(zones[name], need); len(o) == need && (best == nil || totalCost(o) < totalCost(best)) {
 			best = o
 		}
 	}
 	return best
 }
 
-func cheapest(options []option, need int) []option {
-	slices.SortStableFunc(options, func(a, b option) int { return cmp.Compare(a.cost, b.cost) })
-	return options[:min(need, len(options))]
+func cheapestSlots(slots []slot, need int) []slot {
+	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(a.cost, b.cost) })
+	return slots[:min(need, len(slots))]
 }
 
-func total(options []option) int64 {
+func totalCost(slots []slot) int64 {
 	sum := int64(0)
-	for _, o := range options {
+	for _, o := range slots {
 		sum += o.cost
 	}
 	return sum
 }
 
-// yield marks the victims and keeps their room for the job.
-func (p *Planner) yield(now time.Time, e *entry, chosen []option, plan *Plan, reason string) {
+// commitPreemption asks the victims to stop and reserves their workers for the job.
+func (p *Planner) commitPreemption(now time.Time, e *entry, chosen []slot, plan *Plan, reason string) {
 	p.unreserve(e.reservation)
-	r := &reservation{entry: e, at: now.Add(preemptTime), until: now.Add(preemptTime + reservePatience), claimed: true}
+	r := &reservation{
+		entry: e, startAt: now.Add(preemptDuration), expiresAt: now.Add(preemptDuration + reserveGracePeriod),
+		preempted: true,
+	}
 	room := map[string]job.Resources{}
 	counts := map[string]int{}
 	for _, o := range chosen {
 		id := o.node.Info.ID
 		if counts[id] == 0 {
 			room[id] = o.node.AvailableNow()
-			r.kept = append(r.kept, kept{worker: id})
+			r.workers = append(r.workers, reservedWorker{worker: id})
 		}
 		counts[id]++
 		for _, t := range o.victims {
 			room[id] = room[id].Plus(t.charge)
-			t.leave(e, plan, reason)
+			t.requestStop(e, plan, reason)
 		}
 	}
-	for i := range r.kept {
-		r.kept[i].count = counts[r.kept[i].worker]
+	for i := range r.workers {
+		r.workers[i].count = counts[r.workers[i].worker]
 	}
-	p.hold(r, func(n *placement.Node, count int) job.Resources { return room[n.Info.ID].Minus(e.charge.Times(count)) })
+	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
+		return room[n.Info.ID].Minus(e.charge.Times(count))
+	})
 }
 
-// leave asks a task to give way. Of a gang all tasks are asked: what is left of it could do nothing,
-// and would hold its workers for it.
-func (t *task) leave(e *entry, plan *Plan, reason string) {
+// requestStop asks a task to stop. For a gang it asks all tasks, since the remaining ones could not make progress but
+// would still occupy their workers.
+func (t *task) requestStop(e *entry, plan *Plan, reason string) {
 	tasks := []*task{t}
 	if t.entry.spec.Gang {
 		tasks = tasks[:0]
@@ -267,11 +271,13 @@
 		}
 	}
 	for _, v := range tasks {
-		if v.leaving {
+		if v.preempting {
 			continue
 		}
-		v.leaving = true
-		v.entry.leaving++
-		plan.Preemptions = append(plan.Preemptions, Preemption{Job: v.entry.id, Task: v.index, Worker: v.worker, ForJob: e.id, Reason: reason})
+		v.preempting = true
+		v.entry.preempting++
+		plan.Preemptions = append(plan.Preemptions, Preemption{
+			Job: v.entry.id, Task: v.index, Worker: v.worker, ForJob: e.id, Reason: reason,
+		})
 	}
 }
--- a/planner/reserve.go
+++ b/planner/reserve.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	mostReservations = 16
-	mostGangs        = 2
-	// reserveEvery bounds how often the running tasks are gone through for a reservation.
-	reserveEvery = 250 * time.Millisecond
-	// reserveAfter is how long a job waits for capacity before room is reserved for it.
-	reserveAfter = 10 * time.Second
-	// starvedAfter is how long a late job that is not large has had no start when it gets room too.
-	starvedAfter = 30 * time.Minute
-	// reservePatience is how long past its time a reservation is held, at least.
-	reservePatience = 30 * time.Second
+	maxReservations     = 16
+	maxGangReservations = 2
+	// reserveInterval limits how often running tasks are scanned to compute a reservation.
+	reserveInterval = 250 * time.Millisecond
+	// reserveDelay is the time that a large job waits for capacity before workers are reserved for it.
+	reserveDelay = 10 * time.Second
+	// starvationDelay is the wait for capacity after which a late job that is not large may get a reservation too.
+	starvationDelay = 30 * time.Minute
+	// reserveGracePeriod is the minimum time that a reservation is kept after its planned start.
+	reserveGracePeriod = 30 * time.Second
 )
 
-// reservation keeps room on workers for a job that waits, from the time when it is expected to be
-// free. Others may use it as long as they end before, which is backfill, or take what is spare.
+// reservation keeps workers for a waiting job from the time at which they should be free. Other jobs may use the
+// workers until then if they end before it (backfill), and may use capacity that the job does not need.
 type reservation struct {
-	entry *entry
-	at    time.Time
-	until time.Time
-	kept  []kept
-	// claimed says that tasks were preempted for it.
-	claimed bool
+	entry     *entry
+	startAt   time.Time
+	expiresAt time.Time
+	workers   []reservedWorker
+	// preempted is set if tasks were preempted for the reservation.
+	preempted bool
 }
 
-type kept struct {
+type reservedWorker struct {
 	worker string
 	count  int
 }
 
-// holder gives the reservation on a worker, or nil.
-func (p *Planner) holder(workerID string) *reservation {
+// reservationOn returns the reservation on a worker, or nil.
+func (p *Planner) reservationOn(workerID string) *reservation {
 	for _, r := range p.reservations {
-		for i := range r.kept {
-			if r.kept[i].worker == workerID {
+		for i := range r.workers {
+			if r.workers[i].worker == workerID {
 				return r
 			}
 		}
@@ -49,29 +49,29 @@
 	return nil
 }
 
-// room is what a job may take on a node at once.
-func (p *Planner) room(now time.Time, e *entry, n *placement.Node) job.Resources {
+// roomFor returns the resources that a job may use on a node now.
+func (p *Planner) roomFor(now time.Time, e *entry, n *placement.Node) job.Resources {
 	if !n.Reserved() {
 		return n.Available()
 	}
-	if r := p.holder(n.Info.ID); r == nil || r.entry == e || e.endsBefore(now, r.at) {
+	if r := p.reservationOn(n.Info.ID); r == nil || r.entry == e || e.endsBefore(now, r.startAt) {
 		return n.AvailableNow()
 	}
 	return n.Available()
 }
 
 func (e *entry) endsBefore(now, at time.Time) bool {
-	return !e.service() && !now.Add(e.estimate.P90).After(at)
+	return !e.isService() && !now.Add(e.estimate.P90).After(at)
 }
 
-// backfill gives a reserved worker on which a short task ends before the reservation is due.
+// backfill returns a reserved worker on which the task fits and ends before the reservation starts, or nil.
 func (p *Planner) backfill(now time.Time, e *entry) *placement.Node {
 	for _, r := range p.reservations {
-		if !e.endsBefore(now, r.at) {
+		if !e.endsBefore(now, r.startAt) {
 			continue
 		}
-		for _, k := range r.kept {
-			n := p.index.Node(k.worker)
+		for _, w := range r.workers {
+			n := p.index.Node(w.worker)
 			if n != nil && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.AvailableNow()) {
 				return n
 			}
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// spend lowers what is spare on a reserved worker by a task that outlasts the reservation.
-func (p *Planner) spend(n *placement.Node, t *task) {
+// useSpare reduces the spare resources of a reserved worker by a task that outlasts the start of the reservation.
+func (p *Planner) useSpare(n *placement.Node, t *task) {
 	if !n.Reserved() {
 		return
 	}
-	r := p.holder(n.Info.ID)
-	if r != nil && r.entry != t.entry && (t.entry.service() || t.end.After(r.at)) {
+	r := p.reservationOn(n.Info.ID)
+	if r != nil && r.entry != t.entry && (t.entry.isService() || t.plannedEnd.After(r.startAt)) {
 		p.index.UseSpare(n, t.charge)
 	}
 }
@@ -95,68 +95,68 @@
 	if r == nil {
 		return
 	}
-	for _, k := range r.kept {
-		if n := p.index.Node(k.worker); n != nil {
+	for _, w := range r.workers {
+		if n := p.index.Node(w.worker); n != nil {
 			p.index.Unreserve(n)
 		}
 	}
 	r.entry.reservation = nil
 	at := slices.Index(p.reservations, r)
 	p.reservations = slices.Delete(p.reservations, at, at+1)
-	p.freed = true
+	p.retryAll = true
 }
 
-// consume lowers a reservation by a task that has started on a worker, kept for it or not.
-func (p *Planner) consume(r *reservation, workerID string) {
+// consumeReservation reduces a reservation after a task of its job has started, on a reserved worker or another one.
+func (p *Planner) consumeReservation(r *reservation, workerID string) {
 	if r == nil {
 		return
 	}
-	at := slices.IndexFunc(r.kept, func(k kept) bool { return k.worker == workerID })
+	at := slices.IndexFunc(r.workers, func(w reservedWorker) bool { return w.worker == workerID })
 	if at < 0 {
-		at = len(r.kept) - 1
+		at = len(r.workers) - 1
 	}
-	k := &r.kept[at]
-	if k.count--; k.count > 0 && len(r.entry.pending) > 0 {
+	w := &r.workers[at]
+	if w.count--; w.count > 0 && len(r.entry.pending) > 0 {
 		return
 	}
-	if len(r.kept) == 1 || len(r.entry.pending) == 0 {
+	if len(r.workers) == 1 || len(r.entry.pending) == 0 {
 		p.unreserve(r)
 		return
 	}
-	if n := p.index.Node(k.worker); n != nil {
+	if n := p.index.Node(w.worker); n != nil {
 		p.index.Unreserve(n)
 	}
-	r.kept = slices.Delete(r.kept, at, at+1)
-	p.freed = true
+	r.workers = slices.Delete(r.workers, at, at+1)
+	p.retryAll = true
 }
 
-func (p *Planner) unreserveWorker(id string) { p.unreserve(p.holder(id)) }
+func (p *Planner) unreserveWorker(id string) { p.unreserve(p.reservationOn(id)) }
 
-func (p *Planner) expire(now time.Time) {
+func (p *Planner) expireReservations(now time.Time) {
 	for i := len(p.reservations) - 1; i >= 0; i-- {
-		if now.After(p.reservations[i].until) {
+		if now.After(p.reservations[i].expiresAt) {
 			p.unreserve(p.reservations[i])
 		}
 	}
 }
 
-func (p *Planner) hold(r *reservation, spare func(n *placement.Node, count int) job.Resources) {
+func (p *Planner) addReservation(r *reservation, spare func(n *placement.Node, count int) job.Resources) {
 	r.entry.reservation = r
 	p.reservations = append(p.reservations, r)
-	for _, k := range r.kept {
-		n := p.index.Node(k.worker)
-		p.index.Reserve(n, spare(n, k.count))
+	for _, w := range r.workers {
+		n := p.index.Node(w.worker)
+		p.index.Reserve(n, spare(n, w.count))
 	}
 }
 
-// forecast is the room on the workers as running tasks are expected to end.
+// forecast is the predicted free capacity of workers as running tasks end.
 type forecast struct {
-	room  map[*placement.Node]job.Resources
-	fits  map[string]int
-	each  job.Resources
-	need  int
-	zone  string
-	order []*placement.Node
+	room    map[*placement.Node]job.Resources
+	fits    map[string]int
+	request job.Resources
+	need    int
+	zone    string
+	order   []*placement.Node
 }
 
 func (f *forecast) add(n *placement.Node, r job.Resources) {
@@ -167,81 +167,89 @@
 	after := before.Plus(r)
 	f.room[n] = after
 	zone := n.Info.Zone
-	f.fits[zone] += placement.FitCount(after, f.each, f.need) - placement.FitCount(before, f.each, f.need)
+	f.fits[zone] += placement.FitCount(after, f.request, f.need) - placement.FitCount(before, f.request, f.need)
 	if f.fits[zone] >= f.need && f.zone == "" {
 		f.zone = zone
 	}
 }
 
-// reserve keeps room for a blocked job where it will be free soonest. Without it, whatever is freed
-// goes to smaller work at once, and larger work of the same priority waits for hours.
+// reserve reserves workers for a blocked job where capacity will be free first. Without a reservation smaller tasks
+// take all freed capacity, and larger tasks of the same priority can wait for hours.
 func (p *Planner) reserve(now time.Time, e *entry) {
-	if now.Sub(p.reserved) < reserveEvery {
+	if now.Sub(p.lastReservation) < reserveInterval {
 		return
 	}
-	p.reserved = now
+	p.lastReservation = now
 	f, at := p.forecast(now, e)
 	if f.zone == "" {
 		return
 	}
-	r := &reservation{entry: e, at: at, until: at.Add(max(reservePatience, at.Sub(now)/2)), kept: f.keep()}
-	p.hold(r, func(n *placement.Node, count int) job.Resources { return f.room[n].Minus(f.each.Times(count)) })
+	r := &reservation{
+		entry: e, startAt: at, expiresAt: at.Add(max(reserveGracePeriod, at.Sub(now)/2)), workers: f.chooseWorkers(),
+	}
+	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
+		return f.room[n].Minus(f.request.Times(count))
+	})
 }
 
-// forecast lets running tasks end, the first to end first, until the job fits into a zone.
+// forecast simulates the end of running tasks in order of time until the job fits into a zone.
 func (p *Planner) forecast(now time.Time, e *entry) (f *forecast, at time.Time) {
-	f = &forecast{room: map[*placement.Node]job.Resources{}, fits: map[string]int{}, each: e.charge, need: e.tasksNext()}
+	f = &forecast{
+		room: map[*placement.Node]job.Resources{}, fits: map[string]int{},
+		request: e.charge, need: e.nextStartCount(),
+	}
 	p.index.ForEach(func(n *placement.Node) {
-		if n.Open && !n.Probe && !n.Reserved() && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.Info.Has) {
+		if n.Open && !n.Probe && !n.Reserved() && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) &&
+			e.charge.Fits(n.Info.Has) {
 			f.add(n, n.AvailableNow())
 		}
 	})
 	at = now
-	for _, t := range p.byEnd(now) {
+	for _, t := range p.batchTasksByEnd(now) {
 		if f.zone != "" {
 			break
 		}
 		n := p.index.Node(t.worker)
 		if _, known := f.room[n]; known {
 			f.add(n, t.charge)
-			at = t.expected(now)
+			at = t.expectedEnd(now)
 		}
 	}
 	return f, at
 }
 
-// keep chooses the workers of the zone on which the job will fit.
-func (f *forecast) keep() []kept {
-	var k []kept
+// chooseWorkers returns the workers of the zone to reserve for the job.
+func (f *forecast) chooseWorkers() []reservedWorker {
+	var w []reservedWorker
 	left := f.need
 	for _, n := range f.order {
 		if n.Info.Zone != f.zone || left == 0 {
 			continue
 		}
-		if count := placement.FitCount(f.room[n], f.each, left); count > 0 {
-			k = append(k, kept{n.Info.ID, count})
+		if count := placement.FitCount(f.room[n], f.request, left); count > 0 {
+			w = append(w, reservedWorker{n.Info.ID, count})
 			left -= count
 		}
 	}
-	return k
+	return w
 }
 
-// expected is when a task will end; one that runs past its estimate is given half as long again.
-func (t *task) expected(now time.Time) time.Time {
-	if t.end.After(now) {
-		return t.end
+// expectedEnd returns when a task should end. A task past its planned end is expected to run half as long again.
+func (t *task) expectedEnd(now time.Time) time.Time {
+	if t.plannedEnd.After(now) {
+		return t.plannedEnd
 	}
 	return now.Add(now.Sub(t.started) / 2)
 }
 
-// byEnd gives the batch tasks, the first to end first.
-func (p *Planner) byEnd(now time.Time) []*task {
+// batchTasksByEnd returns the running tasks of batch jobs, ordered by expected end.
+func (p *Planner) batchTasksByEnd(now time.Time) []*task {
 	tasks := make([]*task, 0, len(p.running))
 	for _, t := range p.running {
-		if !t.entry.service() {
+		if !t.entry.isService() {
 			tasks = append(tasks, t)
 		}
 	}
-	slices.SortStableFunc(tasks, func(a, b *task) int { return a.expected(now).Compare(b.expected(now)) })
+	slices.SortStableFunc(tasks, func(a, b *task) int { return a.expectedEnd(now).Compare(b.expectedEnd(now)) })
 	return tasks
 }
