--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -67,9 +67,9 @@
 	if _, failing := t.o.StoreFailing(); failing || time.Since(t.since) < knowsWorkers || time.Since(t.unlistedAt) < knowsWorkers {
 		return ""
 	}
-	return admission.Hopeless(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
+	return admission.InfeasibleReason(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
 		for _, n := range t.nodes {
-			if !yield(admission.Worker{Pool: n.listing.Pool, Labels: n.listing.Labels, Has: n.listing.Has}) {
+			if !yield(admission.Worker{Pool: n.listing.Pool, Labels: n.listing.Labels, Capacity: n.listing.Has}) {
 				return
 			}
 		}
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -46,7 +46,7 @@
 	floor  *floor.Floor
 	config *job.Config
 	// permits gives the answer of the policy service; nil allows every worker at once.
-	permits func(q *permit.Question) ([]string, time.Duration)
+	permits func(q *permit.Request) ([]string, time.Duration)
 
 	// spend lets what the owner looks at take time; nil takes none.
 	spend func(looks int)
@@ -121,7 +121,7 @@
 	v.peers = rpc.NewPool(dial)
 	log := zap.NewNop()
 	rules := configuration.NewRules(log)
-	ask := func(ctx context.Context, q *permit.Question) (*permit.Answer, error) { return c.answer(ctx, q) }
+	ask := func(ctx context.Context, q *permit.Request) (*permit.Response, error) { return c.answer(ctx, q) }
 	var waves *dispatch.Waves
 	if c.cloud != nil {
 		waves = c.cloud.waves(id)
@@ -130,23 +130,23 @@
 	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.served(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.own, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
-		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
+		Self: id, MaxDirect: cmp.Or(c.own, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
-		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
+		dispatch.Upkeep(waves), dispatch.OnExamined(c.spend),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
-			func(ctx context.Context, from owner.Node, q *permit.Question) (*permit.Answer, error) {
+			func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
 				if from.ID == id {
 					return ask(ctx, q)
 				}
-				return rpc.Call[permit.Question, permit.Answer](ctx, v.peers.Get(from.Address), front.MethodAsk, q)
+				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAsk, q)
 			}),
-		dispatch.Bounds(mostHold, 200*time.Millisecond, 2*time.Minute))
+		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
-		owner.Failing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.Pace(v.pace), owner.Peers(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
+		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
 		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, Permits: ask, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
@@ -199,7 +199,7 @@
 		time.Sleep(busyStep)
 	}
 	time.Sleep(time.Duration(b.vm.lateRelay.Load()))
-	for asked := time.Now(); b.vm.disp.Leads() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
+	for asked := time.Now(); b.vm.disp.IsOwner() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
 		time.Sleep(busyStep)
 	}
 	return b.Conn.Write(p)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (c *cell) answer(ctx context.Context, q *permit.Question) (*permit.Answer, error) {
+func (c *cell) answer(ctx context.Context, q *permit.Request) (*permit.Response, error) {
 	names, takes := q.Workers, time.Duration(0)
 	if c.permits != nil {
 		names, takes = c.permits(q)
@@ -267,7 +267,7 @@
 		return nil, ctx.Err()
 	case <-time.After(takes):
 	}
-	a := &permit.Answer{Valid: 1500 * time.Millisecond}
+	a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 	for _, id := range names {
 		a.Grants = append(a.Grants, permit.Grant{Worker: id, Ticket: "t-" + id})
 	}
@@ -324,7 +324,7 @@
 	c.t.Helper()
 	for range 600 {
 		for _, v := range c.vms {
-			if !v.dead.Load() && v.disp.Leads() {
+			if !v.dead.Load() && v.disp.IsOwner() {
 				return v
 			}
 		}
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -77,7 +77,7 @@
 }
 
 // quarter allows one worker in four for each step.
-func quarter(q *permit.Question) ([]string, time.Duration) {
+func quarter(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
 		h := fnv.New32a()
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -120,7 +120,7 @@
 	for i := range t.askers.nodes {
 		t.askers.ids = append(t.askers.ids, t.askers.nodes[i].ID)
 	}
-	t.desk.Keep(t.askers.ids)
+	t.desk.RetainVMs(t.askers.ids)
 }
 
 // same reports whether two lists are one and the same.
@@ -131,7 +131,7 @@
 // mayAsk reports whether a stage may put a question now. Where no VM is free for it, it waits for its
 // turn among all stages.
 func (t *term) mayAsk(s *stage, now time.Time) bool {
-	return s.asking == 0 && !now.Before(s.askFrom) && t.desk.Free(t.askers.ids, s.e.queue.Permit.Base, now)
+	return s.asking == 0 && !now.Before(s.askFrom) && t.desk.CanPick(t.askers.ids, s.e.queue.Permit.Base, now)
 }
 
 // question puts a question to the service from the entry VM that can answer first; false where none is
@@ -145,7 +145,7 @@
 		return false
 	}
 	from := t.askers.nodes[slices.Index(t.askers.ids, vm)]
-	q := &permit.Question{Work: s.e.work.ID, Occurrence: s.occ.number, Step: s.index, Workers: names}
+	q := &permit.Request{Work: s.e.work.ID, Occurrence: s.occ.number, Step: s.index, Workers: names}
 	s.asking++
 	t.o.Metrics.Counter("dispatch.questions").Inc(1)
 	t.wg.Go(func() {
@@ -158,20 +158,20 @@
 }
 
 // onAnswer notes what the service allows.
-func (t *term) onAnswer(s *stage, from owner.Node, q *permit.Question, asked time.Time, a *permit.Answer, err error) {
+func (t *term) onAnswer(s *stage, from owner.Node, q *permit.Request, asked time.Time, a *permit.Response, err error) {
 	now := time.Now()
 	s.asking--
 	t.dirty = true
 	if err != nil {
 		t.letGo(s)
-		t.desk.Failed(from.ID, now)
+		t.desk.RecordFailure(from.ID, now)
 		s.askFrom = now.Add(min(askAgain<<min(s.askFailed, 8), askAgainMost))
 		s.askFailed++
 		t.log.Info("dispatch: question without an answer", zap.String("id", q.Work), zap.Int("step", q.Step),
 			zap.String("from", from.ID), zap.Int("workers", len(q.Workers)), zap.Error(err))
 		return
 	}
-	t.desk.Answered(from.ID)
+	t.desk.RecordSuccess(from.ID)
 	s.askFailed = 0
 	if s.answers == nil {
 		s.answers = make(map[string]ticket, len(q.Workers))
@@ -182,7 +182,7 @@
 		}
 	}
 	for _, g := range a.Grants {
-		s.answers[g.Worker] = ticket{value: g.Ticket, until: now.Add(a.Valid), allowed: true}
+		s.answers[g.Worker] = ticket{value: g.Ticket, until: now.Add(a.TicketTTL), allowed: true}
 	}
 	s.allowedAt = unread
 	t.noteGrants(s.e.queue.Name, len(a.Grants), len(q.Workers))
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -37,7 +37,7 @@
 		zap.Int64("millicores", has), zap.Int64("freeMillicores", free), zap.Int64("keptMillicores", kept),
 		zap.Int64("reservedMillicores", reserved), zap.Int("works", len(t.entries)), zap.Int("runs", runs),
 		zap.Int("waitingSteps", len(t.stages)), zap.Int("waitingGangs", gangs), zap.Int("waitingTasks", waiting),
-		zap.Int("questions", asking), zap.Duration("lag", time.Duration(t.lag.usual.Load())), zap.Float64("turnedAway", t.behind.Share()),
+		zap.Int("questions", asking), zap.Duration("lag", time.Duration(t.lag.usual.Load())), zap.Float64("turnedAway", t.behind.RejectRatio()),
 		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.tried), zap.Int("looksInPass", t.pass.looks),
 		zap.Duration("pass", t.pass.took))
 	t.reportSizes(now)
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -54,14 +54,14 @@
 	// unsent holds new works that were not durable when last looked at.
 	unsent  []*entry
 	commits commits
-	desk    *permit.Desk
+	desk    *permit.VMSelector
 	turns   turns
 	askers  askers
 	config  *job.Config
 	rules   *rule.List
 	dirty   bool
 	lag     lag
-	behind  admission.Behind
+	behind  admission.OverloadDetector
 	// reported is when the state of the cell was last logged.
 	reported time.Time
 	// removed lists the ended records that the next commits take away.
@@ -77,7 +77,7 @@
 	pass      pass
 	// grants is the share of named workers that each queue is allowed.
 	grants map[string]float64
-	sizes  *aging.Sizes
+	sizes  *aging.SizeStats
 	// tallies tell what became of works by queue and class of sizes.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
@@ -90,7 +90,7 @@
 		o: o, log: o.Logger.With(zap.Int64("fence", tenure.Fence)), tenure: tenure, since: time.Now(),
 		events: make(chan func(), eventRing), entries: make(map[string]*entry), ended: make(map[string]Ended),
 		nodes: make(map[string]*node), unreadable: make(map[string]bool), stages: make(map[*stage]struct{}), timed: make(map[*entry]struct{}),
-		pass: newPass(), shapes: make(map[resources]struct{}), desk: permit.NewDesk(), turns: newTurns(), grants: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), underRule: make(map[string]int),
+		pass: newPass(), shapes: make(map[resources]struct{}), desk: permit.NewVMSelector(), turns: newTurns(), grants: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), underRule: make(map[string]int),
 	}
 	t.commits.name()
 	t.ctx, t.end = context.WithCancel(ctx)
@@ -110,7 +110,7 @@
 			t.drain()
 		case at := <-tick.C:
 			t.lag.take(time.Since(at))
-			t.behind.Note(time.Now(), max(time.Since(at), t.passWait(time.Now()), t.holdsLate(time.Now())))
+			t.behind.Observe(time.Now(), max(time.Since(at), t.passWait(time.Now()), t.holdsLate(time.Now())))
 			t.onTick(time.Now())
 		}
 		t.syncConfig()
@@ -166,7 +166,7 @@
 func (t *term) lose(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
 	t.end()
-	t.tenure.Lost()
+	t.tenure.ReportLost()
 }
 
 // close waits for the goroutines of the term.
--- a/front/options.go
+++ b/front/options.go
@@ -59,7 +59,7 @@
 	Group      *owner.Group
 	Peers      *rpc.Pool
 	// Permits puts a question to the policy service from this VM.
-	Permits permit.Ask
+	Permits permit.AskFunc
 	// Decide gives what the operators' rules decide for a work; nil decides nothing.
 	Decide func(w *job.Work) rule.Effect
 	// StoreHeard gives when the store last answered. StoreFailing tells since when it gives no answers of
--- a/front/serve.go
+++ b/front/serve.go
@@ -75,7 +75,7 @@
 		return &waitingReply{Waiting: n}, err
 	})
 	rpc.Handle(s, methodOwner, f.serveOwner)
-	rpc.Handle(s, MethodAsk, func(ctx context.Context, in *permit.Question) (*permit.Answer, error) {
+	rpc.Handle(s, MethodAsk, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
 		return f.o.Permits(ctx, in)
 	})
 }
--- a/gate/send.go
+++ b/gate/send.go
@@ -109,7 +109,7 @@
 		ID: g.nextID("try"), Key: cl.check.Key, Session: cl.check.Session, Method: cl.check.Method,
 		Body: cl.check.Body, LeftMillis: end.Sub(now).Milliseconds(), Parent: tracing.Parent(ctx),
 	}
-	if !g.shares.Holds(t.slot, end.Add(g.opts.Limits.Grace)) {
+	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
 		// The process was paused since the slot was given; a sibling may have it by now.
 		return &attempt{ending: notStarted, verdict: balancer.Abandoned, reason: "slot was lost before the send"}
 	}
--- a/planner/admit.go
+++ b/planner/admit.go
@@ -112,9 +112,9 @@
 		if q.Pool != "" {
 			e.pool = q.Pool
 		}
-		p.ledger.Set(e.pool, q.Most, q.Borrow)
+		p.ledger.SetLimit(e.pool, q.Most, q.Borrow)
 	}
-	p.ledger.Join(e.pool)
+	p.ledger.AddMember(e.pool)
 	switch {
 	case e.strategy != "":
 	case e.isService():
@@ -215,7 +215,7 @@
 func (p *Planner) removeIfDone(e *entry) {
 	if len(e.pending) == 0 && len(e.running) == 0 {
 		p.unreserve(e.reservation)
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		delete(p.jobs, e.id)
 	}
 }
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -17,7 +17,7 @@
 	}
 	x := Explanation{
 		Job: jobID, Known: true, Rule: e.decision.Rule, Pending: len(e.pending), Running: len(e.running),
-		Pool: e.pool, Holds: p.ledger.Holds(e.pool), Charge: e.charge,
+		Pool: e.pool, Holds: p.ledger.Usage(e.pool), Charge: e.charge,
 	}
 	if p.options.Rules != nil {
 		var r rule.Request
--- a/planner/next.go
+++ b/planner/next.go
@@ -91,7 +91,7 @@
 		return e.setWaitReason(now, waitGangStop)
 	case e.effect.MostRunning > 0 && p.ruleTaskCounts(e.decision.Rule).running+count > e.effect.MostRunning:
 		return e.setWaitReason(now, waitLimit)
-	case !p.ledger.Within(e.pool, e.charge.Times(count)) && !p.ledger.MayBorrow(e.pool):
+	case !p.ledger.Fits(e.pool, e.charge.Times(count)) && !p.ledger.CanBorrow(e.pool):
 		return e.setWaitReason(now, waitQuota)
 	case e.spec.Gang:
 		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -67,12 +67,12 @@
 	p.poolUsage = queue.PoolUsage{
 		Share: func(pool string) float64 {
 			capacity, _ := p.index.Totals()
-			return p.ledger.Share(pool, capacity)
+			return p.ledger.DominantShare(pool, capacity)
 		},
-		WithinQuota: func(k *queue.Key) bool { return p.ledger.Within(k.Pool, k.Request.Times(max(k.GangSize, 1))) },
+		WithinQuota: func(k *queue.Key) bool { return p.ledger.Fits(k.Pool, k.Request.Times(max(k.GangSize, 1))) },
 	}
 	for team := range o.Quotas {
-		p.ledger.Join(team)
+		p.ledger.AddMember(team)
 	}
 	p.setQuotas()
 	return p
@@ -80,7 +80,7 @@
 
 func (p *Planner) setQuotas() {
 	for team, most := range p.options.Quotas {
-		p.ledger.Set(team, most, true)
+		p.ledger.SetLimit(team, most, true)
 	}
 }
 
@@ -88,13 +88,13 @@
 // are not refused afterwards, and running tasks keep their workers.
 func (p *Planner) SetRules(l *rule.List) {
 	p.options.Rules = l
-	p.ledger.Unlimit()
+	p.ledger.ClearLimits()
 	p.setQuotas()
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		e := p.jobs[id]
 		p.queue.Remove(&e.item)
 		p.addPending(e, -len(e.pending))
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		p.applyRules(e)
 		p.addPending(e, len(e.pending))
 		p.enqueue(e)
@@ -146,13 +146,13 @@
 	t := &task{
 		entry: e, index: index, worker: workerID, charge: e.charge, pool: e.pool, rule: e.decision.Rule,
 		started: p.now, runningIndex: len(p.running),
-		plannedEnd: p.now.Add(e.estimate.P90), borrowed: !p.ledger.Within(e.pool, e.charge),
+		plannedEnd: p.now.Add(e.estimate.P90), borrowed: !p.ledger.Fits(e.pool, e.charge),
 	}
 	p.running = append(p.running, t)
 	p.tasksByWorker[workerID] = append(p.tasksByWorker[workerID], t)
 	e.running[index] = t
 	e.tasksOn[workerID]++
-	p.ledger.Take(t.pool, t.charge)
+	p.ledger.Charge(t.pool, t.charge)
 	p.ruleTaskCounts(t.rule).running++
 	if n := p.index.Node(workerID); n != nil {
 		t.zone = n.Info.Zone
@@ -177,7 +177,7 @@
 	if t.entry.tasksOn[t.worker]--; t.entry.tasksOn[t.worker] == 0 {
 		delete(t.entry.tasksOn, t.worker)
 	}
-	p.ledger.Give(t.pool, t.charge)
+	p.ledger.Release(t.pool, t.charge)
 	p.ruleTaskCounts(t.rule).running--
 	p.pruneRuleCounts(t.rule)
 	if n := p.index.Node(t.worker); n != nil {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -366,6 +366,6 @@
 	c.SetRules(l)
 	is.Equal(c.Next(c.now, 1).Starts[0].Job, "second")
 	x := c.Explain(c.now, "first")
-	is.Equal(x.Rules.Asked[0].Values, `class is "a"`)
+	is.Equal(x.Rules.Results[0].FieldValues, `class is "a"`)
 	is.True(x.WaitsFor != "")
 }
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -107,7 +107,7 @@
 }
 
 func (p *Planner) canReclaim(now time.Time, e *entry) bool {
-	return now.Sub(e.waitingSince) >= reclaimDelay && p.ledger.Within(e.pool, e.charge.Times(e.nextStartCount()))
+	return now.Sub(e.waitingSince) >= reclaimDelay && p.ledger.Fits(e.pool, e.charge.Times(e.nextStartCount()))
 }
 
 // preemptible reports whether a task may be preempted. Services and tasks that are not repeatable are preempted only if
@@ -125,7 +125,7 @@
 }
 
 func (p *Planner) borrowedByOthers(e *entry) func(*task) bool {
-	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Over(t.pool) }
+	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Exceeded(t.pool) }
 }
 
 // lostWork estimates the work lost by stopping a task, in core seconds. Stopping one task of a gang loses all of them.
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -55,7 +55,7 @@
 // awaitRecord waits until the job's record is durable, or surely never will be. One that the store
 // does not take soon is taken back, so that its caller hears at once that it was not run.
 func (t *term) awaitRecord(ctx context.Context, id string, wait chan error) *rpc.Fault {
-	slow := time.NewTimer(t.o.StoreSlow)
+	slow := time.NewTimer(t.o.MaxCommitDelay)
 	defer slow.Stop()
 	for {
 		select {
@@ -154,9 +154,9 @@
 	switch {
 	case t.draining:
 		return rpc.Refused(t.o.RetryAfter, "this scheduler is stopping")
-	case len(t.live) >= t.o.MaxLive:
+	case len(t.live) >= t.o.MaxLiveJobs:
 		return rpc.Refused(t.o.RetryAfter, "the zone has %d live jobs, its limit", len(t.live))
-	case t.journal.Stats().Pending > t.o.StoreSlow:
+	case t.journal.Stats().Pending > t.o.MaxCommitDelay:
 		return rpc.Refused(t.o.RetryAfter, "the store does not take records now")
 	case !t.valid():
 		return rpc.Refused(t.o.RetryAfter, "this scheduler does not hold its zone now")
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -137,7 +137,7 @@
 	case k.stop == "" && e.overtime(k, now):
 		k.stop = stopOvertime
 		t.sendAct(e, i, worker.Stop, now)
-	case now.Sub(k.sentAt) < t.o.Resend:
+	case now.Sub(k.sentAt) < t.o.ResendInterval:
 	case k.Phase == pending && e.cancel != nil:
 		t.cancelTask(e, i, now)
 	case k.Phase == intended && (k.stop != "" || e.cancel != nil):
@@ -213,7 +213,7 @@
 // That says nothing of a start that was sent and never reported: it may lie in a socket of a frozen
 // VM. Such an attempt stays until its worker answers, or the VM list no longer shows the VM.
 func (t *term) lapseWorkers(now time.Time) {
-	limit := t.o.MessageLife + t.o.WorkerLease + t.o.WorkerDrift
+	limit := t.o.MessageLifetime + t.o.WorkerLease + t.o.WorkerDrift
 	ids := make([]string, 0, len(t.held))
 	for id := range t.held {
 		ids = append(ids, id)
@@ -240,7 +240,7 @@
 // forgetOld drops finished jobs after their time, and bodies of answers beyond the budget.
 func (t *term) forgetOld(now time.Time) {
 	for id, m := range t.moved {
-		if now.Sub(m.At) > t.o.KeepAnswers {
+		if now.Sub(m.At) > t.o.AnswerRetention {
 			delete(t.moved, id)
 		}
 	}
@@ -249,7 +249,7 @@
 		if e.ended.IsZero() {
 			continue
 		}
-		if now.Sub(e.ended) > t.o.KeepAnswers {
+		if now.Sub(e.ended) > t.o.AnswerRetention {
 			t.answers -= answerBytes(e)
 			delete(t.jobs, id)
 			continue
@@ -258,7 +258,7 @@
 			oldest = e
 		}
 	}
-	if oldest != nil && t.answers > t.o.KeepAnswerBytes {
+	if oldest != nil && t.answers > t.o.AnswerBudgetBytes {
 		t.answers -= answerBytes(oldest)
 		for i := range oldest.tasks {
 			oldest.tasks[i].Answer = nil
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -30,11 +30,11 @@
 	// Refusals are the last of them, with their reasons.
 	Refusals []Refusal `json:"refusals"`
 	// Ends are the last jobs that ended without an answer.
-	Ends []End `json:"ends"`
+	Ends []EndedJob `json:"ends"`
 }
 
-// End is a job that ended as not run or unknown, with the reason.
-type End struct {
+// EndedJob is a job that ended as not run or unknown, with the reason.
+type EndedJob struct {
 	Job     string      `json:"job"`
 	Ended   time.Time   `json:"ended"`
 	Outcome job.Outcome `json:"outcome"`
@@ -85,10 +85,10 @@
 			continue
 		}
 		if outcome, reason := e.outcome(); outcome != job.Done {
-			s.Ends = append(s.Ends, End{Job: e.id, Ended: e.ended, Outcome: outcome, Reason: reason})
+			s.Ends = append(s.Ends, EndedJob{Job: e.id, Ended: e.ended, Outcome: outcome, Reason: reason})
 		}
 	}
-	slices.SortFunc(s.Ends, func(a, b End) int { return cmp.Or(b.Ended.Compare(a.Ended), cmp.Compare(a.Job, b.Job)) })
+	slices.SortFunc(s.Ends, func(a, b EndedJob) int { return cmp.Or(b.Ended.Compare(a.Ended), cmp.Compare(a.Job, b.Job)) })
 	s.Ends = s.Ends[:min(len(s.Ends), stateEnds)]
 	return s
 }
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -73,7 +73,7 @@
 func NewCell(o *Options) (*Cell, error) {
 	c := &Cell{o: o, standin: platform.NewStandin(), works: make(map[string]*job.Work), queues: queues()}
 	c.floor = floor.New(c.behave)
-	c.standin.Allow = func(q *permit.Question) []string { return allowed(q.Work, q.Workers) }
+	c.standin.Allow = func(q *permit.Request) []string { return allowed(q.Work, q.Workers) }
 	if err := c.build(); err != nil {
 		c.Close()
 		return nil, err
