--- a/member/cell_test.go
+++ b/member/cell_test.go
@@ -16,51 +16,51 @@
 
 const testZone = "kochi-hall"
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("peer unreachable")
 
-// cell is one zone's schedulers on a store in memory and a network with faults.
+// cell runs the schedulers of one zone on an in-memory store and a network with injected faults.
 type cell struct {
 	*is.I
 	svc   *memory.Service
 	nodes map[string]*node // by ID
 
-	mu  sync.Mutex
-	cut map[[2]string]bool // from, to
-	// lie makes every peer seem to promise what it has not heard of; a planted fault.
-	lie bool
-	// lag is what the answers to heartbeats take.
-	lag  time.Duration
-	vms  map[string]bool
-	opts []Option
-	wg   sync.WaitGroup
+	mu      sync.Mutex
+	blocked map[[2]string]bool // by sender and receiver
+	// fakePromises is an injected fault: every reply contains a promise that the peer was not asked for.
+	fakePromises bool
+	// replyDelay delays the replies to heartbeats.
+	replyDelay time.Duration
+	listedVMs  map[string]bool
+	opts       []Option
+	wg         sync.WaitGroup
 }
 
-// node is one process: its group, its way to the store, and whether it is frozen.
+// node is one process: its group, its store faults, and whether it is frozen.
 type node struct {
 	*Group
-	faults memory.Faults
-	mu     sync.Mutex
-	thaw   chan struct{}
-	dead   bool
-	before func()
+	faults        memory.Faults
+	mu            sync.Mutex
+	thawed        chan struct{}
+	dead          bool
+	beforeRemoval func()
 }
 
-func run(t *testing.T, f func(c *cell)) {
+func runCell(t *testing.T, f func(c *cell)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t)
-		defer c.end()
+		defer c.close()
 		f(c)
 	})
 }
 
 func newCell(t *testing.T) *cell {
 	return &cell{
-		I: is.New(t), svc: memory.New(), nodes: map[string]*node{}, cut: map[[2]string]bool{},
-		vms: map[string]bool{},
+		I: is.New(t), svc: memory.New(), nodes: map[string]*node{}, blocked: map[[2]string]bool{},
+		listedVMs: map[string]bool{},
 	}
 }
 
-func (c *cell) end() {
+func (c *cell) close() {
 	for _, n := range c.nodes {
 		n.freeze(false)
 		n.Stop()
@@ -68,15 +68,15 @@
 	c.wg.Wait()
 }
 
-// start runs a process; one of the same ID takes the address of the one before.
+// start runs a process; it takes over the address of an earlier process with the same ID.
 func (c *cell) start(id string, opts ...Option) *node {
-	n := &node{before: func() {}}
+	n := &node{beforeRemoval: func() {}}
 	self := Member{ID: id, Role: RoleScheduler, Zone: testZone, Address: "10.0.0." + id, VM: "vm-" + id}
-	c.list(true, id)
+	c.setListed(true, id)
 	all := append([]Option{Call(func(ctx context.Context, to string, b *Heartbeat) (*HeartbeatReply, error) {
-		return c.carry(ctx, n, to[len("10.0.0."):], b)
+		return c.deliver(ctx, n, to[len("10.0.0."):], b)
 	}), ListedVMs(c.listed)}, append(c.opts, opts...)...)
-	n.Group = New(n.through(c.svc.Client(&n.faults)), self, all...)
+	n.Group = New(n.wrapStore(c.svc.Client(&n.faults)), self, all...)
 	c.mu.Lock()
 	c.nodes[id] = n
 	c.mu.Unlock()
@@ -88,54 +88,54 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]bool{}
-	for vm, there := range c.vms {
-		out[vm] = there
+	for vm, shown := range c.listedVMs {
+		out[vm] = shown
 	}
 	return out, true
 }
 
-func (c *cell) carry(ctx context.Context, from *node, to string, b *Heartbeat) (*HeartbeatReply, error) {
-	from.awake(context.Background())
+func (c *cell) deliver(ctx context.Context, from *node, to string, b *Heartbeat) (*HeartbeatReply, error) {
+	from.waitThawed(context.Background())
 	c.mu.Lock()
-	n, there, back := c.nodes[to], !c.cut[[2]string{from.self.ID, to}], !c.cut[[2]string{to, from.self.ID}]
-	lie, lag := c.lie, c.lag
+	n, canSend, canReply := c.nodes[to], !c.blocked[[2]string{from.self.ID, to}], !c.blocked[[2]string{to, from.self.ID}]
+	fake, delay := c.fakePromises, c.replyDelay
 	c.mu.Unlock()
-	if n == nil || n.isDead() || !there {
+	if n == nil || n.isDead() || !canSend {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	time.Sleep(time.Millisecond)
-	n.awake(ctx)
+	n.waitThawed(ctx)
 	sent := *b
-	if lie {
+	if fake {
 		sent.Ask = 0
 	}
 	if ctx.Err() != nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	r, err := n.HandleHeartbeat(ctx, &sent)
-	time.Sleep(time.Millisecond + lag)
-	if !back || n.isDead() || ctx.Err() != nil {
+	time.Sleep(time.Millisecond + delay)
+	if !canReply || n.isDead() || ctx.Err() != nil {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errUnreachable
 	}
-	from.awake(context.Background())
-	if err == nil && lie && b.Ask > 0 {
+	from.waitThawed(context.Background())
+	if err == nil && fake && b.Ask > 0 {
 		r.Promised = true
 	}
 	return r, err
 }
 
-// list shows or drops processes' VMs in the VM list.
-func (c *cell) list(shown bool, ids ...string) {
+// setListed shows or hides the VMs of processes in the VM list.
+func (c *cell) setListed(shown bool, ids ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		c.vms["vm-"+id] = shown
+		c.listedVMs["vm-"+id] = shown
 	}
 }
 
-// cutFromStore cuts processes off from the store until they go on by promises.
+// cutFromStore disconnects processes from the store and waits until they act by promises.
 func (c *cell) cutFromStore(ids ...string) {
 	for _, id := range ids {
 		c.nodes[id].faults.Cut(true)
@@ -143,19 +143,19 @@
 	time.Sleep(10 * time.Second)
 }
 
-// cutWay cuts or heals the way from one process to another, partition both ways.
-func (c *cell) cutWay(from, to string, on bool) {
+// setBlocked blocks or restores the network from one process to another; partition does so in both directions.
+func (c *cell) setBlocked(from, to string, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut[[2]string{from, to}] = on
+	c.blocked[[2]string{from, to}] = on
 }
 
 func (c *cell) partition(a, b string, on bool) {
-	c.cutWay(a, b, on)
-	c.cutWay(b, a, on)
+	c.setBlocked(a, b, on)
+	c.setBlocked(b, a, on)
 }
 
-// kill ends a process at once: nothing of it reaches anything any more.
+// kill ends a process at once; it sends and receives nothing from then on.
 func (c *cell) kill(id string) {
 	n := c.nodes[id]
 	n.mu.Lock()
@@ -166,10 +166,10 @@
 	n.Stop()
 }
 
-func (c *cell) slow(lag time.Duration) {
+func (c *cell) setReplyDelay(delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lag = lag
+	c.replyDelay = delay
 }
 
 func (n *node) isDead() bool {
@@ -178,117 +178,117 @@
 	return n.dead
 }
 
-// freeze holds back all that goes out of the process and comes in.
+// freeze blocks everything that the process sends and receives.
 func (n *node) freeze(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch {
-	case on && n.thaw == nil:
-		n.thaw = make(chan struct{})
-	case !on && n.thaw != nil:
-		close(n.thaw)
-		n.thaw = nil
+	case on && n.thawed == nil:
+		n.thawed = make(chan struct{})
+	case !on && n.thawed != nil:
+		close(n.thawed)
+		n.thawed = nil
 	}
 }
 
-// awake waits while the process is frozen; a frozen callee's caller may give up.
-func (n *node) awake(ctx context.Context) {
+// waitThawed waits while the process is frozen; the caller of a frozen process may give up.
+func (n *node) waitThawed(ctx context.Context) {
 	n.mu.Lock()
-	thaw := n.thaw
+	thawed := n.thawed
 	n.mu.Unlock()
-	if thaw != nil {
+	if thawed != nil {
 		select {
-		case <-thaw:
+		case <-thawed:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// hold sets what runs once, before a transaction that removes a member, and gives what was set.
-func (n *node) hold(f func()) func() {
+// setBeforeRemoval sets a function to run once before a transaction that removes a member, and returns the previous one.
+func (n *node) setBeforeRemoval(f func()) func() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	was := n.before
-	n.before = f
-	return was
+	previous := n.beforeRemoval
+	n.beforeRemoval = f
+	return previous
 }
 
 func (n *node) frozen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.thaw != nil
+	return n.thawed != nil
 }
 
-// through makes a frozen process's store calls wait on both ways.
-func (n *node) through(s *store.Store) *store.Store {
+// wrapStore returns a store whose calls wait while the process is frozen, both before and after the call.
+func (n *node) wrapStore(s *store.Store) *store.Store {
 	out := *s
 	out.Range = func(ctx context.Context, r store.Range) (store.RangeResult, error) {
-		n.awake(context.Background())
-		defer n.awake(context.Background())
+		n.waitThawed(context.Background())
+		defer n.waitThawed(context.Background())
 		return s.Range(ctx, r)
 	}
 	out.Txn = func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-		n.awake(context.Background())
-		defer n.awake(context.Background())
+		n.waitThawed(context.Background())
+		defer n.waitThawed(context.Background())
 		if len(t.Compares) > 2 {
-			n.hold(func() {})()
+			n.setBeforeRemoval(func() {})()
 		}
 		return s.Txn(ctx, t)
 	}
 	out.KeepAlive = func(ctx context.Context, id int64) (time.Duration, error) {
-		n.awake(context.Background())
-		defer n.awake(context.Background())
+		n.waitThawed(context.Background())
+		defer n.waitThawed(context.Background())
 		return s.KeepAlive(ctx, id)
 	}
 	return &out
 }
 
-func (n *node) owns() bool {
+func (n *node) isOwner() bool {
 	_, _, ok := n.Owns()
 	return ok
 }
 
-// until waits in virtual time for something to become true, and gives how long that took.
-func (c *cell) until(most time.Duration, what func() bool) time.Duration {
-	from := time.Now()
-	for !what() {
-		if time.Since(from) > most {
+// waitUntil waits in virtual time until a condition is true, and returns how long that took.
+func (c *cell) waitUntil(timeout time.Duration, condition func() bool) time.Duration {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout {
 			c.Fail()
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
-// always looks every few milliseconds, for a time, that something stays true.
-func (c *cell) always(d time.Duration, what func() bool) {
+// checkFor checks every few milliseconds for a period that a condition stays true.
+func (c *cell) checkFor(d time.Duration, condition func() bool) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		c.True(what())
+		c.True(condition())
 	}
 }
 
-// owners counts the processes that would act as owner now; a frozen one cannot act.
-func (c *cell) owners() int {
+// ownerCount counts the processes that would act as owner now; a frozen one cannot act.
+func (c *cell) ownerCount() int {
 	count := 0
 	for _, n := range c.nodes {
-		if !n.frozen() && !n.isDead() && n.owns() {
+		if !n.frozen() && !n.isDead() && n.isOwner() {
 			count++
 		}
 	}
 	return count
 }
 
-// settle starts processes and waits until all are ready and know it.
-func (c *cell) settle(ids ...string) {
+// startAll starts processes and waits until all are ready and know it.
+func (c *cell) startAll(ids ...string) {
 	for _, id := range ids {
 		c.start(id)
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.until(20*time.Second, func() bool { return c.ready(len(ids)) })
+	c.waitUntil(20*time.Second, func() bool { return c.allReady(len(ids)) })
 	time.Sleep(2 * time.Second)
 }
 
-func (c *cell) ready(count int) bool {
+func (c *cell) allReady(count int) bool {
 	for _, n := range c.nodes {
 		if n.isDead() {
 			continue
@@ -306,7 +306,7 @@
 	return true
 }
 
-// epochKey gives the revision of the zone's epoch key, which the journal's commits compare.
+// epochKey returns the revision of the zone's epoch key, which the journal's commits compare.
 func (c *cell) epochKey() int64 {
 	got, err := c.svc.Store().Range(context.Background(), store.Range{Key: EpochKey(testZone)})
 	c.NoErr(err)
--- a/member/doc.go
+++ b/member/doc.go
@@ -1,6 +1,6 @@
-// Package member keeps the tables of members of each availability zone and role, and decides who owns a zone.
+// Package member maintains the membership table of each availability zone and role, and elects the owner of a zone.
 //
-// A table changes only by compare-and-swap in the store. A member is removed, and a zone taken
-// over, only by a transaction that also compares that the member's lease-bound key is absent.
-// While the store cannot be reached a member goes on by the promises of all others not to do that.
+// A table changes only by compare-and-swap in the store. A member is removed, or its zone taken over, only by a
+// transaction that also requires the member's lease-bound presence key to be missing. While the store is unreachable,
+// a member may act as long as all its peers have promised not to remove it.
 package member
--- a/member/leave.go
+++ b/member/leave.go
@@ -12,14 +12,13 @@
 	"turmericgap/store/retry"
 )
 
-// Leave is the planned stop: the member owns nothing from now on, hands the zone to a peer by one
-// transaction, takes itself out of the table, revokes its lease and ends. On an error the lease
-// lapses by itself.
+// Leave performs a planned stop: the member gives up ownership, hands the zone to a peer in one transaction, removes
+// itself from the table, revokes its lease and ends. On an error the lease expires by itself.
 func (g *Group) Leave(ctx context.Context, handOver bool) error {
 	g.mu.Lock()
 	g.leaving = true
 	g.mu.Unlock()
-	defer g.Stop() // It revokes the lease too.
+	defer g.Stop() // Also revokes the lease.
 	if !g.lockTable(ctx) {
 		return ctx.Err()
 	}
@@ -31,7 +30,7 @@
 			return nil
 		}
 		if err != nil {
-			g.log.Warn("member: not left yet", zap.Error(err))
+			g.log.Warn("member: failed to leave the member table; retrying", zap.Error(err))
 			if b.Wait(ctx) != nil {
 				return eris.Wrap(err, "leave member table")
 			}
@@ -39,70 +38,70 @@
 	}
 }
 
-// leaveStep makes one change towards the end; a lost answer shows in the next step's reading.
+// leaveStep makes one change to the table. If the answer is lost, the next step reads the outcome from the store.
 func (g *Group) leaveStep(ctx context.Context, handOver bool) (out bool, err error) {
-	r, err := g.read(ctx)
+	r, err := g.readStore(ctx)
 	if err != nil {
 		return false, err
 	}
-	g.settle(r, g.boundLease())
-	if !r.table.holds(g.self) {
-		g.announce(ctx, r.table) // The answer to the last change was lost.
+	g.applyStoreState(r, g.currentPresenceLease())
+	if !r.table.contains(g.self) {
+		g.broadcastTable(ctx, r.table) // The last change was applied, but its answer was lost.
 		return true, nil
 	}
-	s := g.scene(r, g.boundLease())
-	c := change{table: r.table.clone(), write: true}
+	s := g.newPlanInput(r, g.currentPresenceLease())
+	c := change{table: r.table.clone(), writeTable: true}
 	var t store.Txn
-	if to := g.heir(r); handOver && r.table.Owner == g.self.ID && to != "" {
-		c.table.own(to)
+	if to := g.successor(r); handOver && r.table.Owner == g.self.ID && to != "" {
+		c.table.setOwner(to)
 		c.table.Members[c.table.index(g.self.ID)].State = Leaving
-		c.epoch = true
+		c.writeEpoch = true
 		t = s.txn(&c)
 	} else {
 		c.table.remove(g.self.ID)
 		t = s.txn(&c)
-		t.Then = append(t.Then, store.Op{Delete: true, Key: presentPrefix(g.self.Zone, g.self.Role) + g.self.ID})
+		t.Then = append(t.Then, store.Op{Delete: true, Key: presencePrefix(g.self.Zone, g.self.Role) + g.self.ID})
 	}
 	res, err := g.txn(ctx, t)
 	if err != nil || !res.Succeeded {
 		return false, err
 	}
-	g.announce(ctx, c.done(res.Revision))
-	return !c.epoch, nil
+	g.broadcastTable(ctx, c.resultTable(res.Revision))
+	return !c.writeEpoch, nil
 }
 
-func (g *Group) heir(r reading) string {
+func (g *Group) successor(r storeState) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	return heir(&r.table, r.keys, func(id string) bool {
+	return pickSuccessor(&r.table, r.presences, func(id string) bool {
 		p := g.peers[id]
-		return p != nil && now.Sub(p.heard) <= suspectBeats*g.opts.HeartbeatInterval
+		return p != nil && now.Sub(p.lastHeard) <= suspectHeartbeats*g.opts.HeartbeatInterval
 	})
 }
 
-// announce tells the peers the new table at once, so that the heir need not wait for its watch.
-func (g *Group) announce(ctx context.Context, t Table) {
+// broadcastTable sends the new table to all peers, so that the successor does not have to wait for its watch.
+func (g *Group) broadcastTable(ctx context.Context, t Table) {
 	ctx, cancel := context.WithTimeout(ctx, g.opts.HeartbeatInterval)
 	defer cancel()
 	g.mu.Lock()
-	g.adopt(t)
+	g.adoptTable(t)
 	peers := make([]Member, 0, len(g.peers))
 	for _, p := range g.peers {
 		peers = append(peers, p.member)
 	}
 	b := &Heartbeat{From: g.self, Version: t.Version, Table: &t, Rules: g.opts.Rules()}
 	g.mu.Unlock()
-	var told sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, m := range peers {
-		// The watch tells a peer that this misses.
-		told.Go(func() { _, _ = g.opts.Call(ctx, m.Address, b) })
+		// A peer that does not get this heartbeat gets the table from its watch.
+		calls.Go(func() { _, _ = g.opts.Call(ctx, m.Address, b) })
 	}
-	told.Wait()
+	calls.Wait()
 }
 
-func (g *Group) boundLease() int64 {
+func (g *Group) currentPresenceLease() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.keyLease
+	return g.presenceLease
 }
--- a/member/meters.go
+++ b/member/metrics.go
@@ -8,15 +8,15 @@
 	"turmericgap/metric"
 )
 
-// meters are what the metrics page shows of the membership.
-type meters struct {
+// groupMetrics holds the metrics of the membership.
+type groupMetrics struct {
 	valid, byPromises, owns, epoch, leaseMillis, members, suspect, absent metrics.Gauge
 
 	promised, refused, removed metrics.Counter
 }
 
-func newMeters(r *metric.Registry) meters {
-	return meters{
+func newGroupMetrics(r *metric.Registry) groupMetrics {
+	return groupMetrics{
 		valid: r.Gauge("member_valid"), byPromises: r.Gauge("member_byPromises"), owns: r.Gauge("member_owns"),
 		epoch: r.Gauge("member_epoch"), leaseMillis: r.Gauge("member_leaseMillis"),
 		members: r.Gauge("member_members"), suspect: r.Gauge("member_suspect"), absent: r.Gauge("member_keyAbsent"),
@@ -25,20 +25,20 @@
 	}
 }
 
-// measure sets the gauges to how things stand now.
-func (g *Group) measure() {
+// updateMetrics sets the gauges to the current state.
+func (g *Group) updateMetrics() {
 	_, _, owns := g.Owns()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now, m := time.Now(), &g.meters
+	now, m := time.Now(), &g.metrics
 	var suspect, absent int64
 	for _, p := range g.peers {
-		suspect += oneIf(p.suspect)
-		absent += oneIf(!p.absent.IsZero())
+		suspect += boolToInt(p.suspect)
+		absent += boolToInt(!p.keyMissingSince.IsZero())
 	}
-	m.valid.Update(oneIf(g.valid(now)))
-	m.byPromises.Update(oneIf(g.basis(now) == ByPromises))
-	m.owns.Update(oneIf(owns))
+	m.valid.Update(boolToInt(g.valid(now)))
+	m.byPromises.Update(boolToInt(g.basis(now) == ByPromises))
+	m.owns.Update(boolToInt(owns))
 	m.epoch.Update(g.table.Epoch)
 	m.leaseMillis.Update(g.leaseLeft(now).Milliseconds())
 	m.members.Update(int64(len(g.table.Members)))
@@ -46,7 +46,7 @@
 	m.absent.Update(absent)
 }
 
-func oneIf(on bool) int64 {
+func boolToInt(on bool) int64 {
 	if on {
 		return 1
 	}
--- a/member/options.go
+++ b/member/options.go
@@ -9,29 +9,29 @@
 	"turmericgap/metric"
 )
 
-// Options set up a Group; its functions must not call the Group, but for OnChange.
+// Options configures a Group. Its functions must not call the Group, except for OnChange.
 type Options struct {
-	// TTL is the lease's length.
+	// TTL is the duration of the lease.
 	TTL time.Duration
-	// ClockDrift is taken off the lease for clocks that run at different rates.
+	// ClockDrift is subtracted from the lease to allow for clocks that run at different rates.
 	ClockDrift time.Duration
-	// HeartbeatInterval is the interval of heartbeats.
+	// HeartbeatInterval is the time between heartbeats.
 	HeartbeatInterval time.Duration
-	// PromiseDuration is how long a promise holds on the asker's clock.
+	// PromiseDuration is how long a promise holds, on the clock of the member that asked for it.
 	PromiseDuration time.Duration
-	// PollInterval is the longest time between two looks at the store.
+	// PollInterval is the longest time between two reads of the store.
 	PollInterval time.Duration
-	// ElectsOwner says that the table has an owner.
+	// ElectsOwner reports whether the table has an owner.
 	ElectsOwner bool
-	// Call sends a heartbeat to a peer; the default is rpc "member.beat".
+	// Call sends a heartbeat to a peer; the default is the rpc method "member.beat".
 	Call func(ctx context.Context, address string, b *Heartbeat) (*HeartbeatReply, error)
-	// ListedVMs gives the VMs of the VM list by their Member.VM; known is false before the first list.
+	// ListedVMs returns the VM list, keyed by Member.VM; known is false until a list has been read.
 	ListedVMs func() (vms map[string]bool, known bool)
-	// ListLag is how late the VM list may be.
+	// ListLag is how far the VM list may be out of date.
 	ListLag time.Duration
-	// Rules gives the version of the rules that this process has in force.
+	// Rules returns the version of the rules that this process has in force.
 	Rules func() int64
-	// OnNewerRules is told of a peer that has newer rules.
+	// OnNewerRules is called when a peer has newer rules.
 	OnNewerRules func(from Member, version int64)
 	OnChange     func(Table)
 	Logger       *zap.Logger
@@ -41,49 +41,49 @@
 // Option changes Options.
 type Option func(*Options)
 
-// TTL sets the lease's length; the drift allowance becomes a twentieth of it.
+// TTL sets the duration of the lease and sets the drift allowance to a twentieth of it.
 func TTL(d time.Duration) Option {
-	return func(o *Options) { o.TTL, o.ClockDrift = d, d/driftShare }
+	return func(o *Options) { o.TTL, o.ClockDrift = d, d/driftDivisor }
 }
 
-// ClockDrift sets the drift allowance; give it after TTL.
+// ClockDrift sets the drift allowance; it must follow TTL.
 func ClockDrift(d time.Duration) Option { return func(o *Options) { o.ClockDrift = d } }
 
 // HeartbeatInterval sets the time between heartbeats.
 func HeartbeatInterval(d time.Duration) Option { return func(o *Options) { o.HeartbeatInterval = d } }
 
-// PromiseDuration sets how long a promise holds, at most half of the lease.
+// PromiseDuration sets how long a promise holds; the maximum is half of the lease.
 func PromiseDuration(d time.Duration) Option { return func(o *Options) { o.PromiseDuration = d } }
 
-// PollInterval sets the longest time between two looks at the store.
+// PollInterval sets the longest time between two reads of the store.
 func PollInterval(d time.Duration) Option { return func(o *Options) { o.PollInterval = d } }
 
-// ElectsOwner says whether the table has an owner; the default is true for schedulers alone.
+// ElectsOwner sets whether the table has an owner; by default only the schedulers' table has one.
 func ElectsOwner(yes bool) Option { return func(o *Options) { o.ElectsOwner = yes } }
 
-// Call sets how heartbeats are sent.
+// Call sets the function that sends heartbeats.
 func Call(f func(ctx context.Context, address string, b *Heartbeat) (*HeartbeatReply, error)) Option {
 	return func(o *Options) { o.Call = f }
 }
 
-// ListedVMs sets where the VM list is read.
+// ListedVMs sets the function that returns the VM list.
 func ListedVMs(f func() (vms map[string]bool, known bool)) Option {
 	return func(o *Options) { o.ListedVMs = f }
 }
 
-// ListLag sets how late the VM list may be: a VM that it does not show counts as ended only after it.
+// ListLag sets how far the VM list may be out of date: a VM missing from it counts as ended only after this time.
 func ListLag(d time.Duration) Option { return func(o *Options) { o.ListLag = d } }
 
-// Rules sets how rule versions are told to and learnt from peers.
+// Rules sets how rule versions are announced to peers and learnt from them.
 func Rules(version func() int64, newer func(from Member, version int64)) Option {
 	return func(o *Options) { o.Rules, o.OnNewerRules = version, newer }
 }
 
-// OnChange is told the newest table after each change, from one goroutine.
+// OnChange sets a function that gets the newest table after each change, always from the same goroutine.
 func OnChange(f func(Table)) Option { return func(o *Options) { o.OnChange = f } }
 
-// Logger sets the log.
+// Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(o *Options) { o.Logger = l } }
 
-// Metrics sets where the membership's metrics go.
+// Metrics sets the registry for the metrics of the membership.
 func Metrics(r *metric.Registry) Option { return func(o *Options) { o.Metrics = r } }
--- a/member/owners_test.go
+++ b/member/owners_test.go
@@ -16,18 +16,18 @@
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// act is one fault, or its end, of a schedule; the time is what passes after it.
-type act struct {
-	Verb int
-	A, B int
-	Time time.Duration
+// faultStep starts or ends one fault of a schedule, then waits for Duration.
+type faultStep struct {
+	Action   int
+	A, B     int
+	Duration time.Duration
 }
 
-var verbs = []func(c *cell, a, b string){
+var faultActions = []func(c *cell, a, b string){
 	func(c *cell, a, _ string) { c.nodes[a].faults.Cut(true) },
 	func(c *cell, a, _ string) { c.nodes[a].faults.Cut(false) },
-	func(c *cell, _, _ string) { c.each(func(n *node) { n.faults.Cut(true) }) },
-	func(c *cell, _, _ string) { c.each(func(n *node) { n.faults.Cut(false) }) },
+	func(c *cell, _, _ string) { c.eachNode(func(n *node) { n.faults.Cut(true) }) },
+	func(c *cell, _, _ string) { c.eachNode(func(n *node) { n.faults.Cut(false) }) },
 	func(c *cell, a, b string) { c.partition(a, b, a != b) },
 	func(c *cell, a, b string) { c.partition(a, b, false) },
 	func(c *cell, a, _ string) { c.nodes[a].freeze(true) },
@@ -35,18 +35,18 @@
 	func(c *cell, a, b string) { c.nodes[a].faults.LoseNext(len(b) + 1) },
 	func(c *cell, a, _ string) { c.nodes[a].faults.Delay(1500 * time.Millisecond) },
 	func(c *cell, a, _ string) { c.nodes[a].faults.Delay(0) },
-	func(c *cell, _, _ string) { c.slow(time.Second) },
-	func(c *cell, _, _ string) { c.slow(0) },
+	func(c *cell, _, _ string) { c.setReplyDelay(time.Second) },
+	func(c *cell, _, _ string) { c.setReplyDelay(0) },
 	func(c *cell, a, _ string) { c.kill(a) },
 	func(c *cell, a, _ string) { c.kill(a); c.start(a) },
-	func(c *cell, a, _ string) { c.kill(a); c.list(false, a) },
+	func(c *cell, a, _ string) { c.kill(a); c.setListed(false, a) },
 	func(c *cell, a, _ string) {
 		if c.partition(a, "4", true); c.nodes["4"] == nil {
 			c.start("4")
 		}
 	},
-	func(c *cell, a, _ string) { c.list(false, a) },
-	func(c *cell, a, _ string) { c.list(true, a) },
+	func(c *cell, a, _ string) { c.setListed(false, a) },
+	func(c *cell, a, _ string) { c.setListed(true, a) },
 	func(c *cell, a, _ string) {
 		n := c.nodes[a]
 		c.wg.Go(func() {
@@ -57,27 +57,27 @@
 	},
 }
 
-func (c *cell) each(f func(n *node)) {
+func (c *cell) eachNode(f func(n *node)) {
 	for _, n := range c.nodes {
 		f(n)
 	}
 }
 
-// play runs a schedule and gives the first moment at which two processes would act as owner, or
-// two owned under one epoch.
-func play(t *testing.T, acts []act, plant func(c *cell)) (violation string) {
+// runSchedule runs a schedule and returns the first violation: two processes that would act as owner at the same time,
+// or that own the zone under the same epoch.
+func runSchedule(t *testing.T, steps []faultStep, inject func(c *cell)) (violation string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t)
-		defer c.end()
-		plant(c)
-		c.settle("1", "2", "3")
+		defer c.close()
+		inject(c)
+		c.startAll("1", "2", "3")
 		epochs := map[int64]*node{}
-		for i, a := range acts {
+		for i, a := range steps {
 			from, to := fmt.Sprint(1+a.A), fmt.Sprint(1+a.B)
-			verbs[a.Verb](c, from, to)
-			for end := time.Now().Add(a.Time); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+			faultActions[a.Action](c, from, to)
+			for end := time.Now().Add(a.Duration); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 				if violation = c.violation(epochs); violation != "" {
-					violation += fmt.Sprintf(" after act %d", i)
+					violation += fmt.Sprintf(" after step %d", i)
 					return
 				}
 			}
@@ -105,42 +105,43 @@
 	return ""
 }
 
-func schedules() *rapid.Generator[[]act] {
-	one := rapid.Custom(func(t *rapid.T) act {
-		return act{
-			Verb: rapid.IntRange(0, len(verbs)-1).Draw(t, "verb"),
-			A:    rapid.IntRange(0, 2).Draw(t, "a"), B: rapid.IntRange(0, 3).Draw(t, "b"),
-			Time: time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds")) * time.Second,
+func schedules() *rapid.Generator[[]faultStep] {
+	step := rapid.Custom(func(t *rapid.T) faultStep {
+		return faultStep{
+			Action: rapid.IntRange(0, len(faultActions)-1).Draw(t, "verb"),
+			A:      rapid.IntRange(0, 2).Draw(t, "a"), B: rapid.IntRange(0, 3).Draw(t, "b"),
+			Duration: time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds")) * time.Second,
 		}
 	})
-	return rapid.SliceOfN(one, 5, 25)
+	return rapid.SliceOfN(step, 5, 25)
 }
 
-// Two processes would start work on the same workers.
-// Cuts, freezes, kills, restarts, delays, lost answers and planned stops come in any order.
+// Two owners would start work on the same workers.
+// Store outages, network partitions, frozen, killed and restarted processes, delays, lost answers and planned stops
+// occur in any order.
 func TestOneOwner(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		acts := schedules().Draw(rt, "acts")
-		if v := play(t, acts, func(*cell) {}); v != "" {
+		steps := schedules().Draw(rt, "steps")
+		if v := runSchedule(t, steps, func(*cell) {}); v != "" {
 			rt.Fatal(v)
 		}
 	})
 }
 
-// The property must be able to fail: it finds each planted fault.
+// The property test must be able to fail: it finds each injected fault.
 func TestOneOwnerFindsPlanted(t *testing.T) {
-	plants := map[string]func(c *cell){
-		"promises that nobody keeps":    func(c *cell) { c.lie = true },
-		"lease counted from the answer": func(c *cell) { c.opts = []Option{ClockDrift(-3 * time.Second)} },
+	faults := map[string]func(c *cell){
+		"promises that were never given": func(c *cell) { c.fakePromises = true },
+		"lease counted from the answer":  func(c *cell) { c.opts = []Option{ClockDrift(-3 * time.Second)} },
 	}
-	for name, plant := range plants {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range 300 {
-				if play(t, schedules().Example(seed), plant) != "" {
+				if runSchedule(t, schedules().Example(seed), inject) != "" {
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatal("no schedule found the injected fault")
 		})
 	}
 }
--- a/member/page.go
+++ b/member/status.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// Basis names what lets a member act.
+// Basis is what entitles a member to act.
 type Basis string
 
-// The bases.
+// Values of Basis.
 const (
 	ByLease    Basis = "lease"
 	ByPromises Basis = "promises"
 	ByNothing  Basis = "none"
 )
 
-// Health is what the failure detection says of a peer; it informs and proves nothing.
+// Health is the failure detector's view of a peer. It is informative only and proves nothing.
 type Health string
 
-// The healths of a peer.
+// Values of Health.
 const (
 	Alive       Health = "alive"
 	Suspect     Health = "suspect"
 	Unreachable Health = "unreachable"
 )
 
-const unreachableBeats = 20
+const unreachableHeartbeats = 20
 
-// PeerStatus is another member as the page shows it; times are in milliseconds.
+// PeerStatus is the status of another member; times are in milliseconds.
 type PeerStatus struct {
 	Member Member `json:"member"`
 	Health Health `json:"health"`
-	// LastHeardMillis is the time since its last heartbeat.
+	// LastHeardMillis is the time since the peer's last heartbeat.
 	LastHeardMillis int64 `json:"heardMillis"`
 	Confirmed       int64 `json:"confirmed"`
 	Rules           int64 `json:"rules"`
-	// PromiseReceivedMillis is what is left of its promise to this process, GivenMillis of the one to it.
+	// PromiseReceivedMillis is the time left of the peer's promise to this process, and PromiseGivenMillis of this
+	// process's promise to the peer.
 	PromiseReceivedMillis int64 `json:"promisedMillis"`
 	PromiseGivenMillis    int64 `json:"givenMillis"`
-	// KeyAbsent says that its lease-bound key was last seen to be absent.
+	// KeyAbsent reports whether the peer's presence key was missing when last read.
 	KeyAbsent bool `json:"keyAbsent"`
 }
 
-// Status is the operators' page of this process's membership.
+// Status is the status of this process's membership, as shown to operators.
 type Status struct {
 	Self          Member       `json:"self"`
 	Version       int64        `json:"version"`
@@ -57,7 +58,7 @@
 	Peers         []PeerStatus `json:"others"`
 }
 
-// Status gives the operators' page.
+// Status returns the current status of the membership.
 func (g *Group) Status() Status {
 	_, _, owns := g.Owns()
 	g.mu.Lock()
@@ -68,11 +69,11 @@
 		Owner: g.table.Owner, IsOwner: owns, Valid: g.valid(now), Basis: g.basis(now),
 		LeaseMillis: g.leaseLeft(now).Milliseconds(), Peers: []PeerStatus{},
 	}
-	for _, o := range g.peers {
+	for _, peer := range g.peers {
 		p.Peers = append(p.Peers, PeerStatus{
-			Member: o.member, Health: g.health(o, now), LastHeardMillis: now.Sub(o.heard).Milliseconds(),
-			Confirmed: o.confirmed, Rules: o.rules, PromiseReceivedMillis: left(o.promised, now),
-			PromiseGivenMillis: left(o.given, now), KeyAbsent: !o.absent.IsZero(),
+			Member: peer.member, Health: g.health(peer, now), LastHeardMillis: now.Sub(peer.lastHeard).Milliseconds(),
+			Confirmed: peer.confirmedVersion, Rules: peer.rulesVersion, PromiseReceivedMillis: millisUntil(peer.promisedUntil, now),
+			PromiseGivenMillis: millisUntil(peer.promiseGivenUntil, now), KeyAbsent: !peer.keyMissingSince.IsZero(),
 		})
 	}
 	slices.SortFunc(p.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Member.ID, b.Member.ID) })
@@ -83,7 +84,7 @@
 	switch {
 	case !g.valid(now):
 		return ByNothing
-	case g.leased():
+	case g.holdsLease():
 		return ByLease
 	default:
 		return ByPromises
@@ -91,14 +92,14 @@
 }
 
 func (g *Group) health(p *peer, now time.Time) Health {
-	switch silent := now.Sub(p.heard); {
-	case silent > unreachableBeats*g.opts.HeartbeatInterval:
+	switch silent := now.Sub(p.lastHeard); {
+	case silent > unreachableHeartbeats*g.opts.HeartbeatInterval:
 		return Unreachable
-	case silent > suspectBeats*g.opts.HeartbeatInterval:
+	case silent > suspectHeartbeats*g.opts.HeartbeatInterval:
 		return Suspect
 	default:
 		return Alive
 	}
 }
 
-func left(until, now time.Time) int64 { return max(0, until.Sub(now).Milliseconds()) }
+func millisUntil(until, now time.Time) int64 { return max(0, until.Sub(now).Milliseconds()) }
--- a/member/table.go
+++ b/member/table.go
@@ -10,7 +10,7 @@
 	"turmericgap/store"
 )
 
-// Keys of the store.
+// Prefixes of the keys in the store.
 const (
 	CellPrefix     = "turmericgap/cell/"
 	TablePrefix    = CellPrefix + "table/"
@@ -24,18 +24,18 @@
 	RoleGate      = "gate"
 )
 
-// MaxMembers bounds a table, so that it stays far below the largest value of the store.
+// MaxMembers bounds a table, so that it stays far below the largest value that the store accepts.
 const MaxMembers = 256
 
-// State is where a member stands in its life.
+// State is the lifecycle state of a member.
 type State string
 
-// The states of a member.
+// Values of State.
 const (
-	// Joining says that not all others have yet confirmed a table that holds the member.
+	// Joining means that some peers have not yet confirmed a table that holds the member.
 	Joining State = "joining"
 	Ready   State = "ready"
-	// Leaving says that the member has begun its planned stop.
+	// Leaving means that the member has begun a planned stop.
 	Leaving State = "leaving"
 	Gone    State = "gone"
 )
@@ -45,31 +45,31 @@
 	ID   string `json:"id"`
 	Role string `json:"role"`
 	Zone string `json:"zone"`
-	// Address is where the process serves rpc, an IP number and port.
+	// Address is the IP address and port on which the process serves rpc.
 	Address string `json:"address"`
-	// Incarnation tells a process from the one that had its ID before.
+	// Incarnation distinguishes a process from earlier ones with the same ID.
 	Incarnation int64  `json:"incarnation"`
 	State       State  `json:"state"`
 	VM          string `json:"vm"`
 }
 
-func (m Member) same(o Member) bool { return m.ID == o.ID && m.Incarnation == o.Incarnation }
+func (m Member) sameProcess(o Member) bool { return m.ID == o.ID && m.Incarnation == o.Incarnation }
 
 // Table is the agreed membership of one zone and role.
 type Table struct {
 	Zone string `json:"zone"`
 	Role string `json:"role"`
-	// Version is the store's revision of the last change; it only grows.
+	// Version is the store revision of the last change; it never decreases.
 	Version int64 `json:"-"`
-	// Epoch grows with each owner.
+	// Epoch increases with each new owner.
 	Epoch int64 `json:"epoch"`
-	// EpochRevision is the revision at which the owner's epoch was written to the journal's key.
+	// EpochRevision is the revision at which the owner's epoch was written to the journal's epoch key.
 	EpochRevision int64    `json:"epochRevision"`
 	Owner         string   `json:"owner"`
 	Members       []Member `json:"members"`
 }
 
-// Find gives the member with an ID.
+// Find returns the member with the given ID.
 func (t *Table) Find(id string) (Member, bool) {
 	if i := t.index(id); i >= 0 {
 		return t.Members[i], true
@@ -81,9 +81,9 @@
 	return slices.IndexFunc(t.Members, func(m Member) bool { return m.ID == id })
 }
 
-func (t *Table) holds(m Member) bool {
+func (t *Table) contains(m Member) bool {
 	found, ok := t.Find(m.ID)
-	return ok && found.same(m)
+	return ok && found.sameProcess(m)
 }
 
 func (t Table) clone() Table {
@@ -91,8 +91,8 @@
 	return t
 }
 
-// put adds a member, or replaces the one that has its ID.
-func (t *Table) put(m Member) {
+// upsert adds a member, or replaces the one with the same ID.
+func (t *Table) upsert(m Member) {
 	if i := t.index(m.ID); i >= 0 {
 		t.Members[i] = m
 		return
@@ -101,7 +101,7 @@
 	slices.SortFunc(t.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// remove takes a member out, and its ownership with it.
+// remove removes a member, and its ownership of the zone if it has it.
 func (t *Table) remove(id string) {
 	t.Members = slices.DeleteFunc(t.Members, func(m Member) bool { return m.ID == id })
 	if t.Owner == id {
@@ -109,25 +109,25 @@
 	}
 }
 
-// own makes a member the owner under a new epoch, whose revision is that of this very change.
-func (t *Table) own(id string) {
+// setOwner makes a member the owner under a new epoch, whose revision will be that of this change.
+func (t *Table) setOwner(id string) {
 	t.Owner = id
 	t.Epoch++
 	t.EpochRevision = 0
 }
 
-// TableKey gives the store's key of a table.
+// TableKey returns the store key of a table.
 func TableKey(zone, role string) string { return TablePrefix + zone + "/" + role }
 
-// EpochKey gives the store's key of a zone's epoch, which the journal's commits compare.
+// EpochKey returns the store key of a zone's epoch, which the journal's commits compare.
 func EpochKey(zone string) string { return journalPrefix + zone + "/epoch" }
 
-// PresenceKey gives the store's key that is bound to a member's lease.
-func PresenceKey(zone, role, id string) string { return presentPrefix(zone, role) + id }
+// PresenceKey returns the store key that is bound to a member's lease.
+func PresenceKey(zone, role, id string) string { return presencePrefix(zone, role) + id }
 
-func presentPrefix(zone, role string) string { return PresencePrefix + zone + "/" + role + "/" }
+func presencePrefix(zone, role string) string { return PresencePrefix + zone + "/" + role + "/" }
 
-// DecodeTable reads a table from the store's pair.
+// DecodeTable decodes a table from its key-value pair in the store.
 func DecodeTable(p store.Pair) (Table, error) {
 	var t Table
 	if err := json.Unmarshal(p.Value, &t); err != nil {
@@ -140,7 +140,7 @@
 	return t, nil
 }
 
-// DecodePresence reads a member from its lease-bound key.
+// DecodePresence decodes a member from its presence key.
 func DecodePresence(p store.Pair) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(p.Value, &m); err != nil {
@@ -149,7 +149,7 @@
 	return m, nil
 }
 
-// encode cannot fail for the plain structs of this package.
+// encode marshals the plain structs of this package, which cannot fail.
 func encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
