--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,5 +1,5 @@
-// Package lease holds one lease of the platform's service and tells whether it may still be trusted.
+// Package lease holds a lease of the platform's store and reports whether the lease may still be trusted.
 //
-// The holder counts the lease from before each renewal was sent, on its own clock and less a drift
-// allowance, so that it always stops trusting the lease before the service ends it.
+// The holder counts each lease from before the renewal was sent, on its own clock and minus a drift allowance, so it
+// always stops trusting the lease before the store ends it.
 package lease
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -5,22 +5,22 @@
 	"net"
 )
 
-// ErrExpired means that nothing was written, as the lease that allows it cannot be trusted any more.
-var ErrExpired = errors.New("lease lapsed before the write")
+// ErrExpired means that nothing was written, because the lease that allows the write can no longer be trusted.
+var ErrExpired = errors.New("lease expired before the write")
 
-// guarded asks before each write.
-type guarded struct {
+// guardedConn checks the lease before each write.
+type guardedConn struct {
 	net.Conn
 	valid func() bool
 }
 
-// Guard returns conn with a Write that fails with ErrLapsed, before its first byte, unless valid.
-// It stands as close to the send as a process can check: a message that waited in a queue, or for a
-// connection, while its process was paused does not leave. A pause after the check is not covered.
-func Guard(conn net.Conn, valid func() bool) net.Conn { return &guarded{conn, valid} }
+// Guard returns conn with a Write that fails with ErrExpired, before its first byte, unless valid returns true.
+// The check is as close to the send as a process can place it: a message that waited in a queue, or for a connection,
+// while its process was paused is not sent. A pause after the check is not covered.
+func Guard(conn net.Conn, valid func() bool) net.Conn { return &guardedConn{conn, valid} }
 
-// Write writes p while the lease is valid.
-func (g *guarded) Write(p []byte) (int, error) {
+// Write writes p if the lease is valid.
+func (g *guardedConn) Write(p []byte) (int, error) {
 	if !g.valid() {
 		return 0, ErrExpired
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,106 +12,106 @@
 	"turmericgap/store/retry"
 )
 
-// Defaults.
+// Default settings.
 const (
 	DefaultTTL = 5 * time.Second
-	// DefaultClockDrift covers a clock that runs a tenth slower than the service's.
+	// DefaultClockDrift covers a clock that runs a tenth slower than the store's.
 	DefaultClockDrift = 500 * time.Millisecond
-	// renewals is how many renewals are sent within one TTL.
-	renewals = 3
+	// renewalsPerTTL is the number of renewals sent within one TTL.
+	renewalsPerTTL = 3
 )
 
 // Holder keeps one lease alive.
 type Holder struct {
-	store *store.Store
-	ttl   time.Duration
-	drift time.Duration
-	renew time.Duration
-	// overlap lets renewals be sent while earlier ones have no answer.
-	overlap bool
-	lost    func(int64)
-	log     *zap.Logger
+	store         *store.Store
+	ttl           time.Duration
+	drift         time.Duration
+	renewInterval time.Duration
+	// overlapRenewals allows a renewal to be sent while earlier ones are unanswered.
+	overlapRenewals bool
+	onLost          func(int64)
+	log             *zap.Logger
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 
 	mu       sync.Mutex
 	id       int64
-	gone     int64 // the last lease that the service said is gone
+	lastLost int64 // the last lease that the store reported as gone
 	deadline time.Time
 	closed   bool
 	changed  chan struct{}
 }
 
-// New returns a holder that asks for its lease at once and then keeps it alive.
+// New returns a holder that requests its lease at once and then keeps it alive.
 func New(s *store.Store, opts ...Option) *Holder {
 	h := &Holder{
-		store: s, ttl: DefaultTTL, drift: DefaultClockDrift, lost: func(int64) {}, log: zap.NewNop(),
-		ended: make(chan struct{}), changed: make(chan struct{}),
+		store: s, ttl: DefaultTTL, drift: DefaultClockDrift, onLost: func(int64) {}, log: zap.NewNop(),
+		done: make(chan struct{}), changed: make(chan struct{}),
 	}
 	for _, o := range opts {
 		o(h)
 	}
-	if h.renew == 0 {
-		h.renew = h.ttl / renewals
+	if h.renewInterval == 0 {
+		h.renewInterval = h.ttl / renewalsPerTTL
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		h.run()
 	}()
 	return h
 }
 
-// ID gives the lease's identity, or zero when there is none; the lease may have lapsed.
+// ID returns the ID of the lease, or zero when there is none. The lease may have expired.
 func (h *Holder) ID() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.id
 }
 
-// Deadline gives the moment from which the lease is not to be trusted.
+// Deadline returns the time from which the lease must not be trusted.
 func (h *Holder) Deadline() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.deadline
 }
 
-// Valid reports whether the service surely still keeps the lease.
+// Valid reports whether the lease is certain to be still held in the store.
 func (h *Holder) Valid() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.id != 0 && !h.closed && before(time.Now(), h.deadline, h.deadline.Round(0))
+	return h.id != 0 && !h.closed && beforeBothClocks(time.Now(), h.deadline, h.deadline.Round(0))
 }
 
-// ValidWithGrace reports whether the service kept the lease until no longer ago than grace. Like Valid it asks
-// both clocks, so that a VM that was suspended does not take its lease for fresh.
+// ValidWithGrace reports whether the lease was valid until at most grace ago. Like Valid it checks both clocks, so that
+// a suspended VM does not trust an old lease.
 func (h *Holder) ValidWithGrace(grace time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	until := h.deadline.Add(grace)
-	return h.id != 0 && !h.closed && before(time.Now(), until, until.Round(0))
+	return h.id != 0 && !h.closed && beforeBothClocks(time.Now(), until, until.Round(0))
 }
 
-// before asks the monotonic clock and the wall clock, and both must agree. The monotonic clock of a
-// VM that was suspended may not have moved; its holder would trust a lease that lapsed meanwhile.
-func before(now, deadline, wall time.Time) bool {
+// beforeBothClocks compares both the monotonic and the wall clock, and both must agree. The monotonic clock of a
+// suspended VM may have stood still, and its holder would trust a lease that expired meanwhile.
+func beforeBothClocks(now, deadline, wall time.Time) bool {
 	return now.Before(deadline) && now.Round(0).Before(wall)
 }
 
-// Wait waits until the lease is valid and gives its ID.
+// Wait waits until the lease is valid and returns its ID.
 func (h *Holder) Wait(ctx context.Context) (int64, error) {
 	for {
 		h.mu.Lock()
-		id, valid, changed := h.id, h.id != 0 && before(time.Now(), h.deadline, h.deadline.Round(0)), h.changed
+		id, valid, changed := h.id, h.id != 0 && beforeBothClocks(time.Now(), h.deadline, h.deadline.Round(0)), h.changed
 		h.mu.Unlock()
 		if valid {
 			return id, nil
 		}
 		select {
 		case <-changed:
-		case <-h.ended:
+		case <-h.done:
 			return 0, context.Canceled
 		case <-ctx.Done():
 			return 0, ctx.Err()
@@ -119,13 +119,13 @@
 	}
 }
 
-// Close stops trusting the lease, ends the renewals and revokes it.
+// Close stops trusting the lease, stops the renewals and revokes the lease.
 func (h *Holder) Close(ctx context.Context) error {
 	h.mu.Lock()
 	h.closed = true
 	h.mu.Unlock()
 	h.cancel()
-	<-h.ended
+	<-h.done
 	id := h.ID()
 	if id == 0 {
 		return nil
@@ -136,36 +136,35 @@
 	return nil
 }
 
-// run keeps the lease. With overlapping renewals it sends them in step with the clock, whether or not
-// those before have been answered: at a store that takes longer for an answer than the pause between
-// them, the lease is still kept.
+// run keeps the lease alive. Overlapping renewals are sent at a fixed rate, whether or not earlier ones were answered:
+// this keeps the lease even if the store takes longer to answer than the time between renewals.
 func (h *Holder) run() {
-	b := retry.New(retry.Between(retry.DefaultMin, h.renew))
+	b := retry.New(retry.Between(retry.DefaultMin, h.renewInterval))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for h.ctx.Err() == nil {
-		if h.overlap && h.ID() != 0 {
-			calls.Go(func() { h.report(h.once()) })
-			h.pause(h.renew)
+		if h.overlapRenewals && h.ID() != 0 {
+			calls.Go(func() { h.logRenewalFailure(h.renewOrGrant()) })
+			h.sleep(h.renewInterval)
 			continue
 		}
-		if err := h.once(); err != nil {
-			h.report(err)
-			h.pause(b.Next())
+		if err := h.renewOrGrant(); err != nil {
+			h.logRenewalFailure(err)
+			h.sleep(b.Next())
 			continue
 		}
 		b.Reset()
-		h.pause(h.renew)
+		h.sleep(h.renewInterval)
 	}
 }
 
-func (h *Holder) report(err error) {
+func (h *Holder) logRenewalFailure(err error) {
 	if err != nil && h.ctx.Err() == nil {
 		h.log.Warn("lease: renewal failed", zap.Int64("lease", h.ID()), zap.Error(err))
 	}
 }
 
-func (h *Holder) pause(d time.Duration) {
+func (h *Holder) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -174,17 +173,16 @@
 	}
 }
 
-// once makes one call: a renewal, or a grant when there is no lease. The call ends in time for the
-// next try, so that one message that is lost does not cost the lease; where renewals overlap, an answer
-// helps as long as the lease lasts.
-func (h *Holder) once() error {
-	within := h.renew
-	if h.overlap {
-		within = h.ttl
+// renewOrGrant makes one call: a renewal, or a grant when there is no lease. The call times out before the next attempt,
+// so that one lost message does not cost the lease. With overlapping renewals, an answer is useful for the whole TTL.
+func (h *Holder) renewOrGrant() error {
+	timeout := h.renewInterval
+	if h.overlapRenewals {
+		timeout = h.ttl
 	}
-	ctx, cancel := context.WithTimeout(h.ctx, within)
+	ctx, cancel := context.WithTimeout(h.ctx, timeout)
 	defer cancel()
-	sent := time.Now() // Read before the call: the service may count from any later moment.
+	sent := time.Now() // Read before the call: the store may count from any later time.
 	id := h.ID()
 	if id == 0 {
 		id, err := h.store.Grant(ctx, h.ttl)
@@ -196,8 +194,8 @@
 	}
 	ttl, err := h.store.KeepAlive(ctx, id)
 	if errors.Is(err, store.ErrLeaseGone) {
-		if h.forget(id) {
-			h.lost(id)
+		if h.dropLease(id) {
+			h.onLost(id)
 		}
 		return err
 	}
@@ -208,31 +206,31 @@
 	return nil
 }
 
-// extend notes a renewal. Answers may overtake each other, and one may be for a lease that is gone.
+// extend records a renewal. Answers may arrive out of order, and one may be for a lease that is gone.
 func (h *Holder) extend(id int64, sent time.Time, ttl time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	deadline := sent.Add(ttl - h.drift)
-	if h.id == id && deadline.Before(h.deadline) || id == h.gone {
+	if h.id == id && deadline.Before(h.deadline) || id == h.lastLost {
 		return
 	}
 	h.id, h.deadline = id, deadline
-	h.wake()
+	h.notifyWaiters()
 }
 
-// forget drops a lease that is gone, and reports whether it was the present one.
-func (h *Holder) forget(id int64) bool {
+// dropLease drops a lease that is gone, and reports whether it was the current one.
+func (h *Holder) dropLease(id int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.id != id {
 		return false
 	}
-	h.id, h.deadline, h.gone = 0, time.Time{}, id
-	h.wake()
+	h.id, h.deadline, h.lastLost = 0, time.Time{}, id
+	h.notifyWaiters()
 	return true
 }
 
-func (h *Holder) wake() {
+func (h *Holder) notifyWaiters() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,32 +15,32 @@
 	"turmericgap/store/memory"
 )
 
-// scene is a holder whose calls go through faults.
-type scene struct {
+// testHolder is a holder whose store calls go through injected faults.
+type testHolder struct {
 	faults *memory.Faults
 	holder *Holder
 	lost   []int64
-	// before and after are pauses of the process, once, before a renewal leaves and with its answer in hand.
-	before, after atomic.Int64
-	// wokeValid says that the holder trusted its lease right after such a pause.
-	wokeValid atomic.Bool
+	// pauseBefore and pauseAfter pause the process once, before a renewal is sent and before its answer is handled.
+	pauseBefore, pauseAfter atomic.Int64
+	// validAfterPause reports whether the holder trusted its lease right after such a pause.
+	validAfterPause atomic.Bool
 }
 
-func (s *scene) pause(d *atomic.Int64) {
+func (s *testHolder) pauseOnce(d *atomic.Int64) {
 	if n := d.Swap(0); n > 0 {
 		time.Sleep(time.Duration(n))
-		s.wokeValid.Store(s.holder.Valid())
+		s.validAfterPause.Store(s.holder.Valid())
 	}
 }
 
-func newScene(t *testing.T, opts ...Option) *scene {
-	s := &scene{faults: &memory.Faults{}}
+func newTestHolder(t *testing.T, opts ...Option) *testHolder {
+	s := &testHolder{faults: &memory.Faults{}}
 	client := memory.New().Client(s.faults)
 	renew := client.KeepAlive
 	client.KeepAlive = func(ctx context.Context, id int64) (time.Duration, error) {
-		s.pause(&s.before)
+		s.pauseOnce(&s.pauseBefore)
 		ttl, err := renew(ctx, id)
-		s.pause(&s.after)
+		s.pauseOnce(&s.pauseAfter)
 		return ttl, err
 	}
 	s.holder = New(client, append(opts, OnLost(func(id int64) { s.lost = append(s.lost, id) }))...)
@@ -51,44 +51,44 @@
 	return s
 }
 
-// A holder must stop trusting its lease before the service ends it, whatever happens to its calls.
-// The fault starts one second after the grant, at a renewal's moment or between two; valid and
-// invalid are ages of the lease at which the holder still trusts it and does not any more.
+// A holder must stop trusting its lease before the store ends it, whichever calls fail.
+// The fault starts one second after the grant and hits a renewal or the time between two. At the age valid the holder
+// still trusts the lease, and at the ages in invalid it does not.
 func TestHolderFaults(t *testing.T) {
 	const (
 		second    = time.Second
 		lastValid = 4400 * time.Millisecond
 	)
-	lapsed := []time.Duration{4500 * time.Millisecond}
+	expired := []time.Duration{4500 * time.Millisecond}
 	cases := []struct {
 		name    string
-		fault   func(s *scene)
+		fault   func(s *testHolder)
 		valid   time.Duration
 		invalid []time.Duration
 	}{
-		{"store down", func(s *scene) { s.faults.Down(true) }, lastValid, lapsed},
-		{"cut off", func(s *scene) { s.faults.Cut(true) }, lastValid, lapsed},
-		{"answers of renewals lost", func(s *scene) { s.faults.LoseAnswer(true) }, lastValid, lapsed},
-		{"frozen before the renewal leaves", func(s *scene) { s.before.Store(int64(10 * second)) }, lastValid, lapsed},
+		{"store down", func(s *testHolder) { s.faults.Down(true) }, lastValid, expired},
+		{"network partition", func(s *testHolder) { s.faults.Cut(true) }, lastValid, expired},
+		{"answers of renewals lost", func(s *testHolder) { s.faults.LoseAnswer(true) }, lastValid, expired},
+		{"paused before the renewal is sent", func(s *testHolder) { s.pauseBefore.Store(int64(10 * second)) }, lastValid, expired},
 		{
-			// The renewal left at 1.67 s; the answer counts from then, not from when it is read.
-			"frozen with the answer in hand", func(s *scene) { s.after.Store(int64(10 * second)) },
-			lastValid, append(lapsed, 12*second),
+			// The renewal was sent at 1.67 s; the lease counts from then, not from when the answer is handled.
+			"paused before the answer is handled", func(s *testHolder) { s.pauseAfter.Store(int64(10 * second)) },
+			lastValid, append(expired, 12*second),
 		},
-		{"one answer lost", func(s *scene) { s.faults.LoseNext(1) }, 5 * second, nil},
+		{"one answer lost", func(s *testHolder) { s.faults.LoseNext(1) }, 5 * second, nil},
 		{
-			"one call hangs", func(s *scene) {
+			"one call hangs", func(s *testHolder) {
 				s.faults.Delay(time.Minute)
 				time.AfterFunc(second, func() { s.faults.Delay(0) })
 			}, 5 * second, nil,
 		},
-		{"slow", func(s *scene) { s.faults.Delay(second) }, 5 * second, nil},
+		{"slow store", func(s *testHolder) { s.faults.Delay(second) }, 5 * second, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newScene(t)
+				s := newTestHolder(t)
 				start := time.Now()
 				time.Sleep(second)
 				c.fault(s)
@@ -103,18 +103,18 @@
 	}
 }
 
-// A process that was paused past its lease wakes and must not act on it.
-// Its first renewal after the pause reaches the service after the lease has lapsed; the holder is
-// told, takes a new lease with another ID, and is never valid in between.
+// A process that was paused for longer than its lease must not act on it.
+// Its first renewal after the pause reaches the store after the lease has expired. The holder learns that, gets a lease
+// with another ID, and is never valid in between.
 func TestHolderTakesNewLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newScene(t)
+		s := newTestHolder(t)
 		old := s.holder.ID()
-		s.before.Store(int64(time.Minute))
+		s.pauseBefore.Store(int64(time.Minute))
 		time.Sleep(2 * time.Minute)
 		synctest.Wait()
-		is.True(!s.wokeValid.Load())
+		is.True(!s.validAfterPause.Load())
 		is.Equal(s.lost, []int64{old})
 		is.True(s.holder.ID() != old)
 		is.True(s.holder.Valid())
@@ -122,7 +122,7 @@
 	})
 }
 
-// A suspended VM's monotonic clock may stand still while the wall clock of the service goes on.
+// The monotonic clock of a suspended VM may stand still while the store's wall clock runs on.
 func TestBothClocks(t *testing.T) {
 	now := time.Now()
 	early, late := now.Add(-time.Second), now.Add(time.Second)
@@ -136,11 +136,11 @@
 		"both over":      {early, early, false},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(before(now, c.deadline, c.wall.Round(0)), c.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(beforeBothClocks(now, c.deadline, c.wall.Round(0)), c.want) })
 	}
 }
 
-// A message that waited while its sender's lease lapsed must not leave.
+// A message that waited while its sender's lease expired must not be sent.
 func TestGuard(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
--- a/lease/options.go
+++ b/lease/options.go
@@ -6,24 +6,24 @@
 	"go.uber.org/zap"
 )
 
-// Option sets up a Holder.
+// Option configures a Holder.
 type Option func(*Holder)
 
-// TTL sets how long the service keeps the lease after a renewal.
+// TTL sets how long the store keeps the lease after a renewal.
 func TTL(d time.Duration) Option { return func(h *Holder) { h.ttl = d } }
 
-// ClockDrift sets how much earlier than the service the holder stops trusting the lease.
+// ClockDrift sets how much earlier than the store the holder stops trusting the lease.
 func ClockDrift(d time.Duration) Option { return func(h *Holder) { h.drift = d } }
 
-// RenewInterval sets the pause between renewals; the default is a third of the TTL.
-func RenewInterval(d time.Duration) Option { return func(h *Holder) { h.renew = d } }
+// RenewInterval sets the time between renewals; the default is a third of the TTL.
+func RenewInterval(d time.Duration) Option { return func(h *Holder) { h.renewInterval = d } }
 
-// OverlapRenewals lets renewals be sent while earlier ones have no answer yet.
-func OverlapRenewals() Option { return func(h *Holder) { h.overlap = true } }
+// OverlapRenewals allows a renewal to be sent while earlier ones are unanswered.
+func OverlapRenewals() Option { return func(h *Holder) { h.overlapRenewals = true } }
 
-// OnLost sets a function that is called, on the holder's goroutine, when the service says that the
-// lease is gone; a lease with a new ID follows.
-func OnLost(f func(id int64)) Option { return func(h *Holder) { h.lost = f } }
+// OnLost sets a function that is called on the holder's goroutine when the store reports that the lease is gone.
+// The holder then requests a lease with a new ID.
+func OnLost(f func(id int64)) Option { return func(h *Holder) { h.onLost = f } }
 
-// Logger sets where the holder logs.
+// Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(h *Holder) { h.log = l } }
