--- a/heartbeat/doc.go
+++ b/heartbeat/doc.go
@@ -1,2 +1,2 @@
-// Package heartbeat decides when a worker is asked next for its runs and ends. It does no input or output.
+// Package heartbeat decides when to poll a worker again for its runs and their results. It performs no I/O.
 package heartbeat
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -3,33 +3,32 @@
 import "time"
 
 const (
-	// MaxPollDelay is how long a worker may be left unasked while nothing waits for it: a failed task is
-	// started again that much later, a third of what the shortest works have to spare.
+	// MaxPollDelay bounds the time between polls of a worker that nothing waits for: the restart of a failed task is
+	// delayed by that much, which is a third of the slack of the shortest works.
 	MaxPollDelay = 400 * time.Millisecond
-	// margin is how much sooner than it is expected the end of a run may come.
-	margin = 60 * time.Millisecond
+	// earlyMargin is how much earlier than expected a run may end.
+	earlyMargin = 60 * time.Millisecond
 )
 
-// Run is one run on a worker, as far as it matters when its end is heard.
+// Run is one run on a worker, with what determines when its end must be known.
 type Run struct {
-	// ExpectedEnd is when it is expected to end; zero where that cannot be told.
+	// ExpectedEnd is when the run is expected to end; zero if unknown.
 	ExpectedEnd time.Time
-	// Awaited says that a caller or the next step waits for this run alone, or for it longest.
+	// Awaited reports whether this run alone, or longest, delays a caller or the next step.
 	Awaited bool
 }
 
-// PollDelay gives how long to wait before a worker is asked again that has just answered.
+// PollDelay returns how long to wait before polling a worker again that has just answered.
 //
-// The load that it answers is that of calm hours: works of several tasks each, and room for all. A worker
-// that is asked again at once answers at the end of each of its tasks, though a caller waits only for the
-// last task of a work, and each question is paid for. A question that is sent shortly before the last task
-// of a work should end hears of all that ended before as well. Where work waits for room, each end gives room,
-// and the worker is asked at once.
+// The delay saves polls when works have several tasks each and there is room for all. Without it, a worker would answer
+// at the end of each task, although the caller waits only for the last task of a work, and each poll has a cost. A poll
+// shortly before the expected end of the last task also reports all tasks that ended before. If work waits for room,
+// each end of a run frees some, so the worker is polled at once.
 func PollDelay(now time.Time, roomWanted bool, runs []Run) time.Duration {
 	if roomWanted {
 		return 0
 	}
-	pause := MaxPollDelay
+	delay := MaxPollDelay
 	for _, r := range runs {
 		if !r.Awaited {
 			continue
@@ -37,7 +36,7 @@
 		if r.ExpectedEnd.IsZero() {
 			return 0
 		}
-		pause = min(pause, max(r.ExpectedEnd.Sub(now)-margin, 0))
+		delay = min(delay, max(r.ExpectedEnd.Sub(now)-earlyMargin, 0))
 	}
-	return pause
+	return delay
 }
