--- a/relay/agent.go
+++ b/relay/agent.go
@@ -9,43 +9,43 @@
 	"turmericgap/worker"
 )
 
-// errBlamed tells why a relay that answers is given up.
-var errBlamed = errors.New("workers answer the owner and not the relay")
+// errRelayUnreliable is the reason for giving up a relay that still answers the owner.
+var errRelayUnreliable = errors.New("workers answer the owner but not the relay")
 
-// agent makes the calls to one lifetime of a worker.
+// agent makes the calls to one lifetime of a worker, directly or through a relay.
 type agent struct {
 	relays *Relays
 	info   worker.Info
 	direct *worker.Agent
 
-	mu     sync.Mutex
-	link   *link
-	own    bool
-	closed bool
-	// doubted is the link by which a call had no answer; until is how long the worker is asked directly for that.
-	doubted *link
-	until   time.Time
-	// redo ends the hold that is under way by way of a relay, so that it is made directly.
-	redo context.CancelFunc
+	mu         sync.Mutex
+	link       *link
+	keepDirect bool
+	closed     bool
+	// suspected is the link on which a call got no answer; until directUntil the worker is called directly instead.
+	suspected   *link
+	directUntil time.Time
+	// cancelHold cancels the hold in flight through a relay, so that it is repeated directly.
+	cancelHold context.CancelFunc
 }
 
-// by gives the link to use, or nil for a call by this VM.
-func (a *agent) by() *link {
+// currentLink returns the link to use, or nil if this VM makes the call itself.
+func (a *agent) currentLink() *link {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case a.own || a.closed || time.Now().Before(a.until):
+	case a.keepDirect || a.closed || time.Now().Before(a.directUntil):
 		return nil
-	case a.link != nil && !a.link.broken():
+	case a.link != nil && !a.link.isClosed():
 		return a.link
 	case a.link != nil:
 		a.relays.release(a.link, false)
 	}
-	a.link, a.own = a.relays.assign(a.info)
+	a.link, a.keepDirect = a.relays.assign(a.info)
 	return a.link
 }
 
-func (a *agent) relayed() bool { return a.by() != nil }
+func (a *agent) isRelayed() bool { return a.currentLink() != nil }
 
 func (a *agent) close() {
 	a.mu.Lock()
@@ -54,92 +54,92 @@
 		return
 	}
 	a.closed = true
-	a.relays.release(a.link, a.own)
-	a.link, a.own = nil, false
+	a.relays.release(a.link, a.keepDirect)
+	a.link, a.keepDirect = nil, false
 }
 
 func (a *agent) launch(ctx context.Context, l *worker.Launch) (time.Duration, error) {
-	r, err := a.relay(ctx, order{Launch: l})
-	if errors.Is(err, errBroken) {
+	r, err := a.callViaRelay(ctx, order{Launch: l})
+	if errors.Is(err, errRelayDown) {
 		clock, err := a.direct.Launch(ctx, l)
-		a.compare(err)
+		a.confirmSuspicion(err)
 		return clock, err
 	}
 	return r.Clock, err
 }
 
 func (a *agent) halt(ctx context.Context, h *worker.Halt) (time.Duration, error) {
-	r, err := a.relay(ctx, order{Halt: h})
-	if errors.Is(err, errBroken) {
+	r, err := a.callViaRelay(ctx, order{Halt: h})
+	if errors.Is(err, errRelayDown) {
 		clock, err := a.direct.Halt(ctx, h)
-		a.compare(err)
+		a.confirmSuspicion(err)
 		return clock, err
 	}
 	return r.Clock, err
 }
 
 func (a *agent) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
-	relayed, redo := context.WithCancel(ctx)
-	defer redo()
+	relayed, cancel := context.WithCancel(ctx)
+	defer cancel()
 	a.mu.Lock()
-	a.redo = redo
+	a.cancelHold = cancel
 	a.mu.Unlock()
-	r, err := a.relay(relayed, order{Hold: h})
-	if errors.Is(err, errBroken) || relayed.Err() != nil && ctx.Err() == nil {
+	r, err := a.callViaRelay(relayed, order{Hold: h})
+	if errors.Is(err, errRelayDown) || relayed.Err() != nil && ctx.Err() == nil {
 		held, err := a.direct.Hold(ctx, h)
-		a.compare(err)
+		a.confirmSuspicion(err)
 		return held, err
 	}
 	return r.Held, err
 }
 
-// relay makes a call by way of a relay; errBroken means that there is none, or that it does not answer: the call is
-// to be made directly, which changes nothing if the worker has got it already.
-func (a *agent) relay(ctx context.Context, o order) (*result, error) {
-	k := a.by()
+// callViaRelay makes a call through a relay. errRelayDown means that there is no relay or that it does not answer: the
+// call is then made directly, which is safe even if the worker has already received it.
+func (a *agent) callViaRelay(ctx context.Context, o order) (*result, error) {
+	k := a.currentLink()
 	if k == nil {
-		return &result{}, errBroken
+		return &result{}, errRelayDown
 	}
 	o.Worker, o.Address = a.info.ID, a.info.Address
-	a.relays.o.Metrics.Counter("relay.calls").Inc(1)
+	a.relays.opts.Metrics.Counter("relay.calls").Inc(1)
 	r, err := k.do(ctx, o)
 	switch {
-	case errors.Is(err, errBroken):
-		a.relays.o.Metrics.Counter("relay.instead").Inc(1)
+	case errors.Is(err, errRelayDown):
+		a.relays.opts.Metrics.Counter("relay.instead").Inc(1)
 		return &result{}, err
 	case err != nil:
-		a.doubt(k)
+		a.suspectLink(k)
 		return &result{}, err
-	case r.Ended == endedOpen || r.Ended == endedNotSent:
-		a.doubt(k)
+	case r.Outcome == outcomeUnknown || r.Outcome == outcomeNotSent:
+		a.suspectLink(k)
 	default:
-		a.relays.clear(k)
+		a.relays.recordAnswer(k)
 	}
-	return r, r.err()
+	return r, r.toError()
 }
 
-// doubt has the worker asked directly for a while: either it or the relay's way to it is at fault, and the owner may
-// have another way. The hold that is under way by the same way is made anew: a run that has just begun would lose its
-// lease while that waits for nothing.
-func (a *agent) doubt(k *link) {
+// suspectLink makes the agent call the worker directly for a while: either the worker or its connection to the relay is
+// at fault, and the owner may still reach the worker. The hold in flight on the link is repeated directly, since a run
+// that has just begun could lose its lease while that hold waits in vain.
+func (a *agent) suspectLink(k *link) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.doubted, a.until = k, time.Now().Add(directFor)
-	if a.redo != nil {
-		a.redo()
+	a.suspected, a.directUntil = k, time.Now().Add(directDuration)
+	if a.cancelHold != nil {
+		a.cancelHold()
 	}
 }
 
-// compare blames the relay for a call without an answer if the worker answers the owner.
-func (a *agent) compare(err error) {
+// confirmSuspicion blames the relay for an unanswered call if the worker answers the owner.
+func (a *agent) confirmSuspicion(err error) {
 	if err != nil {
 		return
 	}
 	a.mu.Lock()
-	k := a.doubted
-	a.doubted = nil
+	k := a.suspected
+	a.suspected = nil
 	a.mu.Unlock()
 	if k != nil {
-		a.relays.blame(k)
+		a.relays.recordBlame(k)
 	}
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,12 +1,12 @@
-// Package relay lets the owner of a cell reach a part of its workers by way of other entry VMs, which then make the
-// connections and the calls that would take most of the owner's processor.
+// Package relay lets the owner of a cell reach some of its workers through other entry VMs, which make the connections
+// and calls that would otherwise take most of the owner's processor.
 //
-// A relay decides nothing and remembers nothing: it carries out each call as the owner would, and hands the answers
-// back in bulk. The worker cannot tell the difference, so that what holds for a call over a slow network holds here:
-// a start is void after its time on the worker's clock, a stop forbids a run for good, a hold extends a lease to a
-// moment that was fixed when it was decided, and each carries the owner's fencing token. A call that a relay carries out late
-// or twice is one that the network delivers late or twice.
+// A relay makes no decisions and keeps no state: it makes each call as the owner would and returns the answers in
+// batches. Workers see no difference, so the guarantees for a call over a slow network hold: a start is void after a
+// fixed time on the worker's clock, a stop forbids a run permanently, a hold extends a lease to a time fixed when the
+// hold was decided, and each call carries the owner's fencing token. A call that a relay makes late or twice is
+// equivalent to a message that the network delivers late or twice.
 //
-// A relay's silence is not a worker's: when its answers stay away, what was under way through it is put to the workers
-// by the owner itself, and its workers are shared out anew.
+// A relay that does not answer says nothing about its workers: the owner repeats the calls in flight directly, and
+// assigns the workers to other relays.
 package relay
--- a/relay/link.go
+++ b/relay/link.go
@@ -14,66 +14,66 @@
 )
 
 const (
-	// exchangeEvery is the pause between two exchanges with a relay: what a call by way of it takes longer, at most
-	// twice. Each of them costs the owner as much as a call to a worker.
-	exchangeEvery = 25 * time.Millisecond
-	// reachWithin is how long the opening of a connection to a relay may take, exchangeWithin an exchange. A relay that
-	// is later is given up. An owner that stands still for a moment finds all answers late: were it to give all its
-	// relays up for that, it would have their calls to make besides. Calls do not wait as long, but for their own time.
-	reachWithin    = 100 * time.Millisecond
-	exchangeWithin = time.Second
+	// exchangeInterval is the time between two exchanges with a relay. A relayed call takes at most twice that much
+	// longer than a direct one; each exchange costs the owner as much as a call to a worker.
+	exchangeInterval = 25 * time.Millisecond
+	// connectTimeout bounds the connection setup to a relay and exchangeTimeout an exchange; a slower relay is given up.
+	// exchangeTimeout is long because an owner that was paused finds all answers late, and giving up all relays would add
+	// their calls to its load. Calls are not delayed by it, as each has its own timeout.
+	connectTimeout  = 100 * time.Millisecond
+	exchangeTimeout = time.Second
 )
 
-// errBroken means that a call by way of a relay has no answer because of the relay; the worker may have got it.
-var errBroken = errors.New("the relay does not answer")
+// errRelayDown means that a call has no answer because its relay failed; the worker may have received the call.
+var errRelayDown = errors.New("relay does not answer")
 
-// link is the way to one relay. Its orders are sent together, and the results fetched, in one exchange after the other.
+// link is the connection to one relay. Each exchange sends the queued orders and fetches the available results.
 type link struct {
 	id     uint64
 	node   owner.Node
 	client *rpc.Client
 	log    *zap.Logger
-	// broke is called once when the link is given up.
-	broke func(*link)
-	wake  chan struct{}
-	ctx   context.Context
-	stop  context.CancelFunc
-
-	mu      sync.Mutex
-	next    uint64
-	queue   []order
-	pending map[uint64]chan result
-	process uint64
-	closed  bool
-
-	// workers is how many workers are reached by it, blames how many of them have answered the owner and not the relay
-	// since one has answered that, at heard; they belong to Relays.
-	workers, blames int
-	heard           time.Time
+	// onFailure is called once when the link is given up.
+	onFailure func(*link)
+	wake      chan struct{}
+	ctx       context.Context
+	cancel    context.CancelFunc
+
+	mu        sync.Mutex
+	next      uint64
+	queued    []order
+	pending   map[uint64]chan result
+	processID uint64
+	closed    bool
+
+	// workerCount is the number of workers assigned to the link. blameCount is how many of them answered the owner but not
+	// the relay since lastAnswer, when a worker last answered through it. Relays guards these fields.
+	workerCount, blameCount int
+	lastAnswer              time.Time
 }
 
 func newLink(node owner.Node, client *rpc.Client, log *zap.Logger, broke func(*link)) *link {
 	k := &link{
-		id: rand.Uint64(), node: node, client: client, log: log, broke: broke,
+		id: rand.Uint64(), node: node, client: client, log: log, onFailure: broke,
 		wake: make(chan struct{}, 1), pending: make(map[uint64]chan result),
 	}
-	k.ctx, k.stop = context.WithCancel(context.Background())
+	k.ctx, k.cancel = context.WithCancel(context.Background())
 	return k
 }
 
-// do has the relay carry out an order. It returns errBroken once the relay is given up.
+// do makes the relay execute an order. It returns errRelayDown once the relay is given up.
 func (k *link) do(ctx context.Context, o order) (*result, error) {
 	if deadline, ok := ctx.Deadline(); ok {
-		o.Within = time.Until(deadline)
+		o.Timeout = time.Until(deadline)
 	}
 	done, ok := k.enqueue(&o)
 	if !ok {
-		return nil, errBroken
+		return nil, errRelayDown
 	}
 	select {
 	case r, ok := <-done:
 		if !ok {
-			return nil, errBroken
+			return nil, errRelayDown
 		}
 		return &r, nil
 	case <-ctx.Done():
@@ -94,7 +94,7 @@
 	o.Number = k.next
 	done = make(chan result, 1)
 	k.pending[o.Number] = done
-	k.queue = append(k.queue, *o)
+	k.queued = append(k.queued, *o)
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -102,14 +102,14 @@
 	return done, true
 }
 
-// run makes one exchange after the other while anything is under way.
+// run makes one exchange after another while any order is in flight.
 func (k *link) run() {
 	defer k.client.Close()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	for {
-		orders, waits := k.take()
-		if !waits {
+		orders, awaited := k.takeOrders()
+		if !awaited {
 			select {
 			case <-k.ctx.Done():
 				return
@@ -118,10 +118,10 @@
 			continue
 		}
 		if err := k.exchange(orders); err != nil {
-			k.giveUp(err)
+			k.fail(err)
 			return
 		}
-		pause.Reset(exchangeEvery)
+		pause.Reset(exchangeInterval)
 		select {
 		case <-k.ctx.Done():
 			return
@@ -130,16 +130,16 @@
 	}
 }
 
-// take gives the orders that were not sent yet, and whether any result is waited for.
-func (k *link) take() (orders []order, waits bool) {
+// takeOrders returns the orders that were not sent yet, and whether any result is awaited.
+func (k *link) takeOrders() (orders []order, awaited bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	orders, k.queue = k.queue, nil
+	orders, k.queued = k.queued, nil
 	return orders, len(k.pending) > 0 || len(orders) > 0
 }
 
 func (k *link) connect() error {
-	ctx, cancel := context.WithTimeout(k.ctx, reachWithin)
+	ctx, cancel := context.WithTimeout(k.ctx, connectTimeout)
 	defer cancel()
 	return k.client.Connect(ctx)
 }
@@ -148,22 +148,23 @@
 	if err := k.connect(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(k.ctx, exchangeWithin)
+	ctx, cancel := context.WithTimeout(k.ctx, exchangeTimeout)
 	defer cancel()
-	reply, err := rpc.Call[exchangeRequest, exchangeReply](ctx, k.client, methodExchange, &exchangeRequest{Link: k.id, Orders: orders})
+	reply, err := rpc.Call[exchangeRequest, exchangeReply](ctx, k.client, methodExchange,
+		&exchangeRequest{Link: k.id, Orders: orders})
 	if err != nil {
 		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.process == 0 {
-		k.process = reply.Process
+	if k.processID == 0 {
+		k.processID = reply.ProcessID
 	}
-	if k.process != reply.Process {
-		return errors.New("the relay was restarted")
+	if k.processID != reply.ProcessID {
+		return errors.New("relay was restarted")
 	}
 	for _, r := range reply.Results {
-		// What has no taker was given up, and what is asked now says more.
+		// A result without a pending order is dropped: its caller has given up, and later calls return newer state.
 		if done := k.pending[r.Number]; done != nil {
 			delete(k.pending, r.Number)
 			done <- r
@@ -172,22 +173,22 @@
 	return nil
 }
 
-// giveUp tells all that wait that the relay does not answer.
-func (k *link) giveUp(cause error) {
-	if k.end() && cause != nil && k.ctx.Err() == nil {
+// fail fails all pending orders because the relay does not answer.
+func (k *link) fail(cause error) {
+	if k.close() && cause != nil && k.ctx.Err() == nil {
 		k.log.Warn("relay: a relay does not answer", zap.String("relay", k.node.ID), zap.Error(cause))
-		k.broke(k)
+		k.onFailure(k)
 	}
 }
 
-// end closes the link; false means that it was closed before.
-func (k *link) end() bool {
+// close closes the link and reports whether it was open.
+func (k *link) close() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.closed {
 		return false
 	}
-	k.closed, k.queue = true, nil
+	k.closed, k.queued = true, nil
 	for n, done := range k.pending {
 		delete(k.pending, n)
 		close(done)
@@ -195,7 +196,7 @@
 	return true
 }
 
-func (k *link) broken() bool {
+func (k *link) isClosed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.closed
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// DefaultMaxDirect is how many workers a VM reaches by itself where nothing is said.
+	// DefaultMaxDirect is the default number of workers that a VM reaches directly.
 	DefaultMaxDirect = 128
-	// workersMost is how many workers are reached by way of one relay: about a third of a weak VM's processor.
-	workersMost = 100
-	// restFor is how long a relay that was given up gets no worker.
-	restFor = 5 * time.Second
-	// directFor is how long a worker is asked by the owner itself after a call by way of a relay had no answer.
-	directFor = 5 * time.Second
-	// blamesMost is how many workers must have answered the owner, and not the relay, and blameAfter how long ago the
-	// last one has answered that, before it is given up: one that is slow for a moment is not.
-	blamesMost = 5
-	blameAfter = time.Second
+	// maxWorkersPerRelay bounds the load of a relay to about a third of the processor of a small VM.
+	maxWorkersPerRelay = 100
+	// relayCooldown is how long a relay that was given up is not assigned any worker.
+	relayCooldown = 5 * time.Second
+	// directDuration is how long the owner calls a worker directly after a relayed call got no answer.
+	directDuration = 5 * time.Second
+	// A relay is given up when blameThreshold workers have answered the owner but not the relay, and no worker has
+	// answered through it for blameDelay, so that a short slowdown is tolerated.
+	blameThreshold = 5
+	blameDelay     = time.Second
 )
 
-// Options are what Relays are made of.
+// Options configures Relays.
 type Options struct {
-	// Self is this VM's ID, Own how many workers it reaches by itself.
+	// Self is the ID of this VM, and MaxDirect the number of workers that it reaches directly.
 	Self      string
 	MaxDirect int
-	// DirectAgent gives this VM's own calls to a worker.
+	// DirectAgent returns an agent that calls a worker from this VM.
 	DirectAgent func(worker.Info) *worker.Agent
-	// Nodes lists the VMs that may relay, Client opens a connection to one of them.
+	// Nodes lists the VMs that may serve as relays; NewClient returns a client for one of them.
 	Nodes     func() []owner.Node
 	NewClient func(address string) *rpc.Client
 	Logger    *zap.Logger
 	Metrics   *metric.Registry
 }
 
-// Relays shares the workers of a cell out between the owner and relays.
+// Relays distributes the workers of a cell between the owner and its relays.
 type Relays struct {
-	o     Options
+	opts  Options
 	wg    sync.WaitGroup
 	mu    sync.Mutex
 	links map[string]*link
-	// rests holds until when VMs that were given up get no worker, own counts the workers without a relay.
-	rests map[string]time.Time
-	own   int
+	// cooldowns holds the end of the cooldown of each VM that was given up; directCount counts the workers that this VM
+	// keeps for itself.
+	cooldowns   map[string]time.Time
+	directCount int
 }
 
-// New returns Relays without links. Without Nodes the VM reaches all workers by itself.
+// New returns Relays without links. Without Options.Nodes the VM reaches all workers directly.
 func New(o Options) *Relays {
 	if o.MaxDirect == 0 {
 		o.MaxDirect = DefaultMaxDirect
@@ -69,76 +70,77 @@
 	if o.Metrics == nil {
 		o.Metrics = metric.New()
 	}
-	return &Relays{o: o, links: make(map[string]*link), rests: make(map[string]time.Time)}
+	return &Relays{opts: o, links: make(map[string]*link), cooldowns: make(map[string]time.Time)}
 }
 
-// Agent gives the calls to one lifetime of a worker, by this VM or by way of a relay; Close ends them.
+// Agent returns an agent for one lifetime of a worker, which calls it directly or through a relay until Close.
 func (r *Relays) Agent(info worker.Info) *worker.Agent {
-	a := &agent{relays: r, info: info, direct: r.o.DirectAgent(info)}
-	return &worker.Agent{Launch: a.launch, Halt: a.halt, Hold: a.hold, Relayed: a.relayed, Close: a.close}
+	a := &agent{relays: r, info: info, direct: r.opts.DirectAgent(info)}
+	return &worker.Agent{Launch: a.launch, Halt: a.halt, Hold: a.hold, Relayed: a.isRelayed, Close: a.close}
 }
 
-// Close gives up all links and waits for them; what is under way goes on directly.
+// Close closes all links and waits for them; calls in flight are repeated directly.
 func (r *Relays) Close() {
 	r.mu.Lock()
 	for id, k := range r.links {
 		delete(r.links, id)
-		k.stop()
-		k.end()
+		k.cancel()
+		k.close()
 	}
 	r.mu.Unlock()
 	r.wg.Wait()
 }
 
-// assign gives a worker a link, or none: own says that this VM keeps it, else there is no relay for it now.
-func (r *Relays) assign(info worker.Info) (k *link, own bool) {
+// assign assigns a worker to a link. Without a link, keepDirect reports whether this VM keeps the worker for itself;
+// otherwise no relay is available now.
+func (r *Relays) assign(info worker.Info) (k *link, keepDirect bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.own < r.o.MaxDirect {
-		r.own++
+	if r.directCount < r.opts.MaxDirect {
+		r.directCount++
 		return nil, true
 	}
-	if k = r.choose(info.Zone, time.Now()); k != nil {
-		k.workers++
+	if k = r.chooseLink(info.Zone, time.Now()); k != nil {
+		k.workerCount++
 	}
 	return k, false
 }
 
-// choose gives the fullest link that may have one worker more, in the worker's availability zone if there is one; the
-// fewer relays, the fewer exchanges.
-func (r *Relays) choose(zone string, now time.Time) *link {
-	if k := r.fullest(zone, true); k != nil {
+// chooseLink returns the fullest link with capacity for another worker, preferably in the worker's availability zone:
+// fewer relays need fewer exchanges.
+func (r *Relays) chooseLink(zone string, now time.Time) *link {
+	if k := r.fullestLink(zone, true); k != nil {
 		return k
 	}
-	if node, ok := r.fresh(zone, true, now); ok {
-		return r.open(node)
+	if node, ok := r.strongestUnusedNode(zone, true, now); ok {
+		return r.openLink(node)
 	}
-	if k := r.fullest(zone, false); k != nil {
+	if k := r.fullestLink(zone, false); k != nil {
 		return k
 	}
-	if node, ok := r.fresh(zone, false, now); ok {
-		return r.open(node)
+	if node, ok := r.strongestUnusedNode(zone, false, now); ok {
+		return r.openLink(node)
 	}
 	return nil
 }
 
-func (r *Relays) fullest(zone string, inZone bool) *link {
+func (r *Relays) fullestLink(zone string, inZone bool) *link {
 	var best *link
 	for _, k := range r.links {
-		if k.workers >= workersMost || (k.node.Zone == zone) != inZone {
+		if k.workerCount >= maxWorkersPerRelay || (k.node.Zone == zone) != inZone {
 			continue
 		}
-		if best == nil || k.workers > best.workers || k.workers == best.workers && k.node.ID < best.node.ID {
+		if best == nil || k.workerCount > best.workerCount || k.workerCount == best.workerCount && k.node.ID < best.node.ID {
 			best = k
 		}
 	}
 	return best
 }
 
-// fresh gives the strongest VM that is no relay yet.
-func (r *Relays) fresh(zone string, inZone bool, now time.Time) (best owner.Node, found bool) {
-	for _, n := range r.o.Nodes() {
-		if n.ID == r.o.Self || (n.Zone == zone) != inZone || r.links[n.ID] != nil || now.Before(r.rests[n.ID]) {
+// strongestUnusedNode returns the strongest VM that is not a relay yet.
+func (r *Relays) strongestUnusedNode(zone string, inZone bool, now time.Time) (best owner.Node, found bool) {
+	for _, n := range r.opts.Nodes() {
+		if n.ID == r.opts.Self || (n.Zone == zone) != inZone || r.links[n.ID] != nil || now.Before(r.cooldowns[n.ID]) {
 			continue
 		}
 		if !found || n.Strength > best.Strength {
@@ -148,61 +150,62 @@
 	return best, found
 }
 
-func (r *Relays) open(node owner.Node) *link {
-	k := newLink(node, r.o.NewClient(node.Address), r.o.Logger, r.broke)
+func (r *Relays) openLink(node owner.Node) *link {
+	k := newLink(node, r.opts.NewClient(node.Address), r.opts.Logger, r.handleLinkFailure)
 	r.links[node.ID] = k
 	r.wg.Go(k.run)
-	r.o.Logger.Info("relay: workers are reached by way of another VM", zap.String("relay", node.ID), zap.Int("relays", len(r.links)))
+	r.opts.Logger.Info("relay: workers are reached by way of another VM",
+		zap.String("relay", node.ID), zap.Int("relays", len(r.links)))
 	return k
 }
 
-// broke forgets a link that was given up, and lets its VM rest.
-func (r *Relays) broke(k *link) {
+// handleLinkFailure removes a link that was given up, and starts the cooldown of its VM.
+func (r *Relays) handleLinkFailure(k *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget(k)
-	r.rests[k.node.ID] = time.Now().Add(restFor)
-	r.o.Metrics.Counter("relay.broken").Inc(1)
+	r.removeLink(k)
+	r.cooldowns[k.node.ID] = time.Now().Add(relayCooldown)
+	r.opts.Metrics.Counter("relay.broken").Inc(1)
 }
 
-func (r *Relays) forget(k *link) {
+func (r *Relays) removeLink(k *link) {
 	if r.links[k.node.ID] == k {
 		delete(r.links, k.node.ID)
 	}
 }
 
-// release gives back a worker's place; a link without workers is closed.
-func (r *Relays) release(k *link, own bool) {
+// release undoes the assignment of a worker; a link without workers is closed.
+func (r *Relays) release(k *link, direct bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if own {
-		r.own--
+	if direct {
+		r.directCount--
 	}
 	if k == nil {
 		return
 	}
-	if k.workers--; k.workers == 0 {
-		r.forget(k)
-		k.stop()
-		k.end()
+	if k.workerCount--; k.workerCount == 0 {
+		r.removeLink(k)
+		k.cancel()
+		k.close()
 	}
 }
 
-// clear notes that a worker has answered by way of a relay.
-func (r *Relays) clear(k *link) {
+// recordAnswer records that a worker has answered through a relay.
+func (r *Relays) recordAnswer(k *link) {
 	r.mu.Lock()
-	k.blames, k.heard = 0, time.Now()
+	k.blameCount, k.lastAnswer = 0, time.Now()
 	r.mu.Unlock()
 }
 
-// blame notes that a worker has answered the owner after it had not answered the relay.
-func (r *Relays) blame(k *link) {
+// recordBlame records that a worker answered the owner after it had not answered through the relay.
+func (r *Relays) recordBlame(k *link) {
 	r.mu.Lock()
-	k.blames++
-	broken := k.blames >= blamesMost && time.Since(k.heard) > blameAfter
+	k.blameCount++
+	unreliable := k.blameCount >= blameThreshold && time.Since(k.lastAnswer) > blameDelay
 	r.mu.Unlock()
-	if broken {
-		k.giveUp(errBlamed)
-		k.stop()
+	if unreliable {
+		k.fail(errRelayUnreliable)
+		k.cancel()
 	}
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -10,48 +10,48 @@
 	"turmericgap/worker"
 )
 
-// forgetAfter is how long after the last exchange a link is forgotten, with the results that nobody fetched.
-const forgetAfter = 5 * time.Second
+// linkIdleTimeout is how long after its last exchange a link is dropped, with its unfetched results.
+const linkIdleTimeout = 5 * time.Second
 
-// agentsMost is how many lifetimes of workers a link remembers: several times as many as it has workers.
-const agentsMost = 4 * workersMost
+// maxAgentsPerLink is how many worker lifetimes a link caches: several times as many as it has workers.
+const maxAgentsPerLink = 4 * maxWorkersPerRelay
 
-// Server carries out the calls that owners hand to this VM.
+// Server executes the calls that owners send to this VM.
 type Server struct {
-	direct  func(worker.Info) *worker.Agent
-	process uint64
-	ctx     context.Context
-	stop    context.CancelFunc
-	wg      sync.WaitGroup
+	direct    func(worker.Info) *worker.Agent
+	processID uint64
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 
 	mu    sync.Mutex
-	links map[uint64]*served
+	links map[uint64]*servedLink
 }
 
-// served is a link as its relay sees it.
-type served struct {
-	heard   time.Time
-	results []result
-	agents  map[string]*worker.Agent
+// servedLink is the relay's side of a link.
+type servedLink struct {
+	lastExchange time.Time
+	results      []result
+	agents       map[string]*worker.Agent
 }
 
-// NewServer returns a server that calls workers by direct.
+// NewServer returns a Server that calls workers through the agents returned by direct.
 func NewServer(direct func(worker.Info) *worker.Agent) *Server {
-	s := &Server{direct: direct, process: rand.Uint64(), links: make(map[uint64]*served)}
-	s.ctx, s.stop = context.WithCancel(context.Background())
+	s := &Server{direct: direct, processID: rand.Uint64(), links: make(map[uint64]*servedLink)}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Register serves the calls of owners.
+// Register registers the relay's call with an rpc server.
 func (s *Server) Register(r *rpc.Server) {
 	rpc.Handle(r, methodExchange, func(_ context.Context, in *exchangeRequest) (*exchangeReply, error) {
 		return s.exchange(in), nil
 	})
 }
 
-// Close gives up the calls under way and waits for them.
+// Close cancels the calls in flight and waits for them.
 func (s *Server) Close() {
-	s.stop()
+	s.cancel()
 	s.wg.Wait()
 }
 
@@ -59,37 +59,37 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(now)
+	s.dropIdleLinks(now)
 	l := s.links[in.Link]
 	if l == nil {
-		l = &served{agents: make(map[string]*worker.Agent)}
+		l = &servedLink{agents: make(map[string]*worker.Agent)}
 		s.links[in.Link] = l
 	}
-	l.heard = now
+	l.lastExchange = now
 	for i := range in.Orders {
 		o := &in.Orders[i]
-		agent := s.agent(l, o)
-		s.wg.Go(func() { s.carryOut(l, agent, o) })
+		agent := s.agentFor(l, o)
+		s.wg.Go(func() { s.execute(l, agent, o) })
 	}
 	results := l.results
 	l.results = nil
-	return &exchangeReply{Process: s.process, Results: results}
+	return &exchangeReply{ProcessID: s.processID, Results: results}
 }
 
-// forget drops the links of owners that no longer ask.
-func (s *Server) forget(now time.Time) {
+// dropIdleLinks drops the links of owners that have stopped making exchanges.
+func (s *Server) dropIdleLinks(now time.Time) {
 	for id, l := range s.links {
-		if now.Sub(l.heard) > forgetAfter {
+		if now.Sub(l.lastExchange) > linkIdleTimeout {
 			delete(s.links, id)
 		}
 	}
 }
 
-func (s *Server) agent(l *served, o *order) *worker.Agent {
+func (s *Server) agentFor(l *servedLink, o *order) *worker.Agent {
 	a := l.agents[o.Worker]
 	if a == nil {
-		if len(l.agents) >= agentsMost {
-			clear(l.agents) // of workers that have gone, for the most part
+		if len(l.agents) >= maxAgentsPerLink {
+			clear(l.agents) // Most of these workers are gone.
 		}
 		a = s.direct(worker.Info{ID: o.Worker, Address: o.Address})
 		l.agents[o.Worker] = a
@@ -97,9 +97,9 @@
 	return a
 }
 
-// carryOut makes the call and keeps its result until it is fetched.
-func (s *Server) carryOut(l *served, agent *worker.Agent, o *order) {
-	ctx, cancel := context.WithTimeout(s.ctx, o.Within)
+// execute makes the call and keeps its result until it is fetched.
+func (s *Server) execute(l *servedLink, agent *worker.Agent, o *order) {
+	ctx, cancel := context.WithTimeout(s.ctx, o.Timeout)
 	defer cancel()
 	r := result{Number: o.Number}
 	var err error
@@ -111,7 +111,7 @@
 	case o.Hold != nil:
 		r.Held, err = agent.Hold(ctx, o.Hold)
 	}
-	r.Ended, r.Reason, r.Text = endingOf(err)
+	r.Outcome, r.Reason, r.Text = outcomeOf(err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.results = append(l.results, r)
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -7,88 +7,88 @@
 	"turmericgap/worker"
 )
 
-// methodExchange hands a relay new orders and fetches what has come of earlier ones.
+// methodExchange sends new orders to a relay and fetches the results of earlier ones.
 const methodExchange = "Relay.Exchange"
 
-// order is one call to a worker; one of Launch, Halt and Hold is set.
+// order is one call to a worker; exactly one of Launch, Halt and Hold is set.
 type order struct {
 	Number uint64 `msgpack:"n"`
-	// Worker and Address name the lifetime of the worker.
+	// Worker and Address identify the lifetime of the worker.
 	Worker  string `msgpack:"w"`
 	Address string `msgpack:"a"`
-	// Within is how long the call may take.
-	Within time.Duration  `msgpack:"t"`
-	Launch *worker.Launch `msgpack:"l,omitempty"`
-	Halt   *worker.Halt   `msgpack:"s,omitempty"`
-	Hold   *worker.Hold   `msgpack:"h,omitempty"`
+	// Timeout bounds the duration of the call.
+	Timeout time.Duration  `msgpack:"t"`
+	Launch  *worker.Launch `msgpack:"l,omitempty"`
+	Halt    *worker.Halt   `msgpack:"s,omitempty"`
+	Hold    *worker.Hold   `msgpack:"h,omitempty"`
 }
 
-// result is what came of an order.
+// result is the result of an order.
 type result struct {
-	Number uint64        `msgpack:"n"`
-	Clock  time.Duration `msgpack:"c,omitempty"`
-	Held   *worker.Held  `msgpack:"h,omitempty"`
-	Ended  ending        `msgpack:"e,omitempty"`
-	// Reason is the worker's with endedRefused, Text that of the log with endedOpen.
+	Number  uint64        `msgpack:"n"`
+	Clock   time.Duration `msgpack:"c,omitempty"`
+	Held    *worker.Held  `msgpack:"h,omitempty"`
+	Outcome outcome       `msgpack:"e,omitempty"`
+	// Reason is the worker's reason with outcomeRefused. Text is the error text with outcomeUnknown and outcomeNotSent.
 	Reason worker.Reason `msgpack:"r,omitempty"`
 	Text   string        `msgpack:"x,omitempty"`
 }
 
-// ending is how a call ended, if not well.
-type ending string
+// outcome classifies a failed call; it is empty for a successful one.
+type outcome string
 
 const (
-	endedReplaced ending = "replaced"
-	endedUnwell   ending = "unwell"
-	endedRefused  ending = "refused"
-	endedNotSent  ending = "notSent"
-	endedOpen     ending = "open"
+	outcomeReplaced outcome = "replaced"
+	outcomeUnwell   outcome = "unwell"
+	outcomeRefused  outcome = "refused"
+	outcomeNotSent  outcome = "notSent"
+	outcomeUnknown  outcome = "open"
 )
 
-// endingOf tells how a call ended.
-func endingOf(err error) (e ending, reason worker.Reason, text string) {
+// outcomeOf classifies the error of a call.
+func outcomeOf(err error) (e outcome, reason worker.Reason, text string) {
 	var refused *worker.Refusal
 	switch {
 	case err == nil:
 		return "", "", ""
 	case errors.As(err, &refused):
-		return endedRefused, refused.Reason, ""
+		return outcomeRefused, refused.Reason, ""
 	case errors.Is(err, worker.ErrReplaced):
-		return endedReplaced, "", ""
+		return outcomeReplaced, "", ""
 	case errors.Is(err, worker.ErrUnwell):
-		return endedUnwell, "", ""
+		return outcomeUnwell, "", ""
 	case errors.Is(err, worker.ErrNotSent):
-		return endedNotSent, "", err.Error()
+		return outcomeNotSent, "", err.Error()
 	}
-	return endedOpen, "", err.Error()
+	return outcomeUnknown, "", err.Error()
 }
 
-// err is what the call to the worker has returned.
-func (r *result) err() error {
-	switch r.Ended {
+// toError restores the error that the call to the worker returned.
+func (r *result) toError() error {
+	switch r.Outcome {
 	case "":
 		return nil
-	case endedRefused:
+	case outcomeRefused:
 		return &worker.Refusal{Reason: r.Reason}
-	case endedReplaced:
+	case outcomeReplaced:
 		return worker.ErrReplaced
-	case endedUnwell:
+	case outcomeUnwell:
 		return worker.ErrUnwell
-	case endedNotSent:
+	case outcomeNotSent:
 		return errors.Join(worker.ErrNotSent, errors.New(r.Text))
 	default:
 		return errors.New(r.Text)
 	}
 }
 
-// exchangeRequest carries new orders; Link tells apart the owners, and the links of one.
+// exchangeRequest carries new orders. Link is unique for each link of each owner.
 type exchangeRequest struct {
 	Link   uint64  `msgpack:"l"`
 	Orders []order `msgpack:"o"`
 }
 
-// exchangeReply carries results. Process differs after a restart, which forgets all orders.
+// exchangeReply carries results. ProcessID changes when the relay restarts, which loses all orders.
 type exchangeReply struct {
-	Process uint64   `msgpack:"p"`
-	Results []result `msgpack:"r"`
+	ProcessID uint64   `msgpack:"p"`
+	Results   []result `msgpack:"r"`
 }
