--- a/route/doc.go
+++ b/route/doc.go
@@ -1,2 +1,2 @@
-// Package route brings a caller's requests about jobs to the scheduler that owns the job's home zone.
+// Package route sends requests about jobs to the scheduler that owns the job's home zone.
 package route
--- a/route/message.go
+++ b/route/message.go
@@ -5,7 +5,7 @@
 	"turmericgap/planner"
 )
 
-// The calls that a scheduler serves, by name.
+// Names of the calls that a scheduler serves.
 const (
 	CallSubmit  = "job.submit"
 	CallStatus  = "job.status"
@@ -15,33 +15,33 @@
 	CallExplain = "job.why"
 )
 
-// SubmitRequest asks the owner of a job's home zone to accept it.
+// SubmitRequest asks the owner of a job's home zone to accept the job.
 type SubmitRequest struct {
 	Spec job.Submission `msgpack:"s"`
 }
 
-// JobRequest names a job.
+// JobRequest identifies a job by its ID.
 type JobRequest struct {
 	ID string `msgpack:"i"`
 }
 
-// CancelRequest names a job and why it is cancelled.
+// CancelRequest identifies the job to cancel and gives the reason.
 type CancelRequest struct {
 	ID     string `msgpack:"i"`
 	Reason string `msgpack:"r"`
 }
 
-// ListRequest asks for the jobs of a zone, Most at the most.
+// ListRequest asks for at most Limit jobs of a zone.
 type ListRequest struct {
 	Limit int `msgpack:"m"`
 }
 
-// ListReply is a zone's jobs, without answers.
+// ListReply contains the jobs of a zone, without their answers.
 type ListReply struct {
 	Jobs []job.Status `msgpack:"j"`
 }
 
-// Explanation tells where a job stands and for which reason.
+// Explanation contains the status of a job and the reasons for it.
 type Explanation struct {
 	Status      job.Status          `json:"status" msgpack:"s"`
 	Explanation planner.Explanation `json:"explanation" msgpack:"e"`
--- a/route/route.go
+++ b/route/route.go
@@ -13,18 +13,18 @@
 	"turmericgap/rpc"
 )
 
-// DefaultRetryAfter is when a caller may ask again while a zone changes its owner.
+// DefaultRetryAfter is how long a caller waits before a retry while the owner of a zone changes.
 const DefaultRetryAfter = 2 * time.Second
 
-// tries bounds how often one request is sent: the second goes to the owner that has taken over.
-const tries = 2
+// maxAttempts bounds how often a request is sent; the second attempt reaches an owner that has taken over.
+const maxAttempts = 2
 
-// JobID gives the identity of the job with that key; one key is one job, so a repeat meets the first.
+// JobID returns the ID of the job with the given key. A key identifies one job, so a repeated request finds it.
 func JobID(zone, key string) string {
 	return zone + "." + strconv.FormatUint(xxhash.Sum64String(key), 16)
 }
 
-// ZoneOf gives the home zone within a job's identity.
+// ZoneOf returns the home zone encoded in a job ID, or an empty string if there is none.
 func ZoneOf(id string) string {
 	if at := strings.LastIndexByte(id, '.'); at > 0 {
 		return id[:at]
@@ -32,16 +32,16 @@
 	return ""
 }
 
-// HomeZone gives the zone that owns a submission: the one that it is pinned to, or the one of
-// zones whose hash with the key is highest, so that one zone more moves few keys.
+// HomeZone returns the zone that owns a submission: the zone it is pinned to, or by rendezvous hashing the zone whose
+// hash with the key is highest, so that adding a zone moves few keys.
 func HomeZone(s *job.Submission, zones []string) string {
 	if s.Zone != "" {
 		return s.Zone
 	}
-	best, most := "", uint64(0)
+	best, highest := "", uint64(0)
 	for _, z := range zones {
-		if h := xxhash.Sum64String(z + "\x00" + s.Key); best == "" || h > most {
-			best, most = z, h
+		if h := xxhash.Sum64String(z + "\x00" + s.Key); best == "" || h > highest {
+			best, highest = z, h
 		}
 	}
 	return best
@@ -49,14 +49,14 @@
 
 // Client sends each request to the owner of its zone.
 type Client struct {
-	// Zones are all zones of the cell, the same in every process.
+	// Zones lists all zones of the cell. It must be the same in every process.
 	Zones []string
-	// Owner gives the address of a zone's owner as this process knows it.
+	// Owner returns the address of a zone's owner as known to this process.
 	Owner func(zone string) (address string, ok bool)
 	Pool  *rpc.Pool
 }
 
-// Submit brings a job to its home zone.
+// Submit sends a job to its home zone.
 func (c *Client) Submit(ctx context.Context, spec *job.Submission) (*job.Status, error) {
 	if l := spec.Check(); len(l) > 0 {
 		return nil, &rpc.Fault{Code: rpc.CodeInvalid, Reason: l.Error(), Findings: l}
@@ -65,47 +65,47 @@
 	if f := rpc.AsFault(err); f == nil || f.Code != rpc.CodeMoved {
 		return st, err
 	}
-	// The home zone has remembered for good where the key belongs, so that a repeat goes there too.
-	there := *spec
-	there.Zone = rpc.AsFault(err).Zone
-	return send[SubmitRequest, job.Status](ctx, c, there.Zone, CallSubmit, &SubmitRequest{Spec: there})
+	// The home zone has recorded permanently which zone has the key, so a repeated request goes there too.
+	moved := *spec
+	moved.Zone = rpc.AsFault(err).Zone
+	return send[SubmitRequest, job.Status](ctx, c, moved.Zone, CallSubmit, &SubmitRequest{Spec: moved})
 }
 
-// Status asks where a job stands.
+// Status returns the status of a job.
 func (c *Client) Status(ctx context.Context, id string) (*job.Status, error) {
 	return send[JobRequest, job.Status](ctx, c, ZoneOf(id), CallStatus, &JobRequest{ID: id})
 }
 
-// Wait asks for the final status, or the latest when ctx is about to end.
+// Wait returns the final status of a job, or the latest one when ctx is about to end.
 func (c *Client) Wait(ctx context.Context, id string) (*job.Status, error) {
 	return send[JobRequest, job.Status](ctx, c, ZoneOf(id), CallWait, &JobRequest{ID: id})
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, id, reason string) (*job.Status, error) {
 	return send[CancelRequest, job.Status](ctx, c, ZoneOf(id), CallCancel, &CancelRequest{ID: id, Reason: reason})
 }
 
-// Explain explains where a job stands.
+// Explain returns the status of a job with the reasons for it.
 func (c *Client) Explain(ctx context.Context, id string) (*Explanation, error) {
 	return send[JobRequest, Explanation](ctx, c, ZoneOf(id), CallExplain, &JobRequest{ID: id})
 }
 
-// List gives the jobs of one zone.
-func (c *Client) List(ctx context.Context, zone string, most int) ([]job.Status, error) {
-	l, err := send[ListRequest, ListReply](ctx, c, zone, CallList, &ListRequest{Limit: most})
+// List returns at most limit jobs of one zone.
+func (c *Client) List(ctx context.Context, zone string, limit int) ([]job.Status, error) {
+	l, err := send[ListRequest, ListReply](ctx, c, zone, CallList, &ListRequest{Limit: limit})
 	if err != nil {
 		return nil, err
 	}
 	return l.Jobs, nil
 }
 
-// send makes a call that is idempotent, so that one whose answer was lost may be sent once more.
+// send makes an idempotent call, which is therefore safe to repeat after a lost answer.
 func send[Req, Resp any](ctx context.Context, c *Client, zone, name string, req *Req) (*Resp, error) {
 	mayHaveRun := false
 	var last error
 	tried := ""
-	for range tries {
+	for range maxAttempts {
 		address, ok := c.Owner(zone)
 		if !ok || (address == tried && errors.Is(last, rpc.ErrNotSent)) {
 			break
@@ -128,11 +128,11 @@
 			break
 		}
 	}
-	return nil, verdict(zone, last, mayHaveRun)
+	return nil, finalFault(zone, last, mayHaveRun)
 }
 
-// verdict says what a caller may conclude after the last try: one lost answer makes it unknown.
-func verdict(zone string, last error, mayHaveRun bool) *rpc.Fault {
+// finalFault returns what the caller may conclude after the last attempt: after a lost answer the outcome is unknown.
+func finalFault(zone string, last error, mayHaveRun bool) *rpc.Fault {
 	if mayHaveRun {
 		return &rpc.Fault{Code: rpc.CodeUnknown, Reason: "no answer from zone " + zone + "; ask again with the same key or id", RetryAfter: DefaultRetryAfter}
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,27 +13,27 @@
 	"turmericgap/rpc"
 )
 
-// owner answers the submissions of one zone; cut ends the connection in place of an answer.
+// owner serves the submissions of one zone; cutAnswer closes the connection instead of answering.
 type owner struct {
-	answer func(s *SubmitRequest) (*job.Status, error)
-	cut    bool
-	absent bool
-	calls  int
+	answer      func(s *SubmitRequest) (*job.Status, error)
+	cutAnswer   bool
+	unreachable bool
+	callCount   int
 }
 
-// cell is a client and the owners of two zones, reached over pipes.
+// cell returns a client for the owners of two zones, connected by pipes.
 func cell(owners map[string]*owner) (c *Client, stop func()) {
 	var servers []*rpc.Server
 	pool := rpc.NewPool(rpc.Dial(func(_ context.Context, address string) (net.Conn, error) {
 		o := owners[address]
-		if o.absent {
+		if o.unreachable {
 			return nil, errors.New("refused")
 		}
 		near, far := net.Pipe()
 		s := rpc.NewServer()
 		rpc.Handle(s, CallSubmit, func(_ context.Context, r *SubmitRequest) (*job.Status, error) {
-			o.calls++
-			if o.cut {
+			o.callCount++
+			if o.cutAnswer {
 				far.Close()
 			}
 			return o.answer(r)
@@ -51,16 +51,16 @@
 	}
 }
 
-func done(s *SubmitRequest) (*job.Status, error) {
+func accept(s *SubmitRequest) (*job.Status, error) {
 	return &job.Status{ID: "id", Zone: s.Spec.Zone}, nil
 }
 
-func fails(err error) func(*SubmitRequest) (*job.Status, error) {
+func failWith(err error) func(*SubmitRequest) (*job.Status, error) {
 	return func(*SubmitRequest) (*job.Status, error) { return nil, err }
 }
 
-// The caller hears "not run" only if no owner can have taken the job, and "unknown" as soon as one
-// answer was lost; a job that moved is followed to its zone.
+// The caller may be told that a job was refused only if no owner can have accepted it, and must be told that the
+// outcome is unknown after any lost answer. A job that was moved is followed to its new zone.
 func TestSubmit(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -70,14 +70,14 @@
 		fault rpc.Code
 		calls int
 	}{
-		{"answer", owner{answer: done}, owner{}, "", "", 1},
-		{"moved to another zone", owner{answer: fails(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: done}, "b", "", 1},
-		{"moved, and its zone refuses", owner{answer: fails(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: fails(rpc.Refused(0, "full"))}, "", rpc.CodeRefused, 1},
-		{"not the owner", owner{answer: fails(&rpc.Fault{Code: rpc.CodeNotOwner})}, owner{}, "", rpc.CodeRefused, tries},
-		{"refused is final", owner{answer: fails(rpc.Refused(0, "full"))}, owner{}, "", rpc.CodeRefused, 1},
-		{"owner not reached", owner{absent: true}, owner{}, "", rpc.CodeRefused, 0},
-		{"answer lost", owner{answer: done, cut: true}, owner{}, "", rpc.CodeUnknown, tries},
-		{"outcome unknown there", owner{answer: fails(errors.New("disk"))}, owner{}, "", rpc.CodeUnknown, tries},
+		{"accepted", owner{answer: accept}, owner{}, "", "", 1},
+		{"moved to another zone", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: accept}, "b", "", 1},
+		{"moved, and refused by the new zone", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: failWith(rpc.Refused(0, "full"))}, "", rpc.CodeRefused, 1},
+		{"not the owner", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeNotOwner})}, owner{}, "", rpc.CodeRefused, maxAttempts},
+		{"refused is final", owner{answer: failWith(rpc.Refused(0, "full"))}, owner{}, "", rpc.CodeRefused, 1},
+		{"owner unreachable", owner{unreachable: true}, owner{}, "", rpc.CodeRefused, 0},
+		{"answer lost", owner{answer: accept, cutAnswer: true}, owner{}, "", rpc.CodeUnknown, maxAttempts},
+		{"outcome unknown to the owner", owner{answer: failWith(errors.New("disk"))}, owner{}, "", rpc.CodeUnknown, maxAttempts},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 				st, err := c.Submit(context.Background(), &job.Submission{
 					Key: "k", Team: "t", Class: "c", Kind: job.Batch, Tasks: 1, Each: job.Resources{Millicores: 1, MemoryMB: 1},
 				})
-				is.Equal(tc.a.calls, tc.calls)
+				is.Equal(tc.a.callCount, tc.calls)
 				if tc.fault != "" {
 					is.Equal(rpc.AsFault(err).Code, tc.fault)
 					return
