--- a/lease/options.go
+++ b/lease/options.go
@@ -21,7 +21,7 @@
 // OverlapRenewals allows a renewal to be sent while earlier ones are unanswered.
 func OverlapRenewals() Option { return func(h *Holder) { h.overlapRenewals = true } }
 
-// OnLost sets a function that is called on the holder's goroutine when the store reports that the lease is gone.
+// OnLost sets a function that is called when the store reports that the lease is gone, on the goroutine that renews it.
 // The holder then requests a lease with a new ID.
 func OnLost(f func(id int64)) Option { return func(h *Holder) { h.onLost = f } }
 
