--- a/relay/link.go
+++ b/relay/link.go
@@ -52,9 +52,9 @@
 	lastAnswer              time.Time
 }
 
-func newLink(node owner.Node, client *rpc.Client, log *zap.Logger, broke func(*link)) *link {
+func newLink(node owner.Node, client *rpc.Client, log *zap.Logger, onFailure func(*link)) *link {
 	k := &link{
-		id: rand.Uint64(), node: node, client: client, log: log, onFailure: broke,
+		id: rand.Uint64(), node: node, client: client, log: log, onFailure: onFailure,
 		wake: make(chan struct{}, 1), pending: make(map[uint64]chan result),
 	}
 	k.ctx, k.cancel = context.WithCancel(context.Background())
