--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -134,7 +134,7 @@
 		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
-		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
+		dispatch.Upkeep(waves), dispatch.OnExamined(c.spend),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
@@ -144,7 +144,7 @@
 				}
 				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAsk, q)
 			}),
-		dispatch.Bounds(mostHold, 200*time.Millisecond, 2*time.Minute))
+		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
@@ -199,7 +199,7 @@
 		time.Sleep(busyStep)
 	}
 	time.Sleep(time.Duration(b.vm.lateRelay.Load()))
-	for asked := time.Now(); b.vm.disp.Leads() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
+	for asked := time.Now(); b.vm.disp.IsOwner() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
 		time.Sleep(busyStep)
 	}
 	return b.Conn.Write(p)
@@ -324,7 +324,7 @@
 	c.t.Helper()
 	for range 600 {
 		for _, v := range c.vms {
-			if !v.dead.Load() && v.disp.Leads() {
+			if !v.dead.Load() && v.disp.IsOwner() {
 				return v
 			}
 		}
--- a/front/accept.go
+++ b/front/accept.go
@@ -191,7 +191,7 @@
 	for _, s := range batch {
 		if !seen[s.work.ID] {
 			seen[s.work.ID] = true
-			dispatch.Create(&txn, s.work)
+			dispatch.AddCreate(&txn, s.work)
 		}
 	}
 	started := time.Now()
@@ -203,7 +203,7 @@
 	if res.Succeeded {
 		return nil, nil
 	}
-	return dispatch.Existing(res.Found), nil
+	return dispatch.ExistingIDs(res.Found), nil
 }
 
 // settle answers the submissions whose work exists: a repeat of an ID, or an earlier try that went
