--- a/lease/lease.go
+++ b/lease/lease.go
@@ -139,7 +139,7 @@
 // run keeps the lease alive. Overlapping renewals are sent at a fixed rate, whether or not earlier ones were answered:
 // this keeps the lease even if the store takes longer to answer than the time between renewals.
 func (h *Holder) run() {
-	b := retry.New(retry.Between(retry.DefaultMin, h.renewInterval))
+	b := retry.New(retry.Bounds(retry.DefaultMin, h.renewInterval))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for h.ctx.Err() == nil {
--- a/member/reconcile.go
+++ b/member/reconcile.go
@@ -28,8 +28,8 @@
 
 // maintainTable joins the table and keeps it up to date. It runs on changes, on suspected peers and at long intervals.
 func (g *Group) maintainTable(ctx context.Context) {
-	failures := retry.New(retry.Between(firstBackoff, lastBackoff))
-	polls := retry.New(retry.Between(firstBackoff, g.opts.PollInterval))
+	failures := retry.New(retry.Bounds(firstBackoff, lastBackoff))
+	polls := retry.New(retry.Bounds(firstBackoff, g.opts.PollInterval))
 	for wait := time.Duration(0); g.waitForWake(ctx, wait); {
 		replanAfter, err := g.reconcile(ctx)
 		if err != nil {
