--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// unsentTimeout is how long a new work waits unsent while the store does not answer, before its caller
-	// is told that it never runs. The answer of a store that is only slow comes within it.
+	// unsentTimeout is how long a new work may wait unsent while the store is unresponsive before its caller is told
+	// that it will never run. A slow store answers within this time.
 	unsentTimeout = 350 * time.Millisecond
-	// storeRetryAfter is when a caller may come again whose work the store could not take. Outages last some
-	// seconds: who comes each second is served within a second of the end.
+	// storeRetryAfter is the retry hint for a caller whose work the store could not take. Outages last a few seconds,
+	// so a caller that retries every second is served within a second of recovery.
 	storeRetryAfter = time.Second
 )
 
-// accept takes a new work and makes it durable together with what else is due; done is closed then, or
-// tells why the work was given up unsent. Whether the ID is new is certain only while the term knows all
-// work, also that which has ended.
+// accept adds a new work and makes it durable with the next commit. done is closed once it is durable, or receives the
+// reason why it was withdrawn unsent. The term can be sure that an ID is new only once it knows all works, including
+// those that have ended.
 func (t *term) accept(w *job.Work) (taken bool, done chan error) {
 	if !t.endedLoaded {
 		return false, nil
 	}
 	done = make(chan error, 1)
-	if _, over := t.ended[w.ID]; over {
+	if _, ended := t.ended[w.ID]; ended {
 		close(done)
 		return true, done
 	}
@@ -58,13 +58,14 @@
 	return true, done
 }
 
-// workerListSettleTime is how long the list of workers must have been whole before an owner says that none can run a
-// work: a new owner's list may come late, and entries that lapsed in an outage are back two seconds after it.
+// workerListSettleTime is how long the worker list must have been complete before the owner reports that no worker can
+// run a work: a new owner's list may arrive late, and entries that expired in an outage return two seconds after it.
 const workerListSettleTime = 5 * time.Second
 
-// unschedulableReason tells why a work can never start, empty if it can.
+// unschedulableReason returns why a work can never start, or "" if it can.
 func (t *term) unschedulableReason(w *job.Work) string {
-	if _, failing := t.o.StoreFailing(); failing || time.Since(t.startedAt) < workerListSettleTime || time.Since(t.unlistedAt) < workerListSettleTime {
+	if _, failing := t.o.StoreFailing(); failing || time.Since(t.startedAt) < workerListSettleTime ||
+		time.Since(t.unlistedAt) < workerListSettleTime {
 		return ""
 	}
 	return admission.Hopeless(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
@@ -76,17 +77,17 @@
 	})
 }
 
-// errStoreUnavailable tells a caller that its work was not sent to a store that does not answer.
+// errStoreUnavailable is returned to a caller whose work was not sent because the store is unresponsive.
 var errStoreUnavailable = rpc.Refused(storeRetryAfter, "the store does not answer the owner of the cell")
 
-// canCommit reports whether an entry may be in a commit now.
+// canCommit reports whether an entry may be part of a commit now.
 func (t *term) canCommit(e *entry, now time.Time) bool {
 	return !e.committing && !e.awaitsPermits(now) && !t.isHeldBack(e)
 }
 
-// isHeldBack reports whether an entry must not be sent now. What is sent to a store that does not answer
-// has an open outcome: its caller could neither be told that the work is accepted nor that it never runs,
-// and may not hand it in again. Changes of works that are known go on, since nobody waits to be told.
+// isHeldBack reports whether an entry must not be sent now. A request to an unresponsive store has an unknown outcome:
+// the caller could be told neither that the work is accepted nor that it will never run, and could not safely resubmit
+// it. Changes of known works are still sent, since no caller waits for them.
 func (t *term) isHeldBack(e *entry) bool {
 	if !e.needsCreate {
 		return false
@@ -96,12 +97,12 @@
 }
 
 // permitJoinTimeout is how long a new work waits for the permits of its first steps before it is made durable without
-// their starts. A short question takes about twenty milliseconds.
+// their starts. A short permit request takes about 20 ms.
 const permitJoinTimeout = 40 * time.Millisecond
 
-// awaitsPermits reports whether a new work should wait, so that one commit makes it durable together with its first
-// starts. A second commit for these must wait for the first: at a slow store a check would spend most of what it has
-// to spare before its start.
+// awaitsPermits reports whether a new work should wait so that a single commit makes it durable together with its first
+// starts. A second commit would have to wait for the first: with a slow store that would use up most of the time that a
+// check can spare before its start.
 func (e *entry) awaitsPermits(now time.Time) bool {
 	if !e.needsCreate || e.pendingSave == nil || now.Sub(e.pendingSave.since) >= permitJoinTimeout {
 		return false
@@ -116,7 +117,7 @@
 	return false
 }
 
-// withdrawUnsent gives up the new works that were not sent in time, while the store does not answer.
+// withdrawUnsent withdraws new works that were not sent in time while the store is unresponsive.
 func (t *term) withdrawUnsent(now time.Time) {
 	left := t.unsent[:0]
 	for _, e := range t.unsent {
@@ -132,8 +133,8 @@
 	t.unsent = left
 }
 
-// withdraw forgets a new work that was not sent. Nothing of it has begun, since an intent is sent with its
-// work or after it.
+// withdraw removes a new work that was not sent. None of its tasks has started, since an intent is sent together with
+// its work or later.
 func (t *term) withdraw(e *entry) {
 	t.log.Info("dispatch: work given up unsent", zap.String("id", e.work.ID))
 	e.state = job.WorkCancelled
@@ -154,7 +155,7 @@
 	}
 }
 
-// releaseUnsentRuns gives back the room of runs that were decided and not sent.
+// releaseUnsentRuns releases the capacity of runs that were decided but not sent.
 func (s *stage) releaseUnsentRuns() {
 	for i := range s.tasks {
 		if r := s.tasks[i].run; r != nil && !r.ended {
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -13,30 +13,30 @@
 	"turmericgap/store/retry"
 )
 
-// pendingSave is an entry whose state waits for a commit, with what is to happen after it.
+// pendingSave is an entry that waits for a commit, with the effects that run after it.
 type pendingSave struct {
 	entry   *entry
 	since   time.Time
 	effects []func()
 }
 
-// commitMarker is the value of a lane's key; it tells whose commit was the last.
+// commitMarker is the value of a stream's key; it identifies the last commit.
 type commitMarker struct {
 	Fence  int64 `msgpack:"f"`
 	Number int64 `msgpack:"n"`
 }
 
 const (
-	// commitOverhead is two conditions and the write of the lane's key.
+	// commitOverhead covers two compares and the write of the stream's key.
 	commitOverhead = 3
-	// maxOpsPerWork is how many entries of one work a commit may need: its end removes two and writes one.
+	// maxOpsPerWork is the maximum number of operations for one work: its end deletes two keys and writes one.
 	maxOpsPerWork = 3
-	// commitRetryMin and commitRetryMax bound the pauses between tries of one commit.
+	// commitRetryMin and commitRetryMax bound the backoff between attempts of a commit.
 	commitRetryMin = 10 * time.Millisecond
 	commitRetryMax = 250 * time.Millisecond
 )
 
-// save marks an entry for the next commit; effect runs on the loop once it is durable.
+// save adds an entry to the next commit. effect runs on the loop once the entry is durable.
 func (t *term) save(e *entry, effect func()) {
 	if e.pendingSave == nil {
 		e.pendingSave = &pendingSave{entry: e, since: time.Now()}
@@ -50,7 +50,7 @@
 // afterSaved runs effect once the present state of an entry is durable.
 func (t *term) afterSaved(e *entry, effect func()) { t.save(e, effect) }
 
-// commitBatch is what one commit writes.
+// commitBatch is the content of one commit.
 type commitBatch struct {
 	stream   *commitStream
 	txn      store.Txn
@@ -58,18 +58,18 @@
 	saves    []*pendingSave
 	states   map[*entry]job.WorkState
 	finished []*entry
-	// created lists works that the commit makes durable, removed the ended records that it takes away.
+	// created lists the works that the commit creates; removed lists the IDs whose records of ended work it deletes.
 	created []*entry
 	removed []string
 }
 
-func (t *term) sendBatch(ch *commitBatch) {
-	before, started := ch.stream.revision, time.Now()
-	t.committer.lastSent, ch.stream.sentAt = started, started
+func (t *term) sendBatch(batch *commitBatch) {
+	before, started := batch.stream.revision, time.Now()
+	t.committer.lastSent, batch.stream.sentAt = started, started
 	t.wg.Go(func() {
-		revision, err := t.commit(ch, before)
+		revision, err := t.commit(batch, before)
 		if errors.Is(err, store.ErrNotSent) {
-			t.post(func() { t.onDeclined(ch) })
+			t.post(func() { t.onDeclined(batch) })
 			return
 		}
 		if err != nil {
@@ -78,57 +78,59 @@
 			}
 			return
 		}
-		t.post(func() { t.onCommitted(ch, revision, time.Since(started)) })
+		t.post(func() { t.onCommitted(batch, revision, time.Since(started)) })
 	})
 }
 
-// buildBatch turns as many changes as one transaction holds into operations.
-func (t *term) buildBatch(l *commitStream) *commitBatch {
+// buildBatch builds a transaction from as many pending changes as fit.
+func (t *term) buildBatch(stream *commitStream) *commitBatch {
 	c := &t.committer
-	ch := &commitBatch{stream: l, marker: encode(&commitMarker{t.tenure.Fence, c.number}), states: make(map[*entry]job.WorkState)}
-	ch.txn.Compares = []store.Compare{
+	batch := &commitBatch{
+		stream: stream, marker: encode(&commitMarker{t.tenure.Fence, c.number}), states: make(map[*entry]job.WorkState),
+	}
+	batch.txn.Compares = []store.Compare{
 		t.tenure.Compare(),
-		{Key: l.key, Target: store.ModRevision, Revision: l.revision},
+		{Key: stream.key, Target: store.ModRevision, Revision: stream.revision},
 	}
-	ch.txn.Then = []store.Op{{Key: l.key, Value: ch.marker}}
+	batch.txn.Then = []store.Op{{Key: stream.key, Value: batch.marker}}
 	var left []*pendingSave
 	now := time.Now()
 	for _, s := range c.queue {
-		if !t.canCommit(s.entry, now) || len(ch.txn.Then)+maxOpsPerWork > maxTxnOps-commitOverhead+1 {
+		if !t.canCommit(s.entry, now) || len(batch.txn.Then)+maxOpsPerWork > maxTxnOps-commitOverhead+1 {
 			left = append(left, s)
 			continue
 		}
-		t.addToBatch(ch, s.entry)
-		ch.saves = append(ch.saves, s)
+		t.addToBatch(batch, s.entry)
+		batch.saves = append(batch.saves, s)
 		s.entry.pendingSave, s.entry.committing = nil, true
 	}
 	c.queue = left
-	for len(t.endedToRemove) > 0 && len(ch.txn.Then) < maxTxnOps-commitOverhead+1 {
-		ch.txn.Then = append(ch.txn.Then, store.Op{Delete: true, Key: endedPrefix + t.endedToRemove[0]})
-		ch.removed = append(ch.removed, t.endedToRemove[0])
+	for len(t.endedToRemove) > 0 && len(batch.txn.Then) < maxTxnOps-commitOverhead+1 {
+		batch.txn.Then = append(batch.txn.Then, store.Op{Delete: true, Key: endedPrefix + t.endedToRemove[0]})
+		batch.removed = append(batch.removed, t.endedToRemove[0])
 		t.endedToRemove = t.endedToRemove[1:]
 	}
-	return ch
+	return batch
 }
 
-// onDeclined takes back a commit that the store surely did not carry out. The changes wait again, with what
-// has come since, so that a new work among them can still be given up for certain; retried as it was, the
-// commit would keep its callers until they have gone.
-func (t *term) onDeclined(ch *commitBatch) {
+// onDeclined handles a commit that the store has certainly not applied. Its changes are queued again, merged with newer
+// ones, so that a new work among them can still be withdrawn safely. Retrying the same commit instead would keep
+// callers waiting until they time out.
+func (t *term) onDeclined(batch *commitBatch) {
 	c := &t.committer
 	c.inFlight--
-	ch.stream.inFlight = false
+	batch.stream.inFlight = false
 	c.retryAt = time.Now().Add(c.backoff.Next())
-	for e := range ch.states {
+	for e := range batch.states {
 		e.committing = false
 	}
-	for _, e := range ch.created {
+	for _, e := range batch.created {
 		e.needsCreate = !e.createdElsewhere
 	}
-	for _, e := range ch.finished {
+	for _, e := range batch.finished {
 		e.endQueued = false
 	}
-	for _, s := range ch.saves {
+	for _, s := range batch.saves {
 		if newer := s.entry.pendingSave; newer != nil {
 			newer.effects, newer.since = append(s.effects, newer.effects...), s.since
 			continue
@@ -136,24 +138,24 @@
 		s.entry.pendingSave = s
 		c.queue = append(c.queue, s)
 	}
-	t.endedToRemove = append(ch.removed, t.endedToRemove...)
+	t.endedToRemove = append(batch.removed, t.endedToRemove...)
 }
 
-// addToBatch adds the state of one entry. The record of a work that has ended, with none of its runs left,
-// takes the place of the work and its progress.
-func (t *term) addToBatch(ch *commitBatch, e *entry) {
+// addToBatch adds the state of one entry. Once a work has ended and none of its runs is left, a record of its end
+// replaces the work and its progress.
+func (t *term) addToBatch(batch *commitBatch, e *entry) {
 	id := e.work.ID
-	ch.states[e] = e.reportedState()
+	batch.states[e] = e.reportedState()
 	if e.needsCreate && !e.isRemovable() {
 		e.needsCreate = false
-		ch.created = append(ch.created, e)
-		ch.txn.Then = append(ch.txn.Then, store.Op{Key: workPrefix + id, Value: encode(e.work)})
+		batch.created = append(batch.created, e)
+		batch.txn.Then = append(batch.txn.Then, store.Op{Key: workPrefix + id, Value: encode(e.work)})
 		if e.lastRun == 0 && e.occurrencesBegun <= 1 && !e.state.Final() {
-			return // a work without a state has not started
+			return // a work without progress has not started
 		}
 	}
 	if !e.isRemovable() {
-		ch.txn.Then = append(ch.txn.Then, store.Op{Key: statePrefix + id, Value: encode(e.toProgress())})
+		batch.txn.Then = append(batch.txn.Then, store.Op{Key: statePrefix + id, Value: encode(e.toProgress())})
 		return
 	}
 	if e.endQueued {
@@ -161,14 +163,14 @@
 	}
 	e.endQueued = true
 	end := Ended{State: e.state, At: time.Now(), Queue: e.work.Queue.Name}
-	ch.finished = append(ch.finished, e)
-	ch.txn.Then = append(ch.txn.Then,
+	batch.finished = append(batch.finished, e)
+	batch.txn.Then = append(batch.txn.Then,
 		store.Op{Delete: true, Key: workPrefix + id},
 		store.Op{Delete: true, Key: statePrefix + id},
 		store.Op{Key: endedPrefix + id, Value: encode(&end)})
 }
 
-// reportedState is what a caller may be told of the state once it is durable.
+// reportedState is the state that callers see once it is durable.
 func (e *entry) reportedState() job.WorkState {
 	if !e.state.Final() && e.started {
 		return job.WorkRunning
@@ -176,22 +178,22 @@
 	return e.state
 }
 
-// isRemovable reports whether the work has ended and its record may go. A completed one waits for nothing;
-// of the others all runs must have ended, so that a successor goes on stopping them.
+// isRemovable reports whether the work has ended and may be replaced by its record. A completed work needs nothing
+// more. For others all runs must have ended, so that a successor continues to stop them.
 func (e *entry) isRemovable() bool {
 	return e.state == job.WorkCompleted || (e.state.Final() && e.activeRuns == 0)
 }
 
-// onCommitted runs on the loop after a commit.
-func (t *term) onCommitted(ch *commitBatch, revision int64, took time.Duration) {
+// onCommitted handles a successful commit on the loop.
+func (t *term) onCommitted(batch *commitBatch, revision int64, took time.Duration) {
 	t.committer.inFlight--
-	ch.stream.inFlight, ch.stream.revision = false, revision
+	batch.stream.inFlight, batch.stream.revision = false, revision
 	t.committer.backoff.Reset()
 	t.o.Metrics.Histogram("dispatch.commitMillis").Update(took.Milliseconds())
-	for e, state := range ch.states {
+	for e, state := range batch.states {
 		e.durableState, e.committing = state, false
 	}
-	for _, e := range ch.finished {
+	for _, e := range batch.finished {
 		delete(t.entries, e.work.ID)
 		t.countEnded(e, time.Now())
 		t.addEnded(e.work.ID, Ended{State: e.state, At: time.Now(), Queue: e.work.Queue.Name})
@@ -199,10 +201,10 @@
 			zap.String("state", string(e.state)), zap.Duration("took", time.Since(e.work.Accepted)),
 			zap.Stringer("class", e.class), zap.Duration("beforeGoal", time.Until(e.lastDeadline())))
 	}
-	for _, e := range ch.created {
+	for _, e := range batch.created {
 		e.waiters = nil
 	}
-	for _, s := range ch.saves {
+	for _, s := range batch.saves {
 		for _, f := range s.effects {
 			f()
 		}
@@ -217,17 +219,17 @@
 	t.endedOrder = append(t.endedOrder, id)
 }
 
-// commit sends a transaction until its outcome is certain, and gives the revision of its lane's key after
-// it. An answer that was lost is resolved by trying again: the number in that key tells whether an
-// earlier try went through, and once a later commit has changed it, no earlier try ever can.
-func (t *term) commit(ch *commitBatch, before int64) (int64, error) {
+// commit sends a transaction until its outcome is certain and returns the resulting revision of its stream's key. After
+// a lost answer it tries again: the marker in the key shows whether an earlier attempt was applied, and once a later
+// commit has changed the key, no earlier attempt can be applied any more.
+func (t *term) commit(batch *commitBatch, before int64) (int64, error) {
 	b := retry.New(retry.Between(commitRetryMin, commitRetryMax))
 	for first := true; ; first = false {
 		ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
-		res, err := t.o.Store.Txn(ctx, ch.txn)
+		res, err := t.o.Store.Txn(ctx, batch.txn)
 		if err == nil && !res.Succeeded {
 			var revision int64
-			if revision, err = t.resolve(ctx, ch, &res); err == nil {
+			if revision, err = t.resolve(ctx, batch, &res); err == nil {
 				cancel()
 				return revision, nil
 			}
@@ -251,18 +253,18 @@
 	}
 }
 
-// resolve tells whether a refused transaction had gone through at an earlier try.
-func (t *term) resolve(ctx context.Context, ch *commitBatch, res *store.TxnResult) (int64, error) {
+// resolve reports whether a rejected transaction had already been applied by an earlier attempt.
+func (t *term) resolve(ctx context.Context, batch *commitBatch, res *store.TxnResult) (int64, error) {
 	found := res.Found
 	if len(found) == 0 {
-		r, err := t.o.Store.Range(ctx, store.Range{Key: ch.stream.key})
+		r, err := t.o.Store.Range(ctx, store.Range{Key: batch.stream.key})
 		if err != nil {
 			return 0, err
 		}
 		found = r.Pairs
 	}
 	for i := range found {
-		if found[i].Key == ch.stream.key && bytes.Equal(found[i].Value, ch.marker) {
+		if found[i].Key == batch.stream.key && bytes.Equal(found[i].Value, batch.marker) {
 			return found[i].ModRevision, nil
 		}
 	}
--- a/dispatch/committer.go
+++ b/dispatch/committer.go
@@ -7,25 +7,25 @@
 	"turmericgap/store/retry"
 )
 
-// committer groups the changes of entries into transactions. One is under way at a time while the store
-// answers as usual; more are opened when it is slow, since changes of different entries do not depend on
-// each other. An entry is in one of them at most.
+// committer groups entry changes into transactions. Normally one transaction is in flight at a time. When the store is
+// slow, more are sent concurrently, since changes of different entries are independent. An entry is in at most one of
+// them.
 type committer struct {
 	queue    []*pendingSave
 	streams  [maxStreams]commitStream
 	inFlight int
 	// number counts the commits of the term.
 	number int64
-	// retryAt is when a commit may be sent after one that the store declined, declines the pauses.
+	// retryAt is when the next commit may be sent after the store declined one; backoff computes the delays.
 	retryAt time.Time
 	backoff *retry.Backoff
-	// wakeAt is when a timer will look at the queue again.
+	// wakeAt is when a timer triggers the next look at the queue.
 	wakeAt time.Time
-	// lastSent is when the newest commit was lastSent.
+	// lastSent is when the latest commit was sent.
 	lastSent time.Time
 }
 
-// commitStream is a line of transactions, each of which compares the one before it.
+// commitStream is a sequence of transactions, each of which compares the revision of the previous one.
 type commitStream struct {
 	key      string
 	inFlight bool
@@ -34,14 +34,15 @@
 }
 
 const (
-	// maxStreams bounds the transactions under way: so many carry a burst of checks at a slow store, which one alone
-	// does not.
+	// maxStreams bounds the transactions in flight. This many carry a burst of checks while the store is slow; a
+	// single one does not.
 	maxStreams = 8
-	// streamOpenDelay is how long a change waits before another lane is opened beside those under way: three
-	// times the usual answer of the store.
+	// streamOpenDelay is how long a change waits before another stream is used while a commit is in flight: three times
+	// the usual store latency.
 	streamOpenDelay = 12 * time.Millisecond
-	// minCommitInterval is the least pause between two commits that are not full. What comes after a pause is
-	// sent at once. Without it each change of a calm day would make its own commit, which is paid for.
+	// minCommitInterval is the minimum interval between commits that are not full; a change that arrives after a longer
+	// pause is sent at once. Without it every change under light load would cost a commit of its own, and commits are
+	// billed.
 	minCommitInterval = 25 * time.Millisecond
 )
 
@@ -49,18 +50,18 @@
 func (t *term) flush() {
 	c := &t.committer
 	for {
-		free := c.freeStream()
-		if free == nil || !t.isCommitDue() {
+		stream := c.freeStream()
+		if stream == nil || !t.isCommitDue() {
 			return
 		}
 		c.inFlight++
-		free.inFlight = true
+		stream.inFlight = true
 		c.number++
-		t.sendBatch(t.buildBatch(free))
+		t.sendBatch(t.buildBatch(stream))
 	}
 }
 
-// isStuck reports whether a commit has been without an answer for too long.
+// isStuck reports whether a commit has been unanswered for too long.
 func (c *committer) isStuck(now time.Time) bool {
 	for i := range c.streams {
 		if c.streams[i].inFlight && now.Sub(c.streams[i].sentAt) > commitStuckAfter {
@@ -70,7 +71,7 @@
 	return false
 }
 
-// init gives the lanes their keys, and pauses after commits that were declined.
+// init sets the key of each stream and the backoff after declined commits.
 func (c *committer) init() {
 	c.backoff = retry.New(retry.Between(commitRetryMin, commitRetryMax))
 	for i := range c.streams {
@@ -78,7 +79,7 @@
 	}
 }
 
-// setRevision notes the last change of a lane's key.
+// setRevision records the last known revision of a stream's key.
 func (c *committer) setRevision(key string, revision int64) {
 	for i := range c.streams {
 		if c.streams[i].key == key {
@@ -87,7 +88,7 @@
 	}
 }
 
-// freeStream gives a lane that may be used, or nil.
+// freeStream returns an idle stream, or nil.
 func (c *committer) freeStream() *commitStream {
 	for i := range c.streams {
 		if !c.streams[i].inFlight {
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// isCommitDue reports whether a commit should be sent now: at once if none is under way, else when as much
-// waits as one holds or when it has waited for longer than the store usually takes.
+// isCommitDue reports whether a commit should be sent now: at once if none is in flight, otherwise when a full
+// transaction is waiting or a change has waited longer than the store usually takes.
 func (t *term) isCommitDue() bool {
 	c := &t.committer
 	if left := time.Until(c.retryAt); left > 0 {
@@ -134,7 +135,7 @@
 	return left <= 0
 }
 
-// scheduleCommit looks at the queue again after a while, or earlier if that is asked for already.
+// scheduleCommit checks the queue again after a delay, unless an earlier check is already scheduled.
 func (t *term) scheduleCommit(after time.Duration) {
 	c := &t.committer
 	at := time.Now().Add(after)
@@ -145,5 +146,5 @@
 	time.AfterFunc(after, func() { t.post(func() { c.wakeAt = time.Time{} }) })
 }
 
-// removeBatch is how many records of ended work are removed by one commit.
+// removeBatch is how many records of ended work one commit deletes.
 const removeBatch = 24
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -11,23 +11,23 @@
 	"turmericgap/rpc"
 )
 
-// errTermClosed means that this VM no longer owns the cell.
+// errTermClosed is returned when this VM no longer owns the cell.
 var errTermClosed = errors.New("this entry VM no longer owns the cell")
 
-// ownerRetryAfter is when a caller may try again while the cell has no owner: about a take-over.
+// ownerRetryAfter is the retry hint while the cell has no owner, about the duration of a takeover.
 const ownerRetryAfter = time.Second
 
-// Dispatcher answers for the cell whenever this entry VM owns it.
+// Dispatcher serves requests for the cell while this entry VM owns it.
 type Dispatcher struct {
 	o    *Options
 	mu   sync.Mutex
 	term *term
 }
 
-// New returns a Dispatcher that waits for its first tenure.
+// New returns a Dispatcher that is idle until its first tenure.
 func New(opts ...Option) *Dispatcher { return &Dispatcher{o: newOptions(opts)} }
 
-// Lead runs the cell's work until ctx ends; it is what an owner.Group is given to do.
+// Lead runs the cell's work until ctx ends. An owner.Group calls it at the start of each tenure.
 func (d *Dispatcher) Lead(ctx context.Context, tenure *owner.Tenure) {
 	t := newTerm(ctx, d.o, tenure)
 	defer t.close()
@@ -49,18 +49,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.term == nil {
-		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetryAfter}
+		return nil, &rpc.Fault{
+			Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetryAfter,
+		}
 	}
 	return d.term, nil
 }
 
-// IsOwner reports whether this VM owns the cell and has read its state.
+// IsOwner reports whether this VM owns the cell and has loaded its state.
 func (d *Dispatcher) IsOwner() bool {
 	t, err := d.currentTerm()
 	return err == nil && t != nil
 }
 
-// Offer tells the owner of accepted work, so that it need not wait for the store to tell.
+// Offer passes accepted work to the owner directly, without the delay of the store's watch.
 func (d *Dispatcher) Offer(ctx context.Context, works []job.Work) error {
 	t, err := d.currentTerm()
 	if err != nil {
@@ -73,37 +75,41 @@
 	return err
 }
 
-// Accept makes a work durable; a repeat of an ID is the same work. CodeNotOwner and CodeRefused mean that
-// nothing was done, any other error that the work may be accepted.
+// Accept makes a work durable. Accepting the same ID again is idempotent. CodeNotOwner and CodeRefused mean that
+// nothing was done; after any other error the work may have been accepted.
 func (d *Dispatcher) Accept(ctx context.Context, w *job.Work) error {
-	taken, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
-	if err == nil && !taken {
-		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetryAfter}
+	accepted, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
+	if err == nil && !accepted {
+		return &rpc.Fault{
+			Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetryAfter,
+		}
 	}
 	return err
 }
 
-// decideDurably decides something on the loop and waits until that is durable, or tells that it was not taken.
-func (d *Dispatcher) decideDurably(ctx context.Context, decide func(*term) (taken bool, done chan error)) (bool, error) {
+// decideDurably runs decide on the loop and waits until its result is durable. It returns false if nothing was decided.
+func (d *Dispatcher) decideDurably(
+	ctx context.Context, decide func(*term) (decided bool, done chan error),
+) (bool, error) {
 	t, err := d.currentTerm()
 	if err != nil {
 		return false, err
 	}
 	type outcome struct {
-		taken bool
-		done  chan error
+		decided bool
+		done    chan error
 	}
 	o, err := callLoop(ctx, t, func() outcome {
-		taken, done := decide(t)
-		return outcome{taken, done}
+		decided, done := decide(t)
+		return outcome{decided, done}
 	})
-	if err != nil || !o.taken {
+	if err != nil || !o.decided {
 		return false, err
 	}
 	return true, t.awaitCommit(ctx, o.done)
 }
 
-// awaitCommit waits until what was decided is durable, or given up unsent.
+// awaitCommit waits until a decision is durable or was withdrawn unsent.
 func (t *term) awaitCommit(ctx context.Context, done <-chan error) error {
 	select {
 	case err := <-done:
@@ -115,7 +121,7 @@
 	}
 }
 
-// Status gives the durable state of a work; it is CodeNotFound where the owner does not hold it.
+// Status returns the durable state of a work, or CodeNotFound if the owner does not hold it.
 func (d *Dispatcher) Status(ctx context.Context, id string) (job.WorkState, error) {
 	t, err := d.currentTerm()
 	if err != nil {
@@ -131,7 +137,7 @@
 	return state, nil
 }
 
-// Cancel ends a work; it returns once that is durable. It is CodeNotFound where the owner does not
+// Cancel cancels a work and returns once the cancellation is durable. It returns CodeNotFound if the owner does not
 // hold the work.
 func (d *Dispatcher) Cancel(ctx context.Context, id string) error {
 	known, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.cancel(id) })
@@ -141,14 +147,15 @@
 	return err
 }
 
-// Waiting counts the accepted works of a queue of which no task has started.
+// Waiting returns the number of accepted works in a queue that have not started any task.
 func (d *Dispatcher) Waiting(ctx context.Context, queue string) (int, error) {
 	t, err := d.currentTerm()
 	if err != nil {
 		return 0, err
 	}
 	if !t.isTenureConfirmed() {
-		return 0, rpc.Refused(ownerRetryAfter, "the store has not confirmed for a while that this entry VM owns the cell")
+		return 0, rpc.Refused(ownerRetryAfter,
+			"the store has not confirmed for a while that this entry VM owns the cell")
 	}
 	return callLoop(ctx, t, func() int { return t.countWaiting(queue) })
 }
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,14 +1,13 @@
-// Package dispatch runs the work of the whole cell while this entry VM owns it: it places tasks on
-// workers, follows them to their ends, and makes every step durable before it has an effect.
+// Package dispatch schedules all work of the cell while this entry VM owns it: it places tasks on workers, tracks them
+// until they end, and makes every state change durable before it takes effect.
 //
-// All state of a term belongs to one goroutine, its loop. Other goroutines (one for the lease of each
-// worker, one for commits, one for each order and question under way) post to the loop over a bounded
-// channel. Three rules carry the promises:
+// All state of a term belongs to a single goroutine, the loop. Other goroutines (one per worker lease, one per commit,
+// order and permit request in flight) post events to the loop over a bounded channel. Three rules keep the state
+// consistent across owners:
 //
-//   - a start is sent only after its intent is durable, so that a successor knows every task that may
-//     run somewhere;
-//   - a worker is told that an end was observed only after the end is durable, so that a successor
-//     meets the end again if it was not;
-//   - every commit compares the owner's key and the number of the commit before it, so that neither a
-//     replaced owner nor a commit that the store carries out late can change anything.
+//   - A start is sent only after its intent is durable, so a successor knows every task that may be running.
+//   - The end of a run is acknowledged to the worker only after it is durable. Otherwise the worker lists it
+//     again, so a successor still sees it.
+//   - Every commit compares the owner's key and the number of the previous commit, so neither a replaced owner
+//     nor a commit that the store applies late can change anything.
 package dispatch
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -9,7 +9,7 @@
 	"turmericgap/worker"
 )
 
-// endRun takes in that a run has surely ended.
+// endRun handles the certain end of a run.
 func (t *term) endRun(r *run, how worker.Ending, checkpoint string) {
 	if r.ended {
 		return
@@ -24,9 +24,11 @@
 	}
 	t.noteEnding(r, how)
 	t.log.Info("dispatch: run ended", zap.String("id", e.work.ID), zap.Int("occurrence", r.stage.occurrence.number),
-		zap.Int("step", r.stage.index), zap.Int("task", r.index), zap.Int64("run", r.number), zap.String("worker", r.node.id),
+		zap.Int("step", r.stage.index), zap.Int("task", r.index), zap.Int64("run", r.number),
+		zap.String("worker", r.node.id),
 		zap.String("how", string(how)), zap.Duration("after", time.Since(r.sentAt)),
-		zap.Duration("recorded", elapsed(r.decidedAt, r.sentAt)), zap.Duration("ordered", elapsed(r.sentAt, r.confirmedAt)))
+		zap.Duration("recorded", elapsed(r.decidedAt, r.sentAt)),
+		zap.Duration("ordered", elapsed(r.sentAt, r.confirmedAt)))
 	switch {
 	case r.stage.gang != nil && r.stage.gang.number == r.number:
 		t.endMember(r, how)
@@ -36,7 +38,7 @@
 	t.saveUnlessEnded(e)
 }
 
-// elapsed is the time from one moment to another, zero where one of them is not known.
+// elapsed returns the time between two moments, or zero if either is unknown.
 func elapsed(from, to time.Time) time.Duration {
 	if from.IsZero() || to.IsZero() {
 		return 0
@@ -44,17 +46,18 @@
 	return to.Sub(from)
 }
 
-// onNeverStarted takes in that a run surely has not begun and never will.
+// onNeverStarted handles a run that has certainly not started and never will.
 func (t *term) onNeverStarted(r *run, reason string) {
 	if r.ended {
 		return
 	}
-	t.log.Info("dispatch: run never began", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
+	t.log.Info("dispatch: run never began", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index),
+		zap.Int("task", r.index),
 		zap.Int64("run", r.number), zap.String("worker", r.node.id), zap.String("reason", reason))
 	t.endRun(r, worker.EndingStopped, "")
 }
 
-// releaseRun gives back what a run held.
+// releaseRun releases the capacity of a run.
 func (t *term) releaseRun(r *run) {
 	r.ended = true
 	r.node.release(r)
@@ -65,38 +68,37 @@
 	}
 }
 
-// saveUnlessEnded saves an entry, and removes its record when it has ended and nothing of it runs.
+// saveUnlessEnded saves an entry, unless a commit already contains its end.
 func (t *term) saveUnlessEnded(e *entry) {
 	if !e.endQueued {
 		t.save(e, nil)
 	}
 }
 
-// endTask takes in the end of a task that is not of a gang.
+// endTask handles the end of a task that is not part of a gang.
 func (t *term) endTask(r *run, how worker.Ending) {
-	s, k := r.stage, &r.stage.tasks[r.index]
-	k.run = nil
+	s, task := r.stage, &r.stage.tasks[r.index]
+	task.run = nil
 	switch {
 	case how == worker.EndingDone && !s.spec.Service:
-		k.phase = phaseDone
+		task.phase = phaseDone
 		s.done++
 		t.onTasksDone(s, 1)
 		return
 	case how == worker.EndingFailed && !s.spec.Service:
-		k.failures++
+		task.failures++
 		s.noteFailureOn(r.node.id)
-		if k.failures >= s.entry.queue.Attempts {
+		if task.failures >= s.entry.queue.Attempts {
 			t.failWork(s)
 		}
 	}
-	k.phase = phaseWaiting
+	task.phase = phaseWaiting
 	s.waiting++
 	t.requeue(s)
 }
 
-// endMember takes in the end of a member of a gang. The members end as done together, so that one such
-// end stands for all of them; any other end breaks the run, and all go on together once the last
-// member has ended.
+// endMember handles the end of a gang member. Members complete together, so one completion stands for all of them. Any
+// other end aborts the run, and the gang is queued again once its last member has ended.
 func (t *term) endMember(r *run, how worker.Ending) {
 	s, g := r.stage, r.stage.gang
 	g.membersLeft--
@@ -134,8 +136,8 @@
 	t.requeue(s)
 }
 
-// abortGang stops the members of a gang's run that cannot get on together. Without it those that
-// have started would hold their workers until they give up waiting for the others.
+// abortGang stops the members of a gang run that can no longer succeed. Otherwise those that have started would hold
+// their workers until they give up waiting for the others.
 func (t *term) abortGang(s *stage) {
 	s.gang.aborted = true
 	for i := range s.tasks {
@@ -153,7 +155,7 @@
 	t.onTasksDone(s, len(s.tasks))
 }
 
-// onTasksDone goes on after n tasks of a stage were done: with the next steps, or with the work's end.
+// onTasksDone handles the completion of n tasks of a stage: it opens the next steps or completes the work.
 func (t *term) onTasksDone(s *stage, n int) {
 	e, o := s.entry, s.occurrence
 	o.tasksLeft -= n
@@ -169,17 +171,18 @@
 	}
 }
 
-// failWork ends a work of which a task has used up its attempts.
+// failWork fails a work whose task has used up its attempts.
 func (t *term) failWork(s *stage) {
 	e := s.entry
 	if e.state.Final() {
 		return
 	}
-	t.log.Info("dispatch: work failed", zap.String("id", e.work.ID), zap.Int("step", s.index), zap.Int("attempts", e.queue.Attempts))
+	t.log.Info("dispatch: work failed", zap.String("id", e.work.ID), zap.Int("step", s.index),
+		zap.Int("attempts", e.queue.Attempts))
 	t.finish(e, job.WorkFailed)
 }
 
-// requeue makes a stage with waiting tasks ready.
+// requeue marks a stage with waiting tasks as ready.
 func (t *term) requeue(s *stage) {
 	if s.entry.state.Final() {
 		return
@@ -198,7 +201,7 @@
 	s.failuresByWorker[workerID]++
 }
 
-// keepCheckpoint notes progress. That of any member of a gang holds for all of them.
+// keepCheckpoint records a checkpoint. A checkpoint of one gang member applies to all members.
 func (s *stage) keepCheckpoint(index int, checkpoint string) {
 	if !s.spec.Gang {
 		s.tasks[index].checkpoint = checkpoint
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -9,41 +9,43 @@
 	"turmericgap/worker"
 )
 
-// entry is a live Work.
+// entry is a work that has not ended, with its progress.
 type entry struct {
 	work *job.Work
-	// queue is the newest configuration of its queue.
+	// queue is the newest configuration of the work's queue.
 	queue *job.Queue
-	// effect is what the operators' rules decide for it.
+	// effect is the effect of the operators' rules on the work.
 	effect rule.Effect
-	// state is what has been decided, durableState what is durable and may be told.
+	// state is the decided state; durableState is the last one that was made durable and may be reported.
 	state, durableState job.WorkState
-	lastRun             int64
-	occurrencesBegun    int
-	occurrences         []*occurrence
-	// activeRuns counts the runs that may hold capacity somewhere.
+	// lastRun is the highest run number used.
+	lastRun int64
+	// occurrencesBegun counts the occurrences that have begun; occurrences holds those that have not ended.
+	occurrencesBegun int
+	occurrences      []*occurrence
+	// activeRuns counts the runs that may hold capacity on a worker.
 	activeRuns int
-	// started says that a worker has confirmed a start; until then the work counts as waiting.
+	// started is true once a worker has confirmed a start; until then the work counts as waiting.
 	started bool
-	// endQueued says that the record of its end takes the place of the work with the next commit.
+	// endQueued is true once the record of the end is in a commit, where it replaces the work.
 	endQueued bool
-	// size is what the work takes, in core-seconds, class how that compared with its queue's works when it was
-	// taken, for the log: turns go by how it compares now, since a new owner meets the large works that waited first.
+	// size is the work's resource use in core-seconds. class is its size class when it was accepted, for the log only:
+	// turns use the current class, because the first works that a new owner sees are the large ones that waited.
 	size  float64
 	class aging.Class
-	// outcomeCounted says that it has counted as served or not.
+	// outcomeCounted is true once the outcome of the work has been counted.
 	outcomeCounted bool
-	// remainingAfter is how long the longest chain of steps remainingAfter each step takes by the estimates.
+	// remainingAfter is, for each step, the estimated duration of the longest chain of steps after it.
 	remainingAfter []time.Duration
 	// objective is how long after it is due an occurrence should be done.
 	objective time.Duration
-	// needsCreate says that the work itself is not durable yet: the next commit with the entry writes it.
+	// needsCreate is true while the work itself is not durable: the next commit of the entry creates it.
 	needsCreate bool
-	// createdElsewhere says that an entry VM has made the work durable by itself.
+	// createdElsewhere is true if an entry VM has written the work to the store itself.
 	createdElsewhere bool
-	// waiters are told if the work is given up before it is durable and without being sent.
+	// waiters are notified if the work is withdrawn before it was sent to the store.
 	waiters []chan error
-	// pendingSave holds changes that wait for a commit, writing says that one with the entry is under way.
+	// pendingSave holds changes that wait for a commit; committing is true while a commit with this entry is in flight.
 	pendingSave *pendingSave
 	committing  bool
 }
@@ -51,35 +53,35 @@
 type occurrence struct {
 	number int
 	stages []*stage
-	// tasksLeft counts tasks that are not done.
+	// tasksLeft counts the tasks that are not done.
 	tasksLeft int
-	// started says that a task has been started.
+	// started is true once any task has been started.
 	started bool
 }
 
-// stage is a step of one occurrence.
+// stage is one step of one occurrence.
 type stage struct {
 	entry      *entry
 	occurrence *occurrence
 	index      int
 	spec       *job.Step
 	tasks      []task
-	// waiting and done count tasks by phase.
+	// waiting and done count the tasks in the respective phase.
 	waiting, done int
-	// failures counts the failed runs of a gang; gang is the one under way.
+	// failures counts the failed runs of a gang; gang is its run in flight.
 	failures int
 	gang     *gangRun
-	// unresolved holds runs of the gang that are over and may still be listed as failed.
+	// unresolved holds ended runs of the gang that a worker may still report as failed.
 	unresolved []unresolvedRun
-	// ready says that the steps before it are done, since when its tasks wait.
+	// ready is true once the preceding steps are done; readySince is when its tasks began to wait.
 	ready      bool
 	readySince time.Time
 	permits
 	// waitReason is why a gang did not start in the latest pass.
 	waitReason gangWaitReason
-	// reservedRoom is where room was kept for the gang in the latest pass.
+	// reservedRoom is the room reserved for the gang in the latest pass.
 	reservedRoom []allocation
-	// failuresByWorker holds workers on which a task of the stage has failed.
+	// failuresByWorker counts the failures of the stage's tasks by worker ID.
 	failuresByWorker map[string]int
 }
 
@@ -95,45 +97,47 @@
 type gangRun struct {
 	number      int64
 	membersLeft int // whose ends are not known yet
-	// aborted says that a member will not do, so that the others are stopped.
+	// aborted is true once a member has ended without success and the others are being stopped.
 	aborted bool
 	failed  bool
 	done    bool
-	// endProved says that a worker listed a member as ended because another had, before anything was
-	// stopped by this owner: the run is over everywhere.
+	// endProved is true if a worker reported that a member ended because another one had, before this owner stopped any
+	// member. The run is then over on all workers.
 	endProved bool
 }
 
-// run is one start of a task; it holds capacity from its intent until its end is known.
+// run is one start of a task. It holds capacity from its intent until its end is known.
 type run struct {
 	stage  *stage
 	index  int
 	number int64
 	node   *node
 	need   job.Resources
-	// decidedAt is when the start was decidedAt, sentAt when it was sent, confirmedAt when the worker was known to have
-	// the run; zero where that was under a former owner.
+	// decidedAt is when the start was decided, sentAt when the order was sent, and confirmedAt when the worker was
+	// known to have the run. They are zero if a former owner did this.
 	decidedAt, sentAt, confirmedAt time.Time
-	// startExpires is when the order to start is void, on the worker's clock; zero if none was sent.
+	// startExpires is when the start order becomes void, on the worker's clock; zero if none was sent.
 	startExpires time.Duration
-	// confirmed says that the worker has the run.
+	// confirmed is true once the worker is known to have the run.
 	confirmed bool
-	// uncertain says that the order had no answer: the run is there, or may still begin until its time
-	// has passed on the worker's clock.
+	// uncertain is true while an order is unanswered: the run may exist, or may still start until startExpires has
+	// passed on the worker's clock.
 	uncertain bool
-	// recovered says that a former owner sent the order.
+	// recovered is true if a former owner sent the start order.
 	recovered bool
-	// stopping says that its end was ordered, haltedAt when that was last sent.
+	// stopping is true once the run was ordered to stop; haltedAt is when that order was last sent.
 	stopping bool
 	haltedAt time.Time
 	ended    bool
-	// percent is how far the run was when it was last seen to get on, at progressAt.
+	// percent is the last reported progress; progressAt is when it last changed.
 	percent    int
 	progressAt time.Time
 }
 
 func (r *run) task() worker.Task {
-	return worker.Task{Work: r.stage.entry.work.ID, Occurrence: r.stage.occurrence.number, Step: r.stage.index, Index: r.index}
+	return worker.Task{
+		Work: r.stage.entry.work.ID, Occurrence: r.stage.occurrence.number, Step: r.stage.index, Index: r.index,
+	}
 }
 
 func newEntry(w *job.Work) *entry {
@@ -142,39 +146,40 @@
 	return e
 }
 
-// assumedPermitWorkers is how many workers the call for permits names that each step's objective allows for.
+// assumedPermitWorkers is the number of workers per permit request that a step's objective allows for.
 const assumedPermitWorkers = 30
 
-// updateObjective works out the objective from the caller's estimates along the longest chain of steps, each with
-// its call for permits.
+// updateObjective computes the objective from the caller's estimates along the longest chain of steps, including one
+// permit request per step.
 func (e *entry) updateObjective() {
 	e.objective = time.Duration(e.queue.Slack*float64(e.longestChain())) + e.queue.Target
 }
 
-// deadline is when an occurrence should be done, lost when it is worth nothing any more.
+// deadline is when an occurrence should be done.
 func (o *occurrence) deadline(e *entry) time.Time { return e.work.Due(o.number).Add(e.objective) }
 
 // lastDeadline is when the last occurrence of a work should be done.
 func (e *entry) lastDeadline() time.Time { return e.work.Due(e.work.Count() - 1).Add(e.objective) }
 
+// expiry is when the result of an occurrence becomes worthless.
 func (o *occurrence) expiry(e *entry) time.Time {
 	return e.work.Due(o.number).Add(expiryFactor * e.objective)
 }
 
-// expiryFactor times the objective is when late work is worth nothing.
+// expiryFactor times the objective is when the result of late work becomes worthless.
 const expiryFactor = 3
 
-// longestChain gives how long the longest chain of steps takes, and notes what follows each step.
+// longestChain returns the duration of the longest chain of steps and records what follows each step.
 func (e *entry) longestChain() time.Duration {
 	steps := e.work.Steps
-	var permits time.Duration
+	var permitTime time.Duration
 	if p := e.queue.Permit; p != nil {
-		permits = p.Base + assumedPermitWorkers*p.PerWorker
+		permitTime = p.Base + assumedPermitWorkers*p.PerWorker
 	}
 	e.remainingAfter = make([]time.Duration, len(steps))
 	var longest time.Duration
 	for i := len(steps) - 1; i >= 0; i-- {
-		chain := permits + steps[i].Estimate + e.remainingAfter[i]
+		chain := permitTime + steps[i].Estimate + e.remainingAfter[i]
 		for _, before := range steps[i].After {
 			e.remainingAfter[before] = max(e.remainingAfter[before], chain)
 		}
@@ -183,7 +188,7 @@
 	return longest
 }
 
-// openOccurrence opens an occurrence with all tasks waiting.
+// openOccurrence adds an occurrence with all its tasks waiting.
 func (e *entry) openOccurrence(number int) *occurrence {
 	o := &occurrence{number: number}
 	for i := range e.work.Steps {
@@ -198,7 +203,7 @@
 	return o
 }
 
-// predecessorsDone reports whether the steps before a stage are done.
+// predecessorsDone reports whether the steps that a stage depends on are done.
 func (s *stage) predecessorsDone() bool {
 	for _, i := range s.spec.After {
 		before := s.occurrence.stages[i]
@@ -209,13 +214,15 @@
 	return true
 }
 
-// toProgress gives the durable form.
+// toProgress returns the durable form of the entry.
 func (e *entry) toProgress() *progress {
 	p := &progress{State: e.state, Runs: e.lastRun, Begun: e.occurrencesBegun}
 	for _, o := range e.occurrences {
 		or := occurrenceRecord{Number: o.number}
 		for _, s := range o.stages {
-			sr := stageRecord{Fails: s.failures, Failing: s.gang != nil && s.gang.failed, Tasks: make([]taskRecord, len(s.tasks))}
+			sr := stageRecord{
+				Fails: s.failures, Failing: s.gang != nil && s.gang.failed, Tasks: make([]taskRecord, len(s.tasks)),
+			}
 			for _, u := range s.unresolved {
 				sr.Unresolved = append(sr.Unresolved, unresolvedRecord{Run: u.number, Worker: u.worker})
 			}
@@ -234,7 +241,7 @@
 	return p
 }
 
-// removeOccurrence forgets an occurrence that has ended.
+// removeOccurrence removes an occurrence that has ended.
 func (e *entry) removeOccurrence(o *occurrence) {
 	for i := range e.occurrences {
 		if e.occurrences[i] == o {
--- a/dispatch/lag.go
+++ b/dispatch/lag.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// overloadLag is how far the loop may lag behind its ticks before the VM counts as overloaded. Checks have
-	// some hundred milliseconds to spare, and each step of their path waits as long.
+	// overloadLag is the mean tick delay of the loop above which the VM counts as overloaded. Checks can spare a few
+	// hundred milliseconds, and each step of their path is delayed by this much.
 	overloadLag = 40 * time.Millisecond
-	// lagWeight is the weight of the newest tick: half a second of lag is needed to count.
+	// lagWeight is the weight of the newest tick: about half a second of lag is needed to count as overload.
 	lagWeight = 0.25
 )
 
-// lag is how late the loop gets to its ticks: how long whatever is posted to it waits.
+// lag is the mean delay of the loop's ticks, which is also the delay of posted events.
 type lag struct {
-	// mean is the mean, in nanoseconds; other goroutines read it.
+	// mean is in nanoseconds; other goroutines read it.
 	mean atomic.Int64
 }
 
-func (l *lag) observe(behind time.Duration) {
-	usual := l.mean.Load()
-	l.mean.Store(usual + int64(lagWeight*float64(int64(behind)-usual)))
+func (l *lag) observe(delay time.Duration) {
+	mean := l.mean.Load()
+	l.mean.Store(mean + int64(lagWeight*float64(int64(delay)-mean)))
 }
 
-// overloaded reports whether the loop lags for more than a moment.
+// overloaded reports whether the loop has lagged for more than a moment.
 func (l *lag) overloaded() bool { return time.Duration(l.mean.Load()) > overloadLag }
 
 const (
-	// lateHoldPercent is the part of the workers whose holds must be late at the same time, in percent, for the owner to be
-	// what is late: more than an availability zone of three.
+	// lateHoldPercent is the share of workers whose holds must be late at the same time for the owner itself to be
+	// considered late. It exceeds one availability zone of three.
 	lateHoldPercent = 40
-	// lateHoldsLag is the lag that stands for that.
+	// lateHoldsLag is the lag that is assumed in that case.
 	lateHoldsLag = 400 * time.Millisecond
 )
 
-// lateHoldLag tells of a lag that the loop does not show: calls and their answers wait for the processor as well. Workers
+// lateHoldLag detects a lag that the ticks do not show: calls and their answers also wait for the processor. Workers
 // that are known to be silent do not count.
 func (t *term) lateHoldLag(now time.Time) time.Duration {
 	late, known := 0, 0
@@ -54,12 +54,12 @@
 	return 0
 }
 
-// maxLagSlack bounds by how much waits for answers are lengthened for the owner's own lag.
+// maxLagSlack bounds how much timeouts are extended because of the owner's own lag.
 const maxLagSlack = time.Second
 
-// slack is how much longer than usual the owner waits before it counts an answer as late. While its loop lags, its own
-// calls and the answers to them wait as well, and workers and VMs that answer at once would look silent: what they
-// were to do would be given up and asked again, and the owner lag the more.
+// slack is how much longer the owner waits for an answer because of its own lag. While the loop lags, its calls and
+// their answers are delayed too, and responsive workers and VMs would seem silent. Their work would be given up and
+// requested again, which would add to the load.
 func (l *lag) slack() time.Duration { return min(2*time.Duration(l.mean.Load()), maxLagSlack) }
 
 // Overloaded reports whether this VM owns the cell and cannot keep up with its work.
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -15,143 +15,152 @@
 	"turmericgap/worker"
 )
 
-// Options are what a Dispatcher is made of.
+// Options configures a Dispatcher.
 type Options struct {
 	Store *store.Store
-	// StoreFailing tells since when the store gives no answers, and whether it does so now.
+	// StoreFailing reports whether the store is unresponsive, and since when.
 	StoreFailing func() (since time.Time, failing bool)
-	// WorkersPrefix is where the workers' entries lie, DecodeWorker reads one.
+	// WorkersPrefix is the key prefix of the worker entries; DecodeWorker decodes one entry.
 	WorkersPrefix string
 	DecodeWorker  func(key string, raw []byte) (worker.Listing, error)
-	// Agent gives the calls to one lifetime of a worker.
+	// Agent returns the RPC client for one lifetime of a worker.
 	Agent func(worker.Info) *worker.Agent
-	// Config gives the newest configuration that this process knows, or nil.
+	// Config returns the newest configuration known to this process, or nil.
 	Config func() *job.Config
-	// Rules gives the operators' rules in force, or nil.
+	// Rules returns the operators' rules in force, or nil.
 	Rules func() *rule.List
-	// Nodes lists the entry VMs that may put questions to the policy service; it gives the same list until they
-	// change. Ask puts a question from such a VM.
+	// Nodes lists the entry VMs that may query the policy service. It returns the same slice until the list changes.
+	// Ask sends a permit request from one of these VMs.
 	Nodes   func() []owner.Node
-	Ask     func(ctx context.Context, from owner.Node, q *permit.Question) (*permit.Answer, error)
+	Ask     func(ctx context.Context, from owner.Node, req *permit.Question) (*permit.Answer, error)
 	Logger  *zap.Logger
 	Metrics *metric.Registry
-	// Waves says where waves of upkeep lie and how they are answered; nil leaves them alone.
+	// Waves configures upkeep waves; nil disables them.
 	Waves *Waves
-	// OnExamined is told after each pass at how many workers it looked; tests let that take time. Nil takes none.
-	OnExamined func(looks int)
-	// MaxHold is the longest lease that a worker grants, StopTimeout how long it takes to end a run.
+	// OnExamined is called during a pass with the number of workers examined since the last call. Tests use it to
+	// simulate the cost. May be nil.
+	OnExamined func(examined int)
+	// MaxHold is the longest lease that a worker grants; StopTimeout is how long a worker takes to stop a run.
 	MaxHold, StopTimeout time.Duration
 	// EndedRetention is how long the state of ended work is kept.
 	EndedRetention time.Duration
 }
 
-// Defaults.
+// Default values of the options.
 const (
 	DefaultMaxHold        = 10 * time.Second
 	DefaultStopTimeout    = 200 * time.Millisecond
 	DefaultEndedRetention = 2 * time.Minute
 
-	// eventBuffer bounds what waits for the loop; a full one holds up callers, not memory.
+	// eventBuffer is the capacity of the loop's event channel. A full channel blocks callers instead of using more
+	// memory.
 	eventBuffer = 1024
-	// tickInterval is how often the term looks at what depends on time alone. It is below half of the
-	// 250 ms by which a timed start may come early or late.
+	// tickInterval is the period of time-driven checks. It is less than half of the 250 ms by which a timed start may
+	// be early or late.
 	tickInterval = 100 * time.Millisecond
-	// holdWait is how long a worker waits for an end before it answers. A silent worker is noticed
-	// after holdWait and holdTimeoutSlack.
+	// holdWait is how long a worker waits for the end of a run before it answers a hold. A silent worker is detected
+	// after holdWait + holdTimeoutSlack.
 	holdWait         = time.Second
 	holdTimeoutSlack = 500 * time.Millisecond
-	// holdLateAfter is how long after a hold should have been answered its worker gets nothing new.
+	// holdLateAfter is how overdue the answer to a hold may be before its worker gets no new work.
 	holdLateAfter = 150 * time.Millisecond
-	// holdRetryMin and holdRetryMax bound the pauses after holds without an answer.
+	// holdRetryMin and holdRetryMax bound the backoff after failed holds.
 	holdRetryMin = 100 * time.Millisecond
 	holdRetryMax = 800 * time.Millisecond
-	// extendMissLimit holds in a row without an answer end the extension of a worker's lease: each of
-	// them may have arrived, and only from the last one on the lapse can be reckoned.
+	// extendMissLimit is the number of consecutive failed holds after which the owner stops extending the worker's
+	// lease. Each of them may have reached the worker, so the time until the lease lapses counts from the last one.
 	extendMissLimit = 2
-	// extendGrace is how long after its own last confirmed moment an owner goes on extending the leases
-	// of workers. It carries running work through an outage of the store; a successor waits as long
-	// before it counts the lease of a worker that it cannot reach as lapsed.
+	// extendGrace is how long an owner keeps extending worker leases after its tenure was last confirmed. It keeps work
+	// running through a store outage. A successor waits as long before it treats the lease of an unreachable worker as
+	// lapsed.
 	extendGrace = 5 * time.Second
-	// countGrace is how long after its last confirmed moment an owner still counts waiting work: the
-	// count may be two seconds old.
+	// countGrace is how long after its tenure was last confirmed an owner still counts waiting work: the count may be
+	// up to two seconds old.
 	countGrace = time.Second
-	// clockDriftFactor covers a worker's clock that runs a fiftieth slower than ours, doubled.
+	// clockDriftFactor allows for a worker clock that runs 2% slow, with a safety factor of two.
 	clockDriftFactor = 0.04
-	// lapseMargin covers the way of a hold to its worker.
+	// lapseMargin allows for the network delay of a hold.
 	lapseMargin = 300 * time.Millisecond
-	// launchValidity is when an order to start that has not arrived is void. It leaves time for a second
-	// try, and capacity is charged no longer than that for a start without an answer.
+	// launchValidity is how long a start order is valid. It leaves time for a second attempt and limits how long
+	// capacity is charged for a start without an answer.
 	launchValidity = 1500 * time.Millisecond
-	// firstLaunchTimeout and orderTimeout bound the first and the second try; workers answer within
-	// milliseconds. A worker that is silent for firstLaunchTimeout gets nothing new.
+	// firstLaunchTimeout bounds the first attempt of a start; orderTimeout bounds the second one and orders to stop.
+	// Workers answer within milliseconds, so a worker that is silent for firstLaunchTimeout gets no new work.
 	firstLaunchTimeout = 150 * time.Millisecond
 	orderTimeout       = 400 * time.Millisecond
-	// haltRetryPause is the pause before an order to stop is repeated.
+	// haltRetryPause is the delay before an order to stop is sent again.
 	haltRetryPause = 400 * time.Millisecond
-	// unwellDuration is how long a worker that declined a call gets nothing new.
+	// unwellDuration is how long a worker that declined a call gets no new work.
 	unwellDuration = 700 * time.Millisecond
-	// observeTimeout bounds the wait for a durable end before the lease is extended without it.
+	// observeTimeout bounds the wait for an end to become durable before the lease is extended without acknowledging
+	// it.
 	observeTimeout = 400 * time.Millisecond
-	// commitStuckAfter is how long a commit may have no answer before new work is declined: what cannot be
-	// made durable is refused at once, not held. Twice the answer of a slow store.
+	// commitStuckAfter is how long a commit may be unanswered before new work is declined: work that cannot be made
+	// durable is refused at once instead of being held. It is twice the latency of a slow store.
 	commitStuckAfter = 700 * time.Millisecond
-	// storeTimeout bounds one call of the store as this package sees it.
+	// storeTimeout bounds a single store call made by this package.
 	storeTimeout = time.Second
-	// maxTxnOps is how many entries one transaction may have.
+	// maxTxnOps is the maximum number of operations in one transaction.
 	maxTxnOps = 32
-	// endedRetentionExtra is kept beyond KeepEnded, for repeats and clocks that differ.
+	// endedRetentionExtra extends EndedRetention to cover retries and clock differences.
 	endedRetentionExtra = 30 * time.Second
 )
 
-// Option sets up a Dispatcher.
+// Option configures a Dispatcher.
 type Option func(*Options)
 
-// Store sets the key-value service.
+// Store sets the key-value store.
 func Store(s *store.Store) Option { return func(o *Options) { o.Store = s } }
 
-// StoreFailing sets what tells that the store gives no answers.
+// StoreFailing sets the function that reports whether the store is unresponsive, and since when.
 func StoreFailing(f func() (since time.Time, failing bool)) Option {
 	return func(o *Options) { o.StoreFailing = f }
 }
 
-// Workers sets where the entries of workers lie, how one is read, and how a worker is called.
-func Workers(prefix string, decode func(string, []byte) (worker.Listing, error), agent func(worker.Info) *worker.Agent) Option {
+// Workers sets the key prefix of the worker entries, their decoder and the constructor of worker clients.
+func Workers(
+	prefix string, decode func(string, []byte) (worker.Listing, error), agent func(worker.Info) *worker.Agent,
+) Option {
 	return func(o *Options) { o.WorkersPrefix, o.DecodeWorker, o.Agent = prefix, decode, agent }
 }
 
-// Config sets where the configuration in force is read.
+// Config sets the source of the current configuration.
 func Config(f func() *job.Config) Option { return func(o *Options) { o.Config = f } }
 
-// Rules sets where the operators' rules in force are read.
+// Rules sets the source of the operators' rules in force.
 func Rules(f func() *rule.List) Option { return func(o *Options) { o.Rules = f } }
 
-// Permits sets which entry VMs put questions to the policy service, and how.
-func Permits(nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Question) (*permit.Answer, error)) Option {
+// Permits sets the entry VMs that query the policy service, and the function that sends a permit request.
+func Permits(
+	nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Question) (*permit.Answer, error),
+) Option {
 	return func(o *Options) { o.Nodes, o.Ask = nodes, ask }
 }
 
-// Upkeep sets where waves of upkeep come from and who carries them out.
+// Upkeep sets the source of upkeep waves and the service that carries them out.
 func Upkeep(w *Waves) Option { return func(o *Options) { o.Waves = w } }
 
-// Logger sets where decisions are logged.
+// Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(o *Options) { o.Logger = l } }
 
-// Metrics sets where counters and histograms are kept.
+// Metrics sets the metrics registry.
 func Metrics(r *metric.Registry) Option { return func(o *Options) { o.Metrics = r } }
 
-// Limits sets the longest lease of a worker, the time of a stop, and how long ended work is shown.
-func Limits(mostHold, stopWithin, keepEnded time.Duration) Option {
-	return func(o *Options) { o.MaxHold, o.StopTimeout, o.EndedRetention = mostHold, stopWithin, keepEnded }
+// Limits sets the longest worker lease, the time a worker takes to stop a run, and how long ended work is kept.
+func Limits(maxHold, stopTimeout, endedRetention time.Duration) Option {
+	return func(o *Options) { o.MaxHold, o.StopTimeout, o.EndedRetention = maxHold, stopTimeout, endedRetention }
 }
 
-// OnExamined sets what is told after each pass at how many workers it looked.
-func OnExamined(f func(looks int)) Option { return func(o *Options) { o.OnExamined = f } }
+// OnExamined sets the function that is called during a pass with the number of workers examined since the last call.
+func OnExamined(f func(examined int)) Option { return func(o *Options) { o.OnExamined = f } }
 
 func newOptions(opts []Option) *Options {
 	o := &Options{
-		Logger: zap.NewNop(), MaxHold: DefaultMaxHold, StopTimeout: DefaultStopTimeout, EndedRetention: DefaultEndedRetention,
-		StoreFailing: func() (time.Time, bool) { return time.Time{}, false },
-		Config:       func() *job.Config { return nil }, Rules: func() *rule.List { return nil }, Nodes: func() []owner.Node { return nil },
+		Logger: zap.NewNop(), MaxHold: DefaultMaxHold, StopTimeout: DefaultStopTimeout,
+		EndedRetention: DefaultEndedRetention,
+		StoreFailing:   func() (time.Time, bool) { return time.Time{}, false },
+		Config:         func() *job.Config { return nil }, Rules: func() *rule.List { return nil },
+		Nodes: func() []owner.Node { return nil },
 	}
 	for _, f := range opts {
 		f(o)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -10,7 +10,7 @@
 	"turmericgap/worker"
 )
 
-// launch orders the start of a run whose intent is durable.
+// launch sends the start order of a run whose intent is durable.
 func (t *term) launch(r *run) {
 	now := time.Now()
 	if r.ended {
@@ -21,12 +21,12 @@
 		t.onNeverStarted(r, "it was given up before it was sent")
 		return
 	}
-	k := &r.stage.tasks[r.index]
+	task := &r.stage.tasks[r.index]
 	r.sentAt, r.uncertain = now, true
 	r.startExpires = r.node.clockNow(now) + launchValidity
 	order := &worker.Launch{
 		Task: r.task(), Run: r.number, Spec: r.stage.entry.work.Spec, Until: r.startExpires, Fence: t.tenure.Fence,
-		Permit: r.stage.ticket(r.node.id), Checkpoint: k.checkpoint,
+		Permit: r.stage.ticket(r.node.id), Checkpoint: task.checkpoint,
 	}
 	agent := r.node.agent
 	t.wg.Go(func() {
@@ -34,29 +34,29 @@
 			_, err := agent.Launch(ctx, order)
 			return err
 		})
-		open := err != nil && !isDefinite(err)
-		if open && t.ctx.Err() == nil {
-			// What is sent to a worker that is cut off stays charged there until the cut has healed or
-			// its lease has lapsed; the sooner it gets nothing new, the fewer callers wait for that.
+		unanswered := err != nil && !isDefinite(err)
+		if unanswered && t.ctx.Err() == nil {
+			// A start sent to an unreachable worker stays charged there until the connection recovers or the lease
+			// lapses. Giving the worker no new work early keeps the number of affected callers small.
 			t.post(func() { r.node.silentAt = time.Now() })
 			err = t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) error {
 				_, err := agent.Launch(ctx, order)
 				return err
 			})
 		}
-		t.post(func() { t.onLaunched(r, err, open) })
+		t.post(func() { t.onLaunched(r, err, unanswered) })
 	})
 }
 
-// isDefinite reports whether an error says for certain what became of an order.
+// isDefinite reports whether an error tells the outcome of an order for certain.
 func isDefinite(err error) bool {
 	var refused *worker.Refusal
 	return errors.As(err, &refused) || errors.Is(err, worker.ErrReplaced) || errors.Is(err, worker.ErrUnwell)
 }
 
-// onLaunched takes in the last answer to a start; open says that an earlier try had none, and may have
-// been carried out whatever the worker says of this one.
-func (t *term) onLaunched(r *run, err error, open bool) {
+// onLaunched handles the final answer to a start order. unanswered is true if an earlier attempt got no answer and may
+// have been carried out, regardless of this one.
+func (t *term) onLaunched(r *run, err error, unanswered bool) {
 	if r.ended {
 		return
 	}
@@ -66,14 +66,15 @@
 		return
 	}
 	t.o.Metrics.Counter("dispatch.startsRefused").Inc(1)
-	t.log.Info("dispatch: start without success", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
+	t.log.Info("dispatch: start without success", zap.String("id", r.stage.entry.work.ID),
+		zap.Int("step", r.stage.index), zap.Int("task", r.index),
 		zap.Int64("run", r.number), zap.String("worker", r.node.id), zap.Error(err))
 	var refused *worker.Refusal
 	switch {
-	case errors.As(err, &refused) && (!open || refused.Reason == worker.ReasonFenced):
+	case errors.As(err, &refused) && (!unanswered || refused.Reason == worker.ReasonFenced):
 		t.onRefused(r, refused.Reason)
-	case open && isDefinite(err) && !errors.Is(err, worker.ErrReplaced):
-		// A hold made after the order is void shows whether the earlier try began the run.
+	case unanswered && isDefinite(err) && !errors.Is(err, worker.ErrReplaced):
+		// A hold that is sent after the order is void shows whether the earlier attempt started the run.
 		r.node.unwellUntil = time.Now().Add(unwellDuration)
 	case errors.Is(err, worker.ErrReplaced):
 		r.node.listed = false
@@ -82,7 +83,7 @@
 		r.node.unwellUntil = time.Now().Add(unwellDuration)
 		t.onNeverStarted(r, "the worker is unwell")
 	default:
-		// The order may still be carried out; holds will tell.
+		// The order may still be carried out; later holds show the outcome.
 		r.node.silentAt = time.Now()
 	}
 }
@@ -92,14 +93,15 @@
 	case worker.ReasonFenced:
 		t.loseOwnership("a worker knows a later owner", &worker.Refusal{Reason: reason})
 	case worker.ReasonOld:
-		// A first try of this order may have gone through, and the run may have ended since. The next
-		// hold lists that end, or shows that there is none.
+		// An earlier attempt may have succeeded, and its run may already have ended. The next hold lists that end or
+		// shows that there is none.
 		r.startExpires = r.node.clockNow(time.Now())
 	case worker.ReasonPermit:
 		r.stage.expireTicket(r.node.id)
 		t.onNeverStarted(r, "its permit had expired")
 	case worker.ReasonInvalid:
-		t.log.Error("dispatch: a worker does not understand an order", zap.String("id", r.stage.entry.work.ID), zap.String("worker", r.node.id))
+		t.log.Error("dispatch: a worker does not understand an order", zap.String("id", r.stage.entry.work.ID),
+			zap.String("worker", r.node.id))
 		r.node.unwellUntil = time.Now().Add(unwellDuration)
 		t.onNeverStarted(r, "the worker did not understand")
 	default:
@@ -108,8 +110,8 @@
 	}
 }
 
-// halt orders the end of a run. Its end is listed by a hold, or a hold made after the order shows that
-// it is not there and, by the order, never will be.
+// halt orders a run to stop. A later hold either lists its end, or shows that the run is absent and, because of this
+// order, can never start.
 func (t *term) halt(r *run) {
 	now := time.Now()
 	r.stopping, r.haltedAt = true, now
@@ -145,13 +147,13 @@
 		r.node.listed = false
 		t.endLifetime(r.node, worker.EndingLapsed, "its lifetime is over")
 	default:
-		t.log.Info("dispatch: stop without success", zap.String("id", r.stage.entry.work.ID), zap.Int64("run", r.number),
+		t.log.Info("dispatch: stop order failed", zap.String("id", r.stage.entry.work.ID), zap.Int64("run", r.number),
 			zap.String("worker", r.node.id), zap.Error(err))
 	}
 }
 
-// haltUnknown stops a run that this term has no record of: a start of a former owner whose intent was
-// overtaken by the end of its work.
+// haltUnknown stops a run that this term has no record of: a former owner started it, but the end of its work has
+// removed the intent.
 func (t *term) haltUnknown(n *node, a *worker.Active) {
 	agent := n.agent
 	order := &worker.Halt{Task: a.Task, Run: a.Run, Fence: t.tenure.Fence}
@@ -161,7 +163,7 @@
 			return err
 		})
 		if err != nil {
-			t.log.Info("dispatch: stop of an unknown run without success", zap.String("id", order.Task.Work),
+			t.log.Info("dispatch: stop order for an unknown run failed", zap.String("id", order.Task.Work),
 				zap.String("worker", n.id), zap.Error(err))
 		}
 	})
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// overdueAfter is how long an end may be overdue before its worker is asked beside a hold that has no
-	// answer: several times the way of an answer.
+	// overdueAfter is how long the end of a run may be overdue before its worker is probed while a hold is in flight:
+	// several times the network delay of an answer.
 	overdueAfter = 100 * time.Millisecond
-	// probeInterval is the pause after such a question that told of no end; a task that takes longer than
-	// it should costs few of them.
+	// probeInterval is the minimum interval between probes that reported no end, so that a task that exceeds its
+	// expected duration causes few of them.
 	probeInterval = 400 * time.Millisecond
-	// probeTimeout bounds such a question, many times the way of an answer. One that has none may have
-	// lost it like the hold, and is put again at once.
+	// probeTimeout bounds a probe, at many times the network delay of an answer. An unanswered probe may have lost its
+	// answer like the hold, and is sent again at once.
 	probeTimeout = 150 * time.Millisecond
-	// minPercent is how far a run must be for its end to be reckoned from that, within a tenth.
+	// minPercent is the minimum progress from which the end of a run can be extrapolated to within a tenth.
 	minPercent = 10
 )
 
-// probeOverdue asks the workers whose hold should have told of an end by now. A hold whose answer is lost, or
-// that is carried out late, is given up only after its whole wait, and all ends on its worker stay unheard
-// meanwhile: where one hold in some is lost, half of the checks would be late for that.
+// probeOverdue probes workers whose hold should have reported an end by now. A hold whose answer is lost or delayed
+// times out only after its full wait, and no end on its worker is reported meanwhile: where some holds are lost,
+// half of the checks would be late because of that.
 func (t *term) probeOverdue(now time.Time) {
 	for _, n := range t.nodes {
 		if n.holding && n.synced && n.misses == 0 && now.Sub(n.probedAt) > probeInterval && n.overdue(now) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// overdue reports whether a run on the worker should have ended for a while, and the hold that should have told
-// so, at once if it was sent later, has been under way as long.
+// overdue reports whether a run on the worker should have ended some time ago, and the current hold has been in flight
+// for at least as long, so that it should have reported the end.
 func (n *node) overdue(now time.Time) bool {
 	if now.Sub(n.holdSentAt) <= overdueAfter {
 		return false
@@ -47,8 +47,8 @@
 	return false
 }
 
-// expectedEnd is when a run should end, reckoned from how far it was when last seen, or from its estimate if
-// that was too little to tell; zero where nothing can be said.
+// expectedEnd is when a run should end, extrapolated from its progress, or from its estimate if the progress is too
+// small; zero if unknown.
 func (r *run) expectedEnd() time.Time {
 	spec := r.stage.spec
 	if r.sentAt.IsZero() || r.stopping || spec.Service || spec.Gang || !r.confirmed {
@@ -63,8 +63,8 @@
 	return r.sentAt.Add(spec.Estimate)
 }
 
-// endByProgress is when a run should end if it gets on as it did until it was last seen; false where it was not
-// seen far enough, or its start is a former owner's.
+// endByProgress extrapolates the end of a run from its reported progress. It returns false if the progress is too small
+// or a former owner started the run.
 func (r *run) endByProgress() (time.Time, bool) {
 	if r.recovered || r.percent < minPercent {
 		return time.Time{}, false
@@ -72,7 +72,7 @@
 	return r.sentAt.Add(r.progressAt.Sub(r.sentAt) * 100 / time.Duration(r.percent)), true
 }
 
-// probeRuns asks a worker for its runs and ends without waiting, beside the hold that is under way.
+// probeRuns asks a worker for its runs and ends without waiting, in addition to the hold in flight.
 func (t *term) probeRuns(n *node) {
 	agent, hold := n.agent, &worker.Hold{Fence: t.tenure.Fence, Observed: n.lastEndObserved}
 	t.o.Metrics.Counter("dispatch.askedBeside").Inc(1)
@@ -83,13 +83,13 @@
 		t.post(func() {
 			switch {
 			case err != nil:
-				// The hold that is under way tells what became of the worker.
+				// The hold in flight shows whether the worker is reachable.
 				n.probedAt = time.Time{}
 			case !n.isRemoved(t):
 				before := n.lastEndSeen
 				t.applyHeld(n, held, time.Now())
 				if n.lastEndSeen > before {
-					// The hold has lost its answer, so that the next end is asked for as soon as it is overdue.
+					// The answer of the hold was lost, so the next end may be probed for as soon as it is overdue.
 					n.probedAt = time.Time{}
 				}
 			}
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -11,10 +11,10 @@
 	"turmericgap/store"
 )
 
-// ErrNoWork means that the store holds no work of that ID.
+// ErrNoWork is returned when the store holds no work with the given ID.
 var ErrNoWork = errors.New("no such work")
 
-// AddCreate adds the creation of a work to a transaction, which fails where the ID was used already.
+// AddCreate adds the creation of a work to a transaction. The transaction fails if the ID was already used.
 func AddCreate(txn *store.Txn, w *job.Work) {
 	txn.Compares = append(txn.Compares,
 		store.Compare{Key: workPrefix + w.ID, Target: store.ModRevision},
@@ -22,7 +22,7 @@
 	txn.Then = append(txn.Then, store.Op{Key: workPrefix + w.ID, Value: encode(w)})
 }
 
-// ExistingIDs gives the IDs whose work or end is among the keys that a failed creation has found.
+// ExistingIDs returns the IDs whose work or record of its end is among the keys found by a failed creation.
 func ExistingIDs(found []store.Pair) map[string]bool {
 	out := make(map[string]bool)
 	for i := range found {
@@ -46,9 +46,9 @@
 	return state, err
 }
 
-// ReadWork reads a work and its state from the store; of one that has ended only the state is left.
+// ReadWork reads a work and its state from the store. For a work that has ended only the state is available.
 func ReadWork(ctx context.Context, kv *store.Store, id string) (*job.Work, job.WorkState, error) {
-	// A work that ends between the readings is found by the second reading of its end.
+	// A work that ends between the reads is found by the second read of its end.
 	if end, err := readEnd(ctx, kv, id); err != nil || end != "" {
 		return nil, end, err
 	}
@@ -101,7 +101,7 @@
 	return job.WorkRunning, nil
 }
 
-// Probe reads whether a work is there. It serves to see whether the store answers at all.
+// Probe reads the key of a work to check whether the store answers.
 func Probe(ctx context.Context, kv *store.Store, id string) error {
 	_, err := kv.Range(ctx, store.Range{Key: workPrefix + id})
 	return err
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -9,34 +9,33 @@
 	"turmericgap/job"
 )
 
-// Keys of the store. A Work lies under workPrefix from its acceptance to its end, its progress under
-// statePrefix from its first start; both are replaced by a short record under endedPrefix.
+// Keys of the store. A work is stored under workPrefix from acceptance until its end, and its progress under
+// statePrefix from its first start. At the end a short record under endedPrefix replaces both.
 const (
 	root        = "turmericgap/"
 	workPrefix  = root + "work/"
 	statePrefix = root + "state/"
 	endedPrefix = root + "ended/"
-	// wavePrefix holds, for each wave of upkeep, which of its VMs have begun theirs.
+	// wavePrefix holds, for each upkeep wave, the VMs whose upkeep has begun.
 	wavePrefix = root + "wave/"
-	// commitPrefix holds a key for each lane of commits, which every commit of the lane rewrites and
-	// compares.
+	// commitPrefix holds one key per commit stream, which every commit of that stream compares and rewrites.
 	commitPrefix = root + "commit/"
 )
 
-// phase is where a task stands.
+// phase is the phase of a task.
 type phase uint8
 
 const (
 	phaseWaiting phase = iota
-	// phaseStarted means that the task may run on its worker.
+	// phaseStarted means that the task may be running on its worker.
 	phaseStarted
 	phaseDone
 )
 
-// progress is the durable state of a live Work.
+// progress is the durable state of a work that has not ended.
 type progress struct {
 	State job.WorkState `msgpack:"s"`
-	// Runs is the highest number that a start of one of its tasks has used.
+	// Runs is the highest run number used by any of its tasks.
 	Runs int64 `msgpack:"r"`
 	// Begun counts the occurrences that have begun; Live holds those that have not ended.
 	Begun int                `msgpack:"b"`
@@ -49,10 +48,10 @@
 }
 
 type stageRecord struct {
-	// Fails counts the failed runs of a gang; Failing says that a member of its present run has failed.
+	// Fails counts the failed runs of a gang; Failing is true if a member of its present run has failed.
 	Fails   int  `msgpack:"f,omitempty"`
 	Failing bool `msgpack:"g,omitempty"`
-	// Unresolved lists runs of a gang that are over and may still turn out to have failed.
+	// Unresolved lists ended runs of a gang that a worker may still report as failed.
 	Unresolved []unresolvedRecord `msgpack:"u,omitempty"`
 	Tasks      []taskRecord       `msgpack:"t"`
 }
@@ -71,18 +70,18 @@
 	Checkpoint string
 }
 
-// Ended is what is kept of a Work after its end.
+// Ended is the record that remains of a work after its end.
 type Ended struct {
 	State job.WorkState `msgpack:"s"`
 	At    time.Time     `msgpack:"a"`
-	// Queue names the queue that held it.
+	// Queue is the name of the work's queue.
 	Queue string `msgpack:"q"`
 }
 
 func encode(v any) []byte {
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
-		// Only types that cannot be encoded fail, which no input can cause.
+		// Encoding fails only for unsupported types, which no input can cause.
 		panic(err)
 	}
 	return raw
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -15,14 +15,14 @@
 	"turmericgap/store/retry"
 )
 
-// worksWatchPause is kept between two answers of the watch over accepted work. The entry VMs tell of it
-// directly; the watch only finds what they could not tell.
+// worksWatchPause is the minimum interval between two answers of the watch over accepted work. Entry VMs offer new work
+// directly; the watch only finds what they could not deliver.
 const worksWatchPause = 300 * time.Millisecond
 
-// recover reads the cell's state; false means that the tenure ended before. The three readings go at the
-// same time: at a store that takes a third of a second for an answer a take-over lasts that long, not
-// three times. Nobody else writes states and lanes under this tenure, and the watch over accepted work
-// finds what is created meanwhile.
+// recover loads the cell's state; false means that the tenure ended first. The three reads run concurrently: with a
+// store latency of a third of a second a takeover then takes that long, not three times as long. This is safe because
+// nobody else writes progress or commit keys during this tenure, and the watch over accepted work finds works that are
+// created meanwhile.
 func (t *term) recover() bool {
 	prefixes := []string{commitPrefix, statePrefix, workPrefix}
 	found := make([][]store.Pair, len(prefixes))
@@ -41,9 +41,9 @@
 	if t.ctx.Err() != nil {
 		return false
 	}
-	marks, states, works := found[0], found[1], found[2]
-	for i := range marks {
-		t.committer.setRevision(marks[i].Key, marks[i].ModRevision)
+	markers, states, works := found[0], found[1], found[2]
+	for i := range markers {
+		t.committer.setRevision(markers[i].Key, markers[i].ModRevision)
 	}
 	t.config, t.rules = t.o.Config(), t.o.Rules()
 	t.restore(works, states)
@@ -52,14 +52,15 @@
 	return true
 }
 
-// restore rebuilds the entries. A work without a state has not started; a state without a work belongs
-// to one that has ended since.
+// restore rebuilds the entries. A work without progress has not started; progress without a work belongs to a work that
+// has ended since.
 func (t *term) restore(works, states []store.Pair) {
 	progressOf := make(map[string]*progress, len(states))
 	for i := range states {
 		p := &progress{}
 		if err := msgpack.Unmarshal(states[i].Value, p); err != nil {
-			t.log.Error("dispatch: a state cannot be read", zap.String("key", states[i].Key), zap.Error(err))
+			t.log.Error("dispatch: cannot decode the progress of a work", zap.String("key", states[i].Key),
+				zap.Error(err))
 			continue
 		}
 		progressOf[idFromKey(states[i].Key, statePrefix)] = p
@@ -84,13 +85,13 @@
 func (t *term) decodeWork(p store.Pair) *job.Work {
 	w := &job.Work{}
 	if err := msgpack.Unmarshal(p.Value, w); err != nil {
-		t.log.Error("dispatch: a work cannot be read", zap.String("key", p.Key), zap.Error(err))
+		t.log.Error("dispatch: cannot decode a work", zap.String("key", p.Key), zap.Error(err))
 		return nil
 	}
 	return w
 }
 
-// restoreEntry rebuilds an entry that had started, and gives how many of its runs may be present on workers.
+// restoreEntry rebuilds an entry that had started and returns how many of its runs may exist on workers.
 func (t *term) restoreEntry(w *job.Work, p *progress) int {
 	e := newEntry(w)
 	t.applyQueueConfig(e)
@@ -132,7 +133,8 @@
 
 func (t *term) restoreStage(s *stage, sr *stageRecord) {
 	s.failures = sr.Fails
-	s.occurrence.started = s.occurrence.started || slices.ContainsFunc(sr.Tasks, func(tr taskRecord) bool { return tr.Run > 0 })
+	s.occurrence.started = s.occurrence.started ||
+		slices.ContainsFunc(sr.Tasks, func(tr taskRecord) bool { return tr.Run > 0 })
 	for _, u := range sr.Unresolved {
 		s.unresolved = append(s.unresolved, unresolvedRun{u.Run, u.Worker, t.initialLeaseEnd()})
 	}
@@ -141,15 +143,15 @@
 			return
 		}
 		tr := &sr.Tasks[i]
-		k := &s.tasks[i]
-		k.failures, k.number, k.checkpoint = tr.Fails, tr.Run, tr.Checkpoint
+		task := &s.tasks[i]
+		task.failures, task.number, task.checkpoint = tr.Fails, tr.Run, tr.Checkpoint
 		switch tr.Phase {
 		case phaseStarted:
-			k.phase = phaseStarted
+			task.phase = phaseStarted
 			s.waiting--
 			t.restoreRun(s, i, tr)
 		case phaseDone:
-			k.phase = phaseDone
+			task.phase = phaseDone
 			s.waiting--
 			s.done++
 			s.occurrence.tasksLeft--
@@ -158,8 +160,8 @@
 		}
 	}
 	if s.gang != nil && sr.Failing {
-		// The worker was told that this end is taken note of, and will not list it again. Without the
-		// record the run would count as stopped, and the gang be started once too often.
+		// The worker was told that this end is durable and will not list it again. Without the record the run would
+		// count as stopped, and the gang would be started once too often.
 		s.gang.failed = true
 		t.abortGang(s)
 	}
@@ -171,7 +173,9 @@
 	if n.leaseEnd.IsZero() {
 		n.leaseEnd = t.initialLeaseEnd()
 	}
-	r := &run{stage: s, index: index, number: tr.Run, node: n, need: s.taskResources(), recovered: true, sentAt: t.startedAt}
+	r := &run{
+		stage: s, index: index, number: tr.Run, node: n, need: s.taskResources(), recovered: true, sentAt: t.startedAt,
+	}
 	s.tasks[index].run = r
 	s.entry.activeRuns++
 	n.charge(r)
@@ -184,8 +188,8 @@
 	s.gang.membersLeft++
 }
 
-// loadEnded reads the records of ended work, which nothing waits for: a state that is asked for
-// meanwhile is read from the store.
+// loadEnded reads the records of ended work in the background. Until it is done, status requests are answered from the
+// store.
 func (t *term) loadEnded() {
 	res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
 		return t.o.Store.Range(ctx, store.Range{Key: endedPrefix, End: store.PrefixEnd(endedPrefix)})
@@ -197,7 +201,8 @@
 	for i := range res.Pairs {
 		var end Ended
 		if err := msgpack.Unmarshal(res.Pairs[i].Value, &end); err != nil {
-			t.log.Error("dispatch: a record cannot be read", zap.String("key", res.Pairs[i].Key), zap.Error(err))
+			t.log.Error("dispatch: cannot decode the record of an ended work", zap.String("key", res.Pairs[i].Key),
+				zap.Error(err))
 			continue
 		}
 		found[idFromKey(res.Pairs[i].Key, endedPrefix)] = end
@@ -210,7 +215,7 @@
 	})
 }
 
-// followWorks hears of accepted work that its entry VM could not tell of.
+// followWorks watches for accepted work that its entry VM could not offer directly.
 func (t *term) followWorks() {
 	take := func(pairs []store.Pair) {
 		var works []*job.Work
@@ -228,7 +233,7 @@
 	t.followWritten(workPrefix, take)
 }
 
-// followWritten hears of the keys below a prefix that are there or are written.
+// followWritten watches the keys below a prefix and calls take for existing and newly written ones.
 func (t *term) followWritten(prefix string, take func([]store.Pair)) {
 	f := &follow.Follower{
 		Store: t.o.Store, Prefix: prefix, Pause: worksWatchPause, Logger: t.log,
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -6,13 +6,13 @@
 	"go.uber.org/zap"
 )
 
-// reportEvery is the pause between two lines on the whole cell.
+// reportEvery is the interval between two log reports on the state of the cell.
 const reportEvery = time.Second
 
-// report logs what the cell has and what waits for it, so that an engineer can tell a request that waited
-// for room from one that waited for a decision.
+// report logs the cell's capacity and backlog, so that an engineer can tell a request that waited for room from one
+// that waited for a decision.
 func (t *term) report(now time.Time) {
-	var has, free, kept, reserved int64
+	var total, free, setAside, reserved int64
 	usable, runs := 0, 0
 	for _, n := range t.nodes {
 		runs += len(n.runs)
@@ -20,32 +20,35 @@
 			continue
 		}
 		usable++
-		has += n.listing.Has.Millicores
+		total += n.listing.Has.Millicores
 		free += n.free.Millicores
-		kept += n.setAside.Millicores
+		setAside += n.setAside.Millicores
 		reserved += n.reserved.Millicores
 	}
-	waiting, asking, gangs := 0, 0, 0
+	waiting, openRequests, gangs := 0, 0, 0
 	for s := range t.waitingStages {
 		waiting += s.waiting
-		asking += s.openRequests
+		openRequests += s.openRequests
 		if s.spec.Gang {
 			gangs++
 		}
 	}
 	t.log.Info("dispatch: state of the cell", zap.Int("workers", len(t.nodes)), zap.Int("usable", usable),
-		zap.Int64("millicores", has), zap.Int64("freeMillicores", free), zap.Int64("keptMillicores", kept),
+		zap.Int64("millicores", total), zap.Int64("freeMillicores", free), zap.Int64("keptMillicores", setAside),
 		zap.Int64("reservedMillicores", reserved), zap.Int("works", len(t.entries)), zap.Int("runs", runs),
 		zap.Int("waitingSteps", len(t.waitingStages)), zap.Int("waitingGangs", gangs), zap.Int("waitingTasks", waiting),
-		zap.Int("questions", asking), zap.Duration("lag", time.Duration(t.lag.mean.Load())), zap.Float64("turnedAway", t.overloadDetector.Share()),
-		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.triedStages), zap.Int("looksInPass", t.pass.examined),
+		zap.Int("questions", openRequests), zap.Duration("lag", time.Duration(t.lag.mean.Load())),
+		zap.Float64("turnedAway", t.overloadDetector.Share()),
+		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.triedStages),
+		zap.Int("looksInPass", t.pass.examined),
 		zap.Duration("pass", t.pass.took))
 	t.reportSizes(now)
 }
 
-// reportSizes logs, where anything waits or has changed, for each queue and class of sizes what became of its works under this owner, how many wait, how
-// many of them can still be in time, and what gangs wait for. A class that is served less often than its queue shows
-// here long before callers count it, and whether for want of its turn, of permits or of room.
+// reportSizes logs, for each queue and size class with waiting or changed works, the outcomes of its works under this
+// owner, how many wait, how many of those can still be in time, and what gangs wait for. A class that is served less
+// often than the rest of its queue shows up here long before callers notice, along with the cause: its turn, permits or
+// room.
 func (t *term) reportSizes(now time.Time) {
 	type waiting struct {
 		steps, inTime int
@@ -73,13 +76,15 @@
 		}
 		tally.logged = true
 		fields := []zap.Field{zap.String("queue", key.queue), zap.Stringer("class", key.class)}
-		for _, f := range []workOutcome{outcomeTaken, outcomeInTime, outcomeLate, outcomeLost, outcomeFailed, outcomeCancelled} {
-			fields = append(fields, zap.Int(string(f), tally.counts[f]))
+		for _, outcome := range []workOutcome{
+			outcomeTaken, outcomeInTime, outcomeLate, outcomeLost, outcomeFailed, outcomeCancelled,
+		} {
+			fields = append(fields, zap.Int(string(outcome), tally.counts[outcome]))
 		}
 		if w := found[key]; w != nil {
 			fields = append(fields, zap.Int("waitingSteps", w.steps), zap.Int("waitingInTime", w.inTime))
-			for why, n := range w.gangs {
-				fields = append(fields, zap.Int("gangsWaitFor."+string(why), n))
+			for reason, n := range w.gangs {
+				fields = append(fields, zap.Int("gangsWaitFor."+string(reason), n))
 			}
 		}
 		t.log.Info("dispatch: works by size", fields...)
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -15,7 +15,7 @@
 	"turmericgap/rule"
 )
 
-// term is one tenure, from the reading of the cell's state to its end.
+// term is one tenure, from loading the cell's state until it ends.
 type term struct {
 	o         *Options
 	log       *zap.Logger
@@ -26,32 +26,33 @@
 	wg        sync.WaitGroup
 	startedAt time.Time
 
-	// The rest belongs to the loop.
+	// All fields below are accessed only by the loop.
 	entries map[string]*entry
 	ended   map[string]Ended
-	// endedLoaded says that the records of work that ended under former owners have been read.
+	// endedLoaded is true once the records of work that ended under former owners have been read.
 	endedLoaded bool
-	// endedOrder holds the ended works by their end, oldest first.
+	// endedOrder holds the IDs of ended works, oldest end first.
 	endedOrder []string
 	nodes      map[string]*node
-	// sortedNodes holds the same nodes by ID; nodesVersion counts the changes of which they are.
+	// sortedNodes holds the same nodes ordered by ID; nodesVersion counts the changes to the set of nodes and their
+	// capacities.
 	sortedNodes  []*node
 	nodesVersion int
 	roomIndex    roomIndex
-	// capacities holds what workers have when they are empty, as they were at the capacitiesVersion-th change.
+	// capacities is the set of the workers' total resources, computed when nodesVersion was capacitiesVersion.
 	capacities        map[resources]struct{}
 	capacitiesVersion int
-	// totalMillicores is the sum of theirs, in millicores.
+	// totalMillicores is the sum of the workers' processors.
 	totalMillicores int64
-	// unreadable holds the IDs of workers whose entries cannot be read.
+	// unreadable holds the IDs of workers whose entries cannot be decoded.
 	unreadable map[string]bool
-	// unlistedAt is when the entry of a worker was last missing.
+	// unlistedAt is when a worker's entry was last removed.
 	unlistedAt time.Time
-	// waitingStages holds those with waiting tasks whose turn has come.
+	// waitingStages holds the ready stages with waiting tasks.
 	waitingStages map[*stage]struct{}
 	// timed holds the entries with occurrences that are not due yet.
 	timed map[*entry]struct{}
-	// unsent holds new works that were not durable when last looked at.
+	// unsent holds new works that were not durable at the last check.
 	unsent           []*entry
 	committer        committer
 	vmSelector       *permit.Desk
@@ -64,24 +65,24 @@
 	overloadDetector admission.Behind
 	// reportedAt is when the state of the cell was last logged.
 	reportedAt time.Time
-	// endedToRemove lists the ended records that the next commits take away.
+	// endedToRemove lists records of ended work that the next commits delete.
 	endedToRemove []string
-	// passNeededSince is when something changed that no pass has taken in yet, lastPassLatency how long that took for the latest
-	// pass, which ended at passEndedAt.
+	// passNeededSince is when the first change occurred that no pass has considered yet. lastPassLatency is the time
+	// from the first change to the end of the latest pass, which ended at passEndedAt.
 	passNeededSince time.Time
 	lastPassLatency time.Duration
 	passEndedAt     time.Time
-	// nextPassAt is when the next pass may be made, passTimerSet says that a timer will ask for it.
+	// nextPassAt is the earliest time of the next pass; passTimerSet is true while a timer for it is pending.
 	nextPassAt   time.Time
 	passTimerSet bool
 	pass         pass
-	// grantShares is the share of named workers that each queue is allowed.
+	// grantShares is the expected share of named workers that the policy service allows, by queue.
 	grantShares map[string]float64
 	sizes       *aging.Sizes
-	// tallies tell what became of works by queue and class of sizes.
+	// tallies counts the outcomes of works by queue and size class.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
-	// ruleCapacity is how many more tasks may run under each rule that bounds them, in the present pass.
+	// ruleCapacity is how many more tasks may run under each limiting rule in the present pass.
 	ruleCapacity map[string]int
 }
 
@@ -89,15 +90,17 @@
 	t := &term{
 		o: o, log: o.Logger.With(zap.Int64("fence", tenure.Fence)), tenure: tenure, startedAt: time.Now(),
 		events: make(chan func(), eventBuffer), entries: make(map[string]*entry), ended: make(map[string]Ended),
-		nodes: make(map[string]*node), unreadable: make(map[string]bool), waitingStages: make(map[*stage]struct{}), timed: make(map[*entry]struct{}),
-		pass: newPass(), capacities: make(map[resources]struct{}), vmSelector: permit.NewDesk(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64), sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
+		nodes: make(map[string]*node), unreadable: make(map[string]bool), waitingStages: make(map[*stage]struct{}),
+		timed: make(map[*entry]struct{}), pass: newPass(), capacities: make(map[resources]struct{}),
+		vmSelector: permit.NewDesk(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64),
+		sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
 	}
 	t.committer.init()
 	t.ctx, t.cancelCtx = context.WithCancel(ctx)
 	return t
 }
 
-// loop is the one goroutine that owns the term's state.
+// loop runs the term's event loop, the only goroutine that accesses its state.
 func (t *term) loop() {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -110,7 +113,8 @@
 			t.drainEvents()
 		case at := <-tick.C:
 			t.lag.observe(time.Since(at))
-			t.overloadDetector.Note(time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
+			t.overloadDetector.Note(
+				time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
 			t.onTick(time.Now())
 		}
 		t.syncConfig()
@@ -121,7 +125,7 @@
 	}
 }
 
-// drainEvents runs what else has come, so that one plan and one commit serve many events.
+// drainEvents handles all queued events, so that one pass and one commit serve many of them.
 func (t *term) drainEvents() {
 	for range eventBuffer {
 		select {
@@ -133,7 +137,7 @@
 	}
 }
 
-// post hands f to the loop; it is dropped when the term ends.
+// post queues f for the loop; it is dropped if the term ends.
 func (t *term) post(f func()) {
 	select {
 	case t.events <- f:
@@ -141,35 +145,35 @@
 	}
 }
 
-// callLoop runs f on the loop and gives its result.
+// callLoop runs f on the loop and returns its result.
 func callLoop[T any](ctx context.Context, t *term, f func() T) (T, error) {
-	var none T
-	got := make(chan T, 1)
+	var zero T
+	result := make(chan T, 1)
 	select {
-	case t.events <- func() { got <- f() }:
+	case t.events <- func() { result <- f() }:
 	case <-t.ctx.Done():
-		return none, errTermClosed
+		return zero, errTermClosed
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 	select {
-	case v := <-got:
+	case v := <-result:
 		return v, nil
 	case <-t.ctx.Done():
-		return none, errTermClosed
+		return zero, errTermClosed
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	}
 }
 
-// loseOwnership ends the term because a worker or the store has told of another owner.
+// loseOwnership ends the term after a worker or the store has shown that there is another owner.
 func (t *term) loseOwnership(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
 	t.cancelCtx()
 	t.tenure.Lost()
 }
 
-// close waits for the goroutines of the term.
+// close ends the term and waits for its goroutines.
 func (t *term) close() {
 	t.cancelCtx()
 	t.wg.Wait()
@@ -178,7 +182,7 @@
 	}
 }
 
-// syncConfig takes over a newer configuration and newer rules.
+// syncConfig applies newer configuration and rules.
 func (t *term) syncConfig() {
 	c, rules := t.o.Config(), t.o.Rules()
 	if c == nil {
@@ -192,11 +196,12 @@
 		t.applyQueueConfig(e)
 	}
 	t.passNeeded = true
-	t.log.Info("dispatch: configuration taken over", zap.Int64("version", t.configVersion()), zap.Int64("rules", t.rulesVersion()))
+	t.log.Info("dispatch: configuration applied", zap.Int64("version", t.configVersion()),
+		zap.Int64("rules", t.rulesVersion()))
 }
 
-// applyQueueConfig gives an entry the newest configuration of its queue. A queue that was removed goes on under
-// its last one, since what was accepted must end.
+// applyQueueConfig gives an entry the newest configuration of its queue. Works of a removed queue keep its last
+// configuration, since accepted work must be finished.
 func (t *term) applyQueueConfig(e *entry) {
 	if t.config != nil {
 		if q := t.config.Named(e.work.Queue.Name); q != nil {
@@ -207,7 +212,7 @@
 	t.applyRules(e)
 }
 
-// followAll starts the goroutines that hear of workers and accepted work.
+// followAll starts the watches over workers, accepted work and upkeep waves.
 func (t *term) followAll() {
 	t.followWorkers()
 	t.followWorks()
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 )
 
-// onTick does what depends on time alone.
+// onTick performs all time-driven checks.
 func (t *term) onTick(now time.Time) {
 	t.endLapsed(now)
 	t.endMembersOfEndedGangs()
@@ -27,7 +27,7 @@
 	t.passNeeded = t.passNeeded || len(t.waitingStages) > 0
 }
 
-// retryHalts repeats orders to stop whose end is not listed.
+// retryHalts repeats stop orders of runs whose end has not been reported.
 func (t *term) retryHalts(now time.Time) {
 	for _, n := range t.nodes {
 		for _, r := range n.runs {
@@ -39,15 +39,16 @@
 }
 
 const (
-	// stallTimeout is how long a run may stand still at least, a quarter of its estimate where that is
-	// more: what is a percent of a task takes a worker that is eight times as slow a twelfth of it.
+	// stallTimeout is the minimum time without progress after which a run counts as stalled; a longer estimate raises
+	// it to a quarter of the estimate. On a worker that is eight times slower, one percent of a task takes a twelfth of
+	// the estimate.
 	stallTimeout         = 3 * time.Second
 	stallEstimateDivisor = 4
 )
 
-// stopStalled stops runs that no longer get on, so that their tasks go on elsewhere from their checkpoints.
-// A worker may answer every call while nothing on it moves: its tasks would hold it, and their callers,
-// for as long as that lasts. A service is at its hundred percent for good.
+// stopStalled stops runs without progress, so that their tasks continue elsewhere from their checkpoints. A worker may
+// answer every call although nothing on it makes progress, and would hold its tasks and their callers for as long as
+// that lasts. Services are exempt: they stay at 100 percent.
 func (t *term) stopStalled(now time.Time) {
 	for _, n := range t.nodes {
 		if n.misses > 0 || !n.heardAt.After(now.Add(-holdWait-holdTimeoutSlack)) {
@@ -55,7 +56,8 @@
 		}
 		for _, r := range n.runs {
 			if r.isStalled(now) {
-				t.log.Info("dispatch: run stands still", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index), zap.Int("task", r.index),
+				t.log.Info("dispatch: run makes no progress", zap.String("id", r.stage.entry.work.ID),
+					zap.Int("step", r.stage.index), zap.Int("task", r.index),
 					zap.Int64("run", r.number), zap.String("worker", n.id), zap.Int("percent", r.percent))
 				n.unwellUntil = now.Add(stallTimeout)
 				r.stage.noteFailureOn(n.id)
@@ -65,7 +67,7 @@
 	}
 }
 
-// isStalled reports whether a run has stood still for too long.
+// isStalled reports whether a run has made no progress for too long.
 func (r *run) isStalled(now time.Time) bool {
 	spec := r.stage.spec
 	if !r.confirmed || r.stopping || spec.Service || spec.Gang || spec.Estimate == 0 || r.progressAt.IsZero() {
@@ -74,7 +76,7 @@
 	return now.Sub(r.progressAt) > max(stallTimeout, spec.Estimate/stallEstimateDivisor)
 }
 
-// beginDue begins the occurrences of a timed work that are due.
+// beginDue opens the due occurrences of a timed work.
 func (t *term) beginDue(e *entry, now time.Time) {
 	if e.state.Final() {
 		delete(t.timed, e)
@@ -89,7 +91,7 @@
 	}
 }
 
-// forgetEnded removes records that nobody may ask for any more.
+// forgetEnded removes the records of ended work whose retention time is over.
 func (t *term) forgetEnded(now time.Time) {
 	for len(t.endedOrder) > 0 {
 		id := t.endedOrder[0]
--- a/dispatch/unresolved.go
+++ b/dispatch/unresolved.go
@@ -9,30 +9,30 @@
 	"turmericgap/worker"
 )
 
-// unresolvedRun is a run of a gang that is over although one of its workers could not say how it ended there.
-// The worker may list a failure when it is heard again, which counts as an attempt, unless its lease
-// lapses before.
+// unresolvedRun is a run of a gang that is over although one of its workers could not report how it ended there. The
+// worker may still report a failure once it is reachable again, which counts as an attempt, unless its lease lapses
+// first.
 type unresolvedRun struct {
 	number int64
 	worker string
-	// until is when the worker's lease has surely lapsed.
+	// until is when the worker's lease has certainly lapsed.
 	until time.Time
 }
 
-// attemptsLeft reports whether another run is allowed even if all unheard ones had failed.
+// attemptsLeft reports whether another run is allowed even if all unresolved runs turn out to have failed.
 func (s *stage) attemptsLeft(now time.Time) bool {
-	kept := s.unresolved[:0]
+	remaining := s.unresolved[:0]
 	for _, u := range s.unresolved {
 		if now.Before(u.until) {
-			kept = append(kept, u)
+			remaining = append(remaining, u)
 		}
 	}
-	s.unresolved = kept
+	s.unresolved = remaining
 	return s.spec.Service || s.failures+s.unresolvedCount() < s.entry.queue.Attempts
 }
 
-// unresolvedCount counts the runs that may still turn out to have failed, each once however many workers may
-// tell of it.
+// unresolvedCount counts the runs that may still turn out to have failed, each once even if several workers may report
+// it.
 func (s *stage) unresolvedCount() int {
 	n := 0
 	for i, u := range s.unresolved {
@@ -43,18 +43,20 @@
 	return n
 }
 
-// addUnresolved notes that a worker cannot say how a run of the gang ended there. Any of several such workers
-// may list the failure, so that each is remembered.
+// addUnresolved records that a worker could not report how a run of the gang ended. Several workers may be in this
+// state, and any of them may report the failure, so each is recorded.
 func (s *stage) addUnresolved(number int64, n *node) {
 	u := unresolvedRun{number, n.id, n.leaseEnd}
-	if !slices.ContainsFunc(s.unresolved, func(o unresolvedRun) bool { return o.number == number && o.worker == n.id }) {
+	if !slices.ContainsFunc(s.unresolved, func(o unresolvedRun) bool {
+		return o.number == number && o.worker == n.id
+	}) {
 		s.unresolved = append(s.unresolved, u)
 	}
 }
 
-// endMembersOfEndedGangs ends members of gangs on workers that are silent, where another member has shown that the
-// run is over. A worker that crashed lists nothing, and the gang would wait for its lease to lapse
-// although no member can be at work any more.
+// endMembersOfEndedGangs ends gang members on silent workers if another member has proved that the run is over. A
+// worker that crashed reports nothing; without this the gang would wait until its lease lapses although no member can
+// still be running.
 func (t *term) endMembersOfEndedGangs() {
 	for _, n := range t.nodes {
 		if n.misses < extendMissLimit {
@@ -71,7 +73,7 @@
 	}
 }
 
-// onLateEnd takes in an end that a worker lists of a run that was counted as over before.
+// onLateEnd handles the reported end of a run that was already counted as over.
 func (t *term) onLateEnd(n *node, e *worker.End) {
 	entry := t.entries[e.Task.Work]
 	if entry == nil || entry.state.Final() {
@@ -88,7 +90,8 @@
 			}
 			s.unresolved = slices.DeleteFunc(s.unresolved, func(o unresolvedRun) bool { return o.number == e.Run })
 			s.failures++
-			t.log.Info("dispatch: a failure was heard of late", zap.String("id", e.Task.Work), zap.Int("step", e.Task.Step),
+			t.log.Info("dispatch: a failure was heard of late", zap.String("id", e.Task.Work),
+				zap.Int("step", e.Task.Step),
 				zap.Int64("run", e.Run), zap.String("worker", n.id), zap.Int("fails", s.failures))
 			if s.failures >= entry.queue.Attempts && !s.spec.Service {
 				t.failWork(s)
--- a/dispatch/work.go
+++ b/dispatch/work.go
@@ -8,14 +8,14 @@
 	"turmericgap/job"
 )
 
-// addWork takes an accepted work that the term does not know yet.
+// addWork adds an accepted work unless the term already knows it.
 func (t *term) addWork(w *job.Work) {
 	if e := t.entries[w.ID]; e != nil {
-		// An entry VM has created the work itself: it must not be withdrawn for want of an own commit.
+		// An entry VM has created the work itself, so it must not be withdrawn for lack of a commit by this owner.
 		e.needsCreate, e.createdElsewhere = false, true
 		return
 	}
-	if _, over := t.ended[w.ID]; over {
+	if _, ended := t.ended[w.ID]; ended {
 		return
 	}
 	e := newEntry(w)
@@ -30,9 +30,9 @@
 	t.openStages(e.openOccurrence(0))
 }
 
-// offer takes work that an entry VM has just accepted. An offer that was under way while its work
-// ran and ended under a former owner would run it again; until the ended work is known, only the
-// watch tells of new work, which the store orders after its end.
+// offer adds work that an entry VM has just accepted. An offer may arrive late, after its work has run and ended under
+// a former owner, and would run it again. So until the records of ended work are loaded, only the watch adds new work:
+// the store orders its events after the work's end.
 func (t *term) offer(works []job.Work) {
 	if !t.endedLoaded {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// openStages makes the stages of an occurrence whose turn has come ready.
+// openStages marks the stages of an occurrence whose preceding steps are done as ready.
 func (t *term) openStages(o *occurrence) {
 	for _, s := range o.stages {
 		if s.waiting == 0 || s.entry.state.Final() || !s.predecessorsDone() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// durableStateOf gives the durable state of a work, empty where it is not held.
+// durableStateOf returns the durable state of a work, or "" if the term does not hold it.
 func (t *term) durableStateOf(id string) job.WorkState {
 	if e := t.entries[id]; e != nil {
 		if !e.durableState.Final() && e.started {
@@ -67,8 +67,8 @@
 	return t.ended[id].State
 }
 
-// isTenureConfirmed reports whether the store has lately confirmed the tenure. An owner that was replaced
-// without having heard of it does not know the newest work.
+// isTenureConfirmed reports whether the store has recently confirmed the tenure. An owner that was replaced without
+// noticing does not know the newest work.
 func (t *term) isTenureConfirmed() bool { return t.tenure.Confirmed(countGrace) }
 
 func (t *term) countWaiting(queue string) int {
@@ -81,14 +81,14 @@
 	return n
 }
 
-// cancel decides that a work is cancelled; done is closed once that is durable.
+// cancel cancels a work; done is closed once that is durable.
 func (t *term) cancel(id string) (known bool, done chan error) {
 	done = make(chan error, 1)
 	e := t.entries[id]
 	if e == nil {
-		_, over := t.ended[id]
+		_, ended := t.ended[id]
 		close(done)
-		return over, done
+		return ended, done
 	}
 	if e.state.Final() {
 		t.afterSaved(e, func() { close(done) })
@@ -100,7 +100,7 @@
 	return true, done
 }
 
-// finish decides a final state: nothing new starts, and what runs is stopped once that is durable.
+// finish sets a final state: no new task starts, and running tasks are stopped once the state is durable.
 func (t *term) finish(e *entry, state job.WorkState) {
 	e.state = state
 	delete(t.timed, e)
