--- a/admission/admission.go
+++ b/admission/admission.go
@@ -10,18 +10,18 @@
 
 // Worker is what a worker offers.
 type Worker struct {
-	Pool   string
-	Labels []string
-	Has    job.Resources
+	Pool     string
+	Labels   []string
+	Capacity job.Resources
 }
 
-// Hopeless tells why a work's steps can never start on the workers of its pool, each of them empty; an empty
+// InfeasibleReason tells why a work's steps can never start on the workers of its pool, each of them empty; an empty
 // reason means that they can. A pool without workers says nothing, since its workers may be about to come.
 //
 // The load that it answers is work that asks for a label that no worker has, or for more than the largest one
 // holds. Accepted, it would wait for ever, and its caller with it; told at once, the caller can ask for what
 // there is. Only what is certain counts: a step that fits an empty worker is admitted however full it is now.
-func Hopeless(pool string, steps []job.Step, workers iter.Seq[Worker]) string {
+func InfeasibleReason(pool string, steps []job.Step, workers iter.Seq[Worker]) string {
 	places := make([]int, len(steps))
 	known := false
 	for w := range workers {
@@ -58,7 +58,7 @@
 		most = min(most, s.MostPerWorker)
 	}
 	n := 0
-	for n < most && need.Times(n+1).Fits(w.Has) {
+	for n < most && need.Times(n+1).Fits(w.Capacity) {
 		n++
 	}
 	return n
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -14,9 +14,9 @@
 func TestHopeless(t *testing.T) {
 	has := job.Resources{Millicores: 16000, MemoryMB: 64000}
 	workers := []Worker{
-		{Pool: "desk", Labels: []string{"a", "r1"}, Has: has},
-		{Pool: "desk", Labels: []string{"b", "r2"}, Has: has},
-		{Pool: "other", Labels: []string{"gpu", "r3"}, Has: job.Resources{Millicores: 64000, MemoryMB: 64000, Accelerators: 4}},
+		{Pool: "desk", Labels: []string{"a", "r1"}, Capacity: has},
+		{Pool: "desk", Labels: []string{"b", "r2"}, Capacity: has},
+		{Pool: "other", Labels: []string{"gpu", "r3"}, Capacity: job.Resources{Millicores: 64000, MemoryMB: 64000, Accelerators: 4}},
 	}
 	each := func(cores int64) job.Resources { return job.Resources{Millicores: cores * 1000, MemoryMB: 100} }
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			reason := Hopeless(c.pool, []job.Step{{Tasks: 1}, c.step}, slices.Values(workers))
+			reason := InfeasibleReason(c.pool, []job.Step{{Tasks: 1}, c.step}, slices.Values(workers))
 			is.Equal(reason == "", c.says == "")
 			is.True(strings.Contains(reason, c.says))
 			is.Equal(reason != "", strings.HasPrefix(reason, "step 1: "))
--- a/admission/behind.go
+++ b/admission/behind.go
@@ -18,21 +18,21 @@
 	retrySpread = 2 * time.Second
 )
 
-// Behind decides which part of new work an owner turns away while it has more to decide than it can.
+// OverloadDetector decides which part of new work an owner turns away while it has more to decide than it can.
 //
 // The load that it answers is more work than the owner's processor has time for, however much room the workers have.
 // Taken, all of it would wait, and what is asked for it would lapse and be asked again, also after the load has gone.
 // It is judged by how long events wait, as a long queue that moves fast does no harm, and by the least of these
 // waits in a while, as a burst does none either.
-type Behind struct {
+type OverloadDetector struct {
 	share float64
 	// least is the least lag since from.
 	least time.Duration
 	from  time.Time
 }
 
-// Note takes in how long events wait now.
-func (b *Behind) Note(now time.Time, lag time.Duration) {
+// Observe takes in how long events wait now.
+func (b *OverloadDetector) Observe(now time.Time, lag time.Duration) {
 	if b.from.IsZero() {
 		b.from, b.least = now, lag
 	}
@@ -49,20 +49,20 @@
 	b.from, b.least = now, lag
 }
 
-// Share gives the part of new work that is to be turned away.
-func (b *Behind) Share() float64 { return b.share }
+// RejectRatio gives the part of new work that is to be turned away.
+func (b *OverloadDetector) RejectRatio() float64 { return b.share }
 
-// Gate turns away a part of new work, of each kind the same part.
-type Gate struct {
+// Shedder turns away a part of new work, of each kind the same part.
+type Shedder struct {
 	// due is how far each kind is towards its next work that is taken.
 	due map[string]float64
 	// turned counts the works that were turned away, to spread their return.
 	turned int
 }
 
-// Takes reports whether the next work of a kind is taken while a share is turned away, and if not, after how long it
+// Admit reports whether the next work of a kind is taken while a share is turned away, and if not, after how long it
 // may come again: the more is turned away, the later.
-func (g *Gate) Takes(kind string, share float64) (taken bool, again time.Duration) {
+func (g *Shedder) Admit(kind string, share float64) (taken bool, again time.Duration) {
 	if share <= 0 {
 		clear(g.due)
 		return true, 0
--- a/admission/behind_test.go
+++ b/admission/behind_test.go
@@ -8,10 +8,10 @@
 )
 
 // lagging notes a lag ten times a second.
-func lagging(b *Behind, now *time.Time, lag time.Duration, seconds int) {
+func lagging(b *OverloadDetector, now *time.Time, lag time.Duration, seconds int) {
 	for range 10 * seconds {
 		*now = now.Add(100 * time.Millisecond)
-		b.Note(*now, lag)
+		b.Observe(*now, lag)
 	}
 }
 
@@ -19,22 +19,22 @@
 // same part and never all; and all is taken again soon after it has caught up.
 func TestBehind(t *testing.T) {
 	is := is.New(t)
-	var b Behind
-	var g Gate
+	var b OverloadDetector
+	var g Shedder
 	now := time.Unix(1000, 0)
 	lagging(&b, &now, 30*time.Millisecond, 5)
-	is.Equal(b.Share(), 0.0)
-	b.Note(now, 2*time.Second) // a burst
+	is.Equal(b.RejectRatio(), 0.0)
+	b.Observe(now, 2*time.Second) // a burst
 	lagging(&b, &now, 30*time.Millisecond, 1)
-	is.Equal(b.Share(), 0.0)
+	is.Equal(b.RejectRatio(), 0.0)
 	lagging(&b, &now, 400*time.Millisecond, 2)
-	is.Equal(b.Share(), 0.75)
+	is.Equal(b.RejectRatio(), 0.75)
 	lagging(&b, &now, 4*time.Second, 2)
-	is.Equal(b.Share(), mostShare)
+	is.Equal(b.RejectRatio(), mostShare)
 	taken := map[string]int{}
 	for range 1000 {
 		for _, kind := range []string{"check", "roster"} {
-			ok, again := g.Takes(kind, b.Share())
+			ok, again := g.Admit(kind, b.RejectRatio())
 			if ok {
 				taken[kind]++
 				continue
@@ -46,7 +46,7 @@
 		is.True(n > 30 && n < 70) // one of twenty
 	}
 	lagging(&b, &now, 0, 6)
-	is.Equal(b.Share(), 0.0)
-	ok, _ := g.Takes("check", b.Share())
+	is.Equal(b.RejectRatio(), 0.0)
+	ok, _ := g.Admit("check", b.RejectRatio())
 	is.True(ok)
 }
--- a/aging/aging.go
+++ b/aging/aging.go
@@ -34,15 +34,15 @@
 	Large
 	// Largest is the largest tenth.
 	Largest
-	// Classes counts the classes.
-	Classes
+	// NumClasses counts the classes.
+	NumClasses
 )
 
 // String names the class in logs.
-func (c Class) String() string { return [Classes]string{"usual", "large", "largest"}[c] }
+func (c Class) String() string { return [NumClasses]string{"usual", "large", "largest"}[c] }
 
-// Sizes learns how large the works of each queue are, and shares the turns between their classes.
-type Sizes struct {
+// SizeStats learns how large the works of each queue are, and shares the turns between their classes.
+type SizeStats struct {
 	queues map[string]*queue
 }
 
@@ -53,19 +53,19 @@
 	// largeFrom and largestFrom are where the classes begin.
 	largeFrom, largestFrom float64
 	// arrivals is the part of the works that each class is.
-	arrivals [Classes]float64
+	arrivals [NumClasses]float64
 	// turns is how far each class is with its turns: the class that is least far has the next one.
-	turns [Classes]float64
+	turns [NumClasses]float64
 }
 
 // New returns Sizes that have learned nothing.
-func New() *Sizes { return &Sizes{queues: make(map[string]*queue)} }
+func New() *SizeStats { return &SizeStats{queues: make(map[string]*queue)} }
 
-// Note takes in the size of a work that was accepted, in core-seconds.
-func (z *Sizes) Note(name string, size float64) {
+// Observe takes in the size of a work that was accepted, in core-seconds.
+func (z *SizeStats) Observe(name string, size float64) {
 	q := z.queues[name]
 	if q == nil {
-		q = &queue{mean: size, arrivals: [Classes]float64{1 - largeShare, largeShare - largestShare, largestShare}}
+		q = &queue{mean: size, arrivals: [NumClasses]float64{1 - largeShare, largeShare - largestShare, largestShare}}
 		z.queues[name] = q
 	}
 	q.mean += meanWeight * (size - q.mean)
@@ -84,7 +84,7 @@
 }
 
 // Class gives the class of a work of that size among the latest of its queue; while few are known it is Usual.
-func (z *Sizes) Class(name string, size float64) Class {
+func (z *SizeStats) Class(name string, size float64) Class {
 	if q := z.queues[name]; q != nil {
 		return q.class(size)
 	}
@@ -108,9 +108,9 @@
 	return Largest
 }
 
-// Wait gives how long a work may wait for its turn among those of its class, in objectives: most callers
+// WaitFactor gives how long a work may wait for its turn among those of its class, in objectives: most callers
 // are served if works that are small beside the others of their queue go first.
-func (z *Sizes) Wait(name string, size float64) float64 {
+func (z *SizeStats) WaitFactor(name string, size float64) float64 {
 	q := z.queues[name]
 	if q == nil || q.mean <= 0 {
 		return 1
@@ -118,19 +118,19 @@
 	return min(max(size/q.mean, waitLeast), waitMost)
 }
 
-// Share gives the order in which works of a queue have their turns, as indices into their classes, which are
+// Order gives the order in which works of a queue have their turns, as indices into their classes, which are
 // given in the order of Wait.
 //
 // The load that it answers is more work than room or permits, for as long as it lasts. By the order of Wait
 // alone all turns go to small works, and large ones become late before theirs comes: hardly any of the largest
 // tenth would be served where most of all are. Turns are shared by start-time fair queueing, each class as often as its works arrive. That needs nothing but what waits
 // now: no work must be seen to be lost first, and a new owner shares as well as the one before it.
-func (z *Sizes) Share(name string, waiting []Class) []int {
+func (z *SizeStats) Order(name string, waiting []Class) []int {
 	q := z.queues[name]
 	if q == nil {
 		q = &queue{}
 	}
-	var of [Classes][]int
+	var of [NumClasses][]int
 	for i, c := range waiting {
 		of[c] = append(of[c], i)
 	}
@@ -147,10 +147,10 @@
 }
 
 // first gives the class that has the next turn, the smaller works' one of those that are equally far.
-func first(of *[Classes][]int, turns *[Classes]float64) Class {
-	best := Classes
-	for c := range Classes {
-		if len(of[c]) > 0 && (best == Classes || turns[c] < turns[best]) {
+func first(of *[NumClasses][]int, turns *[NumClasses]float64) Class {
+	best := NumClasses
+	for c := range NumClasses {
+		if len(of[c]) > 0 && (best == NumClasses || turns[c] < turns[best]) {
 			best = c
 		}
 	}
@@ -159,12 +159,12 @@
 
 // catchUp sets classes of which nothing waits no further back than those of which something does. Turns that
 // a class had no use for would else be owed to it, and it alone would have all of them one day.
-func (q *queue) catchUp(of *[Classes][]int) {
+func (q *queue) catchUp(of *[NumClasses][]int) {
 	least := first(of, &q.turns)
-	if least == Classes {
+	if least == NumClasses {
 		return
 	}
-	for c := range Classes {
+	for c := range NumClasses {
 		if len(of[c]) == 0 {
 			q.turns[c] = max(q.turns[c], q.turns[least])
 		}
@@ -174,8 +174,8 @@
 // turn is how far one turn brings a class.
 func (q *queue) turn(c Class) float64 { return 1 / max(q.arrivals[c], leastArrival) }
 
-// Begun takes in that a work of a class has had its turn.
-func (z *Sizes) Begun(name string, c Class) {
+// RecordStart takes in that a work of a class has had its turn.
+func (z *SizeStats) RecordStart(name string, c Class) {
 	if q := z.queues[name]; q != nil {
 		q.turns[c] += q.turn(c)
 	}
--- a/aging/aging_test.go
+++ b/aging/aging_test.go
@@ -9,11 +9,11 @@
 )
 
 // sizes has seen a queue's works of 1 to 10, many times.
-func sizes() *Sizes {
+func sizes() *SizeStats {
 	z := New()
 	for range 50 {
 		for size := range 10 {
-			z.Note("rosters", float64(size+1))
+			z.Observe("rosters", float64(size+1))
 		}
 	}
 	return z
@@ -23,19 +23,19 @@
 func TestWait(t *testing.T) {
 	is := is.New(t)
 	z := sizes()
-	is.True(z.Wait("rosters", 1) < z.Wait("rosters", 5))
-	is.True(z.Wait("rosters", 5) < z.Wait("rosters", 9))
-	is.Equal(z.Wait("rosters", 0.01), waitLeast)
-	is.Equal(z.Wait("rosters", 1000), float64(waitMost))
-	is.Equal(z.Wait("unknown", 1), 1.0)
+	is.True(z.WaitFactor("rosters", 1) < z.WaitFactor("rosters", 5))
+	is.True(z.WaitFactor("rosters", 5) < z.WaitFactor("rosters", 9))
+	is.Equal(z.WaitFactor("rosters", 0.01), waitLeast)
+	is.Equal(z.WaitFactor("rosters", 1000), float64(waitMost))
+	is.Equal(z.WaitFactor("unknown", 1), 1.0)
 }
 
 // begin gives n turns to works of all classes that wait without end, and counts them by class.
-func begin(z *Sizes, n int, waiting ...Class) map[Class]int {
+func begin(z *SizeStats, n int, waiting ...Class) map[Class]int {
 	got := make(map[Class]int)
 	for range n {
-		c := waiting[z.Share("rosters", waiting)[0]]
-		z.Begun("rosters", c)
+		c := waiting[z.Order("rosters", waiting)[0]]
+		z.RecordStart("rosters", c)
 		got[c]++
 	}
 	return got
@@ -49,11 +49,11 @@
 	arrive := make(map[Class]int)
 	for i := range 100 {
 		size := float64(i%10 + 1)
-		z.Note("rosters", size)
+		z.Observe("rosters", size)
 		arrive[z.Class("rosters", size)]++
 	}
 	got := begin(z, 100, Usual, Usual, Usual, Large, Largest)
-	for c := range Classes {
+	for c := range NumClasses {
 		is.True(arrive[c] > 0)
 		is.True(math.Abs(float64(got[c]-arrive[c])) <= 5)
 	}
@@ -85,7 +85,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			order := sizes().Share("rosters", waiting)
+			order := sizes().Order("rosters", waiting)
 			is.Equal(len(order), len(waiting))
 			last := map[Class]int{Usual: -1, Large: -1, Largest: -1}
 			for _, i := range order {
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	z := New()
 	for i := range 400 {
-		z.Note("rosters", float64(1+i%2))
+		z.Observe("rosters", float64(1+i%2))
 	}
 	small, large := z.Class("rosters", 1), z.Class("rosters", 2)
 	is.True(small != large)
@@ -115,29 +115,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		z := New()
 		for _, size := range rapid.SliceOfN(rapid.Float64Range(1, 1000), 30, 200).Draw(t, "sizes") {
-			z.Note("rosters", size)
+			z.Observe("rosters", size)
 		}
-		waits := Class(rapid.IntRange(0, int(Classes)-1).Draw(t, "class"))
+		waits := Class(rapid.IntRange(0, int(NumClasses)-1).Draw(t, "class"))
 		const turns = 200
 		got := 0
 		for range turns {
 			waiting := []Class{waits}
-			for c := range Classes {
+			for c := range NumClasses {
 				if c != waits && rapid.Bool().Draw(t, "waits") {
 					waiting = append(waiting, c)
 				}
 			}
-			c := waiting[z.Share("rosters", waiting)[0]]
-			z.Begun("rosters", c)
+			c := waiting[z.Order("rosters", waiting)[0]]
+			z.RecordStart("rosters", c)
 			if c == waits {
 				got++
 			}
 		}
 		q, all := z.queues["rosters"], 0.0
-		for c := range Classes {
+		for c := range NumClasses {
 			all += 1 / q.turn(c)
 		}
-		if want := turns / q.turn(waits) / all; float64(got) < want-float64(Classes) {
+		if want := turns / q.turn(waits) / all; float64(got) < want-float64(NumClasses) {
 			t.Fatalf("%v had %d of %d turns, its share is %.1f", waits, got, turns, want)
 		}
 	})
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -40,15 +40,15 @@
 	return b
 }
 
-// Earn notes a success.
-func (b *Budget) Earn() {
+// Deposit notes a success.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	b.have = min(b.burst, b.have+b.earn)
 	b.mu.Unlock()
 }
 
-// Spend takes one retry and reports whether there was one.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.have < one {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -20,14 +20,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := New()
 			for range DefaultBurst {
-				is.New(t).True(b.Spend())
+				is.New(t).True(b.TryWithdraw())
 			}
-			is.New(t).True(!b.Spend())
+			is.New(t).True(!b.TryWithdraw())
 			for range c.successes {
-				b.Earn()
+				b.Deposit()
 			}
 			n := 0
-			for b.Spend() {
+			for b.TryWithdraw() {
 				n++
 			}
 			is.New(t).Equal(n, c.want)
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -47,7 +47,7 @@
 	r.ForJob(time.Now(), &spec)
 	out := explained{Explanation: list.Explain(&r)}
 	for _, each := range list.Document().Rules {
-		if each.ID == out.Decided {
+		if each.ID == out.DecidedBy {
 			out.Rule = &each
 		}
 	}
@@ -80,17 +80,17 @@
 
 func printExplanation(x *rule.Explanation) {
 	fmt.Printf("rules, version %d:\n", x.Version)
-	for _, v := range x.Asked {
+	for _, v := range x.Results {
 		switch {
-		case v.Holds:
+		case v.Matched:
 			fmt.Printf("  %s holds and decides\n", v.Rule)
-		case v.Values != "":
-			fmt.Printf("  %s does not hold: %s, but %s\n", v.Rule, v.Failed, v.Values)
+		case v.FieldValues != "":
+			fmt.Printf("  %s does not hold: %s, but %s\n", v.Rule, v.FailedCondition, v.FieldValues)
 		default:
-			fmt.Printf("  %s does not hold: %s\n", v.Rule, v.Failed)
+			fmt.Printf("  %s does not hold: %s\n", v.Rule, v.FailedCondition)
 		}
 	}
-	if x.Decided == "" {
+	if x.DecidedBy == "" {
 		fmt.Println("  no rule holds; everything is at its default")
 	}
 }
--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -68,9 +68,9 @@
 		time.Since(t.unlistedAt) < workerListSettleTime {
 		return ""
 	}
-	return admission.Hopeless(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
+	return admission.InfeasibleReason(w.Queue.Pool, w.Steps, func(yield func(admission.Worker) bool) {
 		for _, n := range t.nodes {
-			if !yield(admission.Worker{Pool: n.listing.Pool, Labels: n.listing.Labels, Has: n.listing.Has}) {
+			if !yield(admission.Worker{Pool: n.listing.Pool, Labels: n.listing.Labels, Capacity: n.listing.Has}) {
 				return
 			}
 		}
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -46,7 +46,7 @@
 	floor  *floor.Floor
 	config *job.Config
 	// permits gives the answer of the policy service; nil allows every worker at once.
-	permits func(q *permit.Question) ([]string, time.Duration)
+	permits func(q *permit.Request) ([]string, time.Duration)
 
 	// onExamined lets what the owner looks at take time; nil takes none.
 	onExamined func(looks int)
@@ -121,7 +121,7 @@
 	v.peers = rpc.NewPool(dial)
 	log := zap.NewNop()
 	rules := configuration.NewRules(log)
-	ask := func(ctx context.Context, q *permit.Question) (*permit.Answer, error) { return c.answer(ctx, q) }
+	ask := func(ctx context.Context, q *permit.Request) (*permit.Response, error) { return c.answer(ctx, q) }
 	var waves *dispatch.Waves
 	if c.cloud != nil {
 		waves = c.cloud.waves(id)
@@ -130,25 +130,25 @@
 	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.relayAgent(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.directWorkers, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
-		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
+		Self: id, MaxDirect: cmp.Or(c.directWorkers, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
 		dispatch.Upkeep(waves), dispatch.OnExamined(c.onExamined),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
-			func(ctx context.Context, from owner.Node, q *permit.Question) (*permit.Answer, error) {
+			func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
 				if from.ID == id {
 					return ask(ctx, q)
 				}
-				return rpc.Call[permit.Question, permit.Answer](ctx, v.peers.Get(from.Address), front.MethodAsk, q)
+				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAskPermit, q)
 			}),
 		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
-		owner.Failing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.Pace(v.pace), owner.Peers(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
+		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
-		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, Permits: ask, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
+		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, AskPermit: ask, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
 	v.front.Register(v.server)
 	v.group.Register(v.server)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (c *cell) answer(ctx context.Context, q *permit.Question) (*permit.Answer, error) {
+func (c *cell) answer(ctx context.Context, q *permit.Request) (*permit.Response, error) {
 	names, takes := q.Workers, time.Duration(0)
 	if c.permits != nil {
 		names, takes = c.permits(q)
@@ -267,7 +267,7 @@
 		return nil, ctx.Err()
 	case <-time.After(takes):
 	}
-	a := &permit.Answer{Valid: 1500 * time.Millisecond}
+	a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 	for _, id := range names {
 		a.Grants = append(a.Grants, permit.Grant{Worker: id, Ticket: "t-" + id})
 	}
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -77,7 +77,7 @@
 }
 
 // allowQuarter allows one worker in four for each step.
-func allowQuarter(q *permit.Question) ([]string, time.Duration) {
+func allowQuarter(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
 		h := fnv.New32a()
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -223,7 +223,7 @@
 // a lost answer it tries again: the marker in the key shows whether an earlier attempt was applied, and once a later
 // commit has changed the key, no earlier attempt can be applied any more.
 func (t *term) commit(batch *commitBatch, before int64) (int64, error) {
-	b := retry.New(retry.Between(commitRetryMin, commitRetryMax))
+	b := retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
 	for first := true; ; first = false {
 		ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 		res, err := t.o.Store.Txn(ctx, batch.txn)
@@ -255,7 +255,7 @@
 
 // resolve reports whether a rejected transaction had already been applied by an earlier attempt.
 func (t *term) resolve(ctx context.Context, batch *commitBatch, res *store.TxnResult) (int64, error) {
-	found := res.Found
+	found := res.Existing
 	if len(found) == 0 {
 		r, err := t.o.Store.Range(ctx, store.Range{Key: batch.stream.key})
 		if err != nil {
--- a/dispatch/committer.go
+++ b/dispatch/committer.go
@@ -73,7 +73,7 @@
 
 // init sets the key of each stream and the backoff after declined commits.
 func (c *committer) init() {
-	c.backoff = retry.New(retry.Between(commitRetryMin, commitRetryMax))
+	c.backoff = retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
 	for i := range c.streams {
 		c.streams[i].key = commitPrefix + strconv.Itoa(i)
 	}
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -111,7 +111,7 @@
 	c.config.Queues = append(c.config.Queues,
 		job.Queue{Name: "check", Pool: pool, Priority: 0, Attempts: 2, Slack: 1.5, Target: 250 * time.Millisecond},
 		job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 4, Target: 3 * time.Second})
-	c.permits = func(q *permit.Question) ([]string, time.Duration) {
+	c.permits = func(q *permit.Request) ([]string, time.Duration) {
 		names, _ := allowQuarter(q)
 		return names, crowdedBase + time.Duration(len(q.Workers))*crowdedPerWorker
 	}
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -77,7 +77,7 @@
 }
 
 // allow lets each step run on two workers in five, after what the question costs.
-func allow(q *permit.Question) ([]string, time.Duration) {
+func allow(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
 		h := fnv.New32a()
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -84,7 +84,7 @@
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		allowed := []string{"w06", "w07", "w08", "w09"}
 		questions := 0
-		c.permits = func(q *permit.Question) ([]string, time.Duration) {
+		c.permits = func(q *permit.Request) ([]string, time.Duration) {
 			questions++
 			var names []string
 			for _, id := range allowed {
@@ -288,7 +288,7 @@
 		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 20, Target: time.Minute})
-		c.permits = func(q *permit.Question) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
+		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
 		c.workers(2, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
@@ -326,7 +326,7 @@
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		var mu sync.Mutex
 		named := make(map[string]int)
-		c.permits = func(q *permit.Question) ([]string, time.Duration) {
+		c.permits = func(q *permit.Request) ([]string, time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			var names []string
@@ -370,7 +370,7 @@
 		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, 20*time.Second
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 200 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 4, Target: time.Second})
-		c.permits = func(*permit.Question) ([]string, time.Duration) {
+		c.permits = func(*permit.Request) ([]string, time.Duration) {
 			return []string{"w00", "w01"}, 240 * time.Millisecond
 		}
 		c.workers(4, 4)
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -32,7 +32,7 @@
 	// Nodes lists the entry VMs that may query the policy service. It returns the same slice until the list changes.
 	// Ask sends a permit request from one of these VMs.
 	Nodes   func() []owner.Node
-	Ask     func(ctx context.Context, from owner.Node, req *permit.Question) (*permit.Answer, error)
+	Ask     func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error)
 	Logger  *zap.Logger
 	Metrics *metric.Registry
 	// Waves configures upkeep waves; nil disables them.
@@ -132,7 +132,7 @@
 
 // Permits sets the entry VMs that query the policy service, and the function that sends a permit request.
 func Permits(
-	nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Question) (*permit.Answer, error),
+	nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Request) (*permit.Response, error),
 ) Option {
 	return func(o *Options) { o.Nodes, o.Ask = nodes, ask }
 }
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -120,7 +120,7 @@
 	for i := range t.permitVMs.nodes {
 		t.permitVMs.ids = append(t.permitVMs.ids, t.permitVMs.nodes[i].ID)
 	}
-	t.vmSelector.Keep(t.permitVMs.ids)
+	t.vmSelector.RetainVMs(t.permitVMs.ids)
 }
 
 // sameSlice reports whether two lists are one and the sameSlice.
@@ -131,7 +131,7 @@
 // canRequest reports whether a stage may put a question now. Where no VM is free for it, it waits for its
 // turn among all stages.
 func (t *term) canRequest(s *stage, now time.Time) bool {
-	return s.openRequests == 0 && !now.Before(s.retryQuestionAt) && t.vmSelector.Free(t.permitVMs.ids, s.entry.queue.Permit.Base, now)
+	return s.openRequests == 0 && !now.Before(s.retryQuestionAt) && t.vmSelector.CanPick(t.permitVMs.ids, s.entry.queue.Permit.Base, now)
 }
 
 // sendPermitRequest puts a sendPermitRequest to the service from the entry VM that can answer first; false where none is
@@ -145,7 +145,7 @@
 		return false
 	}
 	from := t.permitVMs.nodes[slices.Index(t.permitVMs.ids, vm)]
-	q := &permit.Question{Work: s.entry.work.ID, Occurrence: s.occurrence.number, Step: s.index, Workers: names}
+	q := &permit.Request{Work: s.entry.work.ID, Occurrence: s.occurrence.number, Step: s.index, Workers: names}
 	s.openRequests++
 	t.o.Metrics.Counter("dispatch.questions").Inc(1)
 	t.wg.Go(func() {
@@ -158,20 +158,20 @@
 }
 
 // onPermitResponse notes what the service allows.
-func (t *term) onPermitResponse(s *stage, from owner.Node, q *permit.Question, asked time.Time, a *permit.Answer, err error) {
+func (t *term) onPermitResponse(s *stage, from owner.Node, q *permit.Request, asked time.Time, a *permit.Response, err error) {
 	now := time.Now()
 	s.openRequests--
 	t.passNeeded = true
 	if err != nil {
 		t.releaseSetAside(s)
-		t.vmSelector.Failed(from.ID, now)
+		t.vmSelector.RecordFailure(from.ID, now)
 		s.retryQuestionAt = now.Add(min(requestRetryMin<<min(s.questionFailures, 8), requestRetryMax))
 		s.questionFailures++
 		t.log.Info("dispatch: question without an answer", zap.String("id", q.Work), zap.Int("step", q.Step),
 			zap.String("from", from.ID), zap.Int("workers", len(q.Workers)), zap.Error(err))
 		return
 	}
-	t.vmSelector.Answered(from.ID)
+	t.vmSelector.RecordSuccess(from.ID)
 	s.questionFailures = 0
 	if s.tickets == nil {
 		s.tickets = make(map[string]ticket, len(q.Workers))
@@ -182,7 +182,7 @@
 		}
 	}
 	for _, g := range a.Grants {
-		s.tickets[g.Worker] = ticket{value: g.Ticket, until: now.Add(a.Valid), allowed: true}
+		s.tickets[g.Worker] = ticket{value: g.Ticket, until: now.Add(a.TicketTTL), allowed: true}
 	}
 	s.allowedVersion = allowedStale
 	t.updateGrantShare(s.entry.queue.Name, len(a.Grants), len(q.Workers))
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -51,19 +51,19 @@
 }
 
 // newReplay has so many VMs that may ask, and the answers of a policy service.
-func newReplay(ctx context.Context, vms int, answer func(*permit.Question) ([]string, time.Duration), opts ...Option) *replay {
+func newReplay(ctx context.Context, vms int, answer func(*permit.Request) ([]string, time.Duration), opts ...Option) *replay {
 	var nodes []owner.Node
 	for i := range vms {
 		nodes = append(nodes, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
 	}
-	ask := func(ctx context.Context, _ owner.Node, q *permit.Question) (*permit.Answer, error) {
+	ask := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
 		names, takes := answer(q)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-time.After(takes + jitter(q.Work, q.Step, q.Workers[0])):
 		}
-		a := &permit.Answer{Valid: 1500 * time.Millisecond}
+		a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 		for _, id := range names {
 			a.Grants = append(a.Grants, permit.Grant{Worker: id, Ticket: "t-" + id})
 		}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -38,7 +38,7 @@
 		zap.Int64("reservedMillicores", reserved), zap.Int("works", len(t.entries)), zap.Int("runs", runs),
 		zap.Int("waitingSteps", len(t.waitingStages)), zap.Int("waitingGangs", gangs), zap.Int("waitingTasks", waiting),
 		zap.Int("questions", openRequests), zap.Duration("lag", time.Duration(t.lag.mean.Load())),
-		zap.Float64("turnedAway", t.overloadDetector.Share()),
+		zap.Float64("turnedAway", t.overloadDetector.RejectRatio()),
 		zap.Int64("passes", t.pass.number), zap.Int("stagesInPass", t.pass.triedStages),
 		zap.Int("looksInPass", t.pass.examined),
 		zap.Duration("pass", t.pass.took))
--- a/dispatch/schedulehold.go
+++ b/dispatch/schedulehold.go
@@ -14,7 +14,7 @@
 	case <-n.wake: // meant for a pause that was over
 	default:
 	}
-	t.sendNextHold(n, holdWait, heartbeat.Pause(now, t.isRoomWanted(n), n.heartbeatRuns()))
+	t.sendNextHold(n, holdWait, heartbeat.PollDelay(now, t.isRoomWanted(n), n.heartbeatRuns()))
 }
 
 // heartbeatRuns tells what the worker's runs mean to those who wait.
@@ -25,7 +25,7 @@
 			continue
 		}
 		last := r.stopping || r.isLastOfStage()
-		list = append(list, heartbeat.Run{Ends: r.likelyEnd(), Last: last})
+		list = append(list, heartbeat.Run{ExpectedEnd: r.likelyEnd(), Awaited: last})
 	}
 	return list
 }
--- a/dispatch/size.go
+++ b/dispatch/size.go
@@ -68,7 +68,7 @@
 // recordSize takes in how large a work is that the term did not know.
 func (t *term) recordSize(e *entry) {
 	name := e.work.Queue.Name
-	t.sizes.Note(name, e.size)
+	t.sizes.Observe(name, e.size)
 	e.class = t.sizes.Class(name, e.size)
 	t.countOutcome(e, outcomeTaken)
 	tasks := 0
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -55,14 +55,14 @@
 	// unsent holds new works that were not durable at the last check.
 	unsent           []*entry
 	committer        committer
-	vmSelector       *permit.Desk
+	vmSelector       *permit.VMSelector
 	callLimiter      callLimiter
 	permitVMs        permitVMs
 	config           *job.Config
 	rules            *rule.List
 	passNeeded       bool
 	lag              lag
-	overloadDetector admission.Behind
+	overloadDetector admission.OverloadDetector
 	// reportedAt is when the state of the cell was last logged.
 	reportedAt time.Time
 	// endedToRemove lists records of ended work that the next commits delete.
@@ -78,7 +78,7 @@
 	pass         pass
 	// grantShares is the expected share of named workers that the policy service allows, by queue.
 	grantShares map[string]float64
-	sizes       *aging.Sizes
+	sizes       *aging.SizeStats
 	// tallies counts the outcomes of works by queue and size class.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
@@ -92,7 +92,7 @@
 		events: make(chan func(), eventBuffer), entries: make(map[string]*entry), ended: make(map[string]Ended),
 		nodes: make(map[string]*node), unreadable: make(map[string]bool), waitingStages: make(map[*stage]struct{}),
 		timed: make(map[*entry]struct{}), pass: newPass(), capacities: make(map[resources]struct{}),
-		vmSelector: permit.NewDesk(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64),
+		vmSelector: permit.NewVMSelector(), callLimiter: newCallLimiter(), grantShares: make(map[string]float64),
 		sizes: aging.New(), tallies: make(map[sizeClass]*tally), ruleCapacity: make(map[string]int),
 	}
 	t.committer.init()
@@ -113,7 +113,7 @@
 			t.drainEvents()
 		case at := <-tick.C:
 			t.lag.observe(time.Since(at))
-			t.overloadDetector.Note(
+			t.overloadDetector.Observe(
 				time.Now(), max(time.Since(at), t.passLatency(time.Now()), t.lateHoldLag(time.Now())))
 			t.onTick(time.Now())
 		}
@@ -170,7 +170,7 @@
 func (t *term) loseOwnership(reason string, err error) {
 	t.log.Warn("dispatch: ownership is lost", zap.String("reason", reason), zap.Error(err))
 	t.cancelCtx()
-	t.tenure.Lost()
+	t.tenure.ReportLost()
 }
 
 // close ends the term and waits for its goroutines.
--- a/dispatch/urgency.go
+++ b/dispatch/urgency.go
@@ -35,7 +35,7 @@
 func (t *term) urgencyOf(s *stage, now time.Time) urgency {
 	e := s.entry
 	goal := s.occurrence.deadline(e)
-	wait := time.Duration(t.sizes.Wait(e.work.Queue.Name, e.size) * float64(e.objective))
+	wait := time.Duration(t.sizes.WaitFactor(e.work.Queue.Name, e.size) * float64(e.objective))
 	u := urgency{stage: s, priority: e.priority(), turn: e.work.Due(s.occurrence.number).Add(wait).UnixNano()}
 	if s.spec.Service {
 		u.service = 1
@@ -98,7 +98,7 @@
 			first = append(first, group[i])
 			classes = append(classes, t.sizes.Class(name, group[i].stage.entry.size))
 		}
-		for _, i := range t.sizes.Share(name, classes) {
+		for _, i := range t.sizes.Order(name, classes) {
 			later = append(later, first[i])
 		}
 		for i, u := range later {
@@ -115,7 +115,7 @@
 	o.started = true
 	e := o.stages[0].entry
 	name := e.work.Queue.Name
-	t.sizes.Begun(name, t.sizes.Class(name, e.size))
+	t.sizes.RecordStart(name, t.sizes.Class(name, e.size))
 }
 
 // sameRank reports whether only their turns may tell two stages apart.
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -71,7 +71,7 @@
 	now := time.Now()
 	tm := &term{sizes: aging.New()}
 	for i := range 100 {
-		tm.sizes.Note("rosters", float64(10*(i%10)))
+		tm.sizes.Observe("rosters", float64(10*(i%10)))
 	}
 	work := func(id string, tasks int) *stage {
 		return stageOf(&job.Work{
--- a/front/locate.go
+++ b/front/locate.go
@@ -31,7 +31,7 @@
 }
 
 func (f *Front) serveOwner(context.Context, *none) (*ownerReply, error) {
-	node, fence, ok := f.o.Group.Owned()
+	node, fence, ok := f.o.Group.Owner()
 	if !ok {
 		return &ownerReply{}, nil
 	}
@@ -42,7 +42,7 @@
 // would send its callers to the former owner, and refuse them, as long as that lasts. It asks the other VMs,
 // the highest fence among their answers and its own is the newest owner.
 func (f *Front) locate(ctx context.Context) (owner.Node, bool) {
-	node, fence, ok := f.o.Group.Owned()
+	node, fence, ok := f.o.Group.Owner()
 	if f.follows() {
 		return node, ok
 	}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -57,7 +57,7 @@
 	handler http.Handler
 	serial  atomic.Uint64
 
-	shares *share.Holder
+	shares *share.Allocator
 	tokens *session.Signer
 
 	mu    sync.Mutex
@@ -104,15 +104,15 @@
 // newHolder makes the holder of this gate's shares. A loan lives for two thirds of the longest
 // deadline, so that most checks fit into it; a removed gate's last requests and loans have ended when
 // the longest of both is over.
-func newHolder(o *Options) *share.Holder {
+func newHolder(o *Options) *share.Allocator {
 	if o.Valid != nil {
 		life := o.Limits.MaxTimeout * 2 / 3
 		drift := life / driftPart
 		settle := max(o.Limits.MaxTimeout+o.Limits.Grace, life+drift)
-		return share.New(o.ID, share.Settle(settle), share.Life(life, drift), share.Valid(o.Valid), share.Since(o.Since))
+		return share.New(o.ID, share.RemovalGrace(settle), share.LoanTTL(life, drift), share.Valid(o.Valid), share.MemberSince(o.Since))
 	}
 	// Alone in its zone, with nobody before it, it has nothing to wait for.
-	h := share.New(o.ID, share.Settle(0))
+	h := share.New(o.ID, share.RemovalGrace(0))
 	h.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
 	return h
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -181,7 +181,7 @@
 		is.Equal(r.Outcome, job.NotRun)
 		is.Equal(f.calls.Load(), int64(0))
 		for range budget.DefaultBurst {
-			is.True(g.budget.Spend())
+			is.True(g.budget.TryWithdraw())
 		}
 	})
 }
--- a/gate/pool.go
+++ b/gate/pool.go
@@ -33,7 +33,7 @@
 	balancer *balancer.Balancer
 	// pick chooses a target; tests put other policies here to compare them.
 	pick    func(ask *balancer.Ask, now time.Time) (balancer.Choice, bool)
-	shares  *share.Holder
+	shares  *share.Allocator
 	clients map[string]*client
 	waiting *list.List
 	bound   map[string]*list.List
@@ -69,7 +69,7 @@
 	item  *list.Element
 }
 
-func newPool(seed uint64, shares *share.Holder) *pool {
+func newPool(seed uint64, shares *share.Allocator) *pool {
 	b := balancer.New(balancer.Seed(seed))
 	rng := rand.New(rand.NewPCG(seed, 1))
 	return &pool{
@@ -133,7 +133,7 @@
 // grant gives a waiter a target if one may take it now.
 func (p *pool) grant(w *waiter, now time.Time) *ticket {
 	until := w.until(now)
-	w.ask.Free = func(info *target.Info) int { return p.shares.Free(info.ID, info.Slots, until, now) }
+	w.ask.Free = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
 	var c balancer.Choice
 	var ok bool
 	if w.bound == "" {
@@ -144,7 +144,7 @@
 	if !ok {
 		return nil
 	}
-	slot, ok := p.shares.Take(c.Info.ID, c.Info.Slots, until, now)
+	slot, ok := p.shares.Acquire(c.Info.ID, c.Info.Slots, until, now)
 	if !ok {
 		// A sibling has borrowed the slot in between.
 		p.balancer.Undo(c)
@@ -200,7 +200,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.zones, g.where = zones, where
-	g.shares.Keep(here)
+	g.shares.RetainTargets(here)
 	for service := range local {
 		if g.pools[service] == nil {
 			g.pools[service] = newPool(g.opts.Seed, g.shares)
--- a/gate/send.go
+++ b/gate/send.go
@@ -49,7 +49,7 @@
 		a := g.send(ctx, cl, t)
 		g.settle(t, a)
 		if a.ending == whole {
-			g.budget.Earn()
+			g.budget.Deposit()
 			return &Result{Outcome: job.Done, Answer: a.answer, Attempts: cl.attempts, Target: t.info.ID}
 		}
 		cl.mayRun = cl.mayRun || a.ending == mayHaveRun
@@ -84,7 +84,7 @@
 	if cl.tries > cl.retries || ctx.Err() != nil || time.Until(cl.deadline) < leastRun || (a.ending == mayHaveRun && cl.check.Target != "") {
 		return false
 	}
-	if !g.budget.Spend() {
+	if !g.budget.TryWithdraw() {
 		g.meters.noBudget.Inc(1)
 		return false
 	}
@@ -109,7 +109,7 @@
 		ID: g.nextID("try"), Key: cl.check.Key, Session: cl.check.Session, Method: cl.check.Method,
 		Body: cl.check.Body, LeftMillis: end.Sub(now).Milliseconds(), Parent: tracing.Parent(ctx),
 	}
-	if !g.shares.Holds(t.slot, end.Add(g.opts.Limits.Grace)) {
+	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
 		// The process was paused since the slot was given; a sibling may have it by now.
 		return &attempt{ending: notStarted, verdict: balancer.Abandoned, reason: "slot was lost before the send"}
 	}
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -53,9 +53,9 @@
 // Hear serves a sibling's confirmation and answers with this gate's own.
 func (g *Gate) Hear(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
 	now := time.Now()
-	g.shares.Confirmed(*c, now)
+	g.shares.AddConfirmation(*c, now)
 	signal(g.kick)
-	own := g.shares.Confirms(now)
+	own := g.shares.Confirmation(now)
 	return &own, nil
 }
 
@@ -79,14 +79,14 @@
 
 // confirm tells the siblings what they have not yet heard, and asks again while they lag.
 func (g *Gate) confirm(ctx context.Context, told map[string]share.Confirmation) {
-	others := g.shares.Others()
+	others := g.shares.Peers()
 	for gate := range told {
 		if !slices.Contains(others, gate) {
 			delete(told, gate)
 		}
 	}
 	for _, gate := range others {
-		own := g.shares.Confirms(time.Now())
+		own := g.shares.Confirmation(time.Now())
 		if told[gate] == own && g.shares.Agreed() {
 			continue
 		}
@@ -98,7 +98,7 @@
 			continue
 		}
 		told[gate] = own
-		g.shares.Confirmed(*theirs, time.Now())
+		g.shares.AddConfirmation(*theirs, time.Now())
 	}
 	signal(g.kick)
 }
@@ -109,8 +109,8 @@
 	if g.opts.Siblings.Confirm == nil {
 		return
 	}
-	own := g.shares.Confirms(time.Now())
-	for _, gate := range g.shares.Others() {
+	own := g.shares.Confirmation(time.Now())
+	for _, gate := range g.shares.Peers() {
 		ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 		if _, err := g.opts.Siblings.Confirm(ctx, gate, &own); err != nil {
 			g.log.Debug("gate: leave not heard", zap.String("gate", gate), zap.Error(err))
@@ -133,7 +133,7 @@
 }
 
 // Lend serves a sibling's request for idle slots.
-func (g *Gate) Lend(_ context.Context, ask *share.Ask) (*share.Loans, error) {
+func (g *Gate) Lend(_ context.Context, ask *share.LoanRequest) (*share.LoanReply, error) {
 	loans := g.shares.Lend(ask, time.Now())
 	for _, l := range loans.Loans {
 		g.meters.lent.Inc(int64(l.Slots))
@@ -142,10 +142,10 @@
 }
 
 // TakeBack serves a sibling's return of loans.
-func (g *Gate) TakeBack(_ context.Context, r *share.Return) (*share.Returned, error) {
-	g.shares.TakeBack(r, time.Now())
+func (g *Gate) TakeBack(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
+	g.shares.AcceptReturn(r, time.Now())
 	signal(g.kick)
-	return &share.Returned{}, nil
+	return &share.LoanReturnReply{}, nil
 }
 
 // keepLoans borrows while checks wait and returns what is no longer needed.
@@ -176,7 +176,7 @@
 }
 
 func (g *Gate) giveBack(ctx context.Context) {
-	for gate, r := range g.shares.Idle(time.Now()) {
+	for gate, r := range g.shares.ReturnIdle(time.Now()) {
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		if err := g.opts.Siblings.Return(in, gate, r); err != nil {
 			// The loan ends by itself at its lender.
@@ -195,7 +195,7 @@
 }
 
 // ask asks one sibling and gives how many slots it lent.
-func (g *Gate) ask(ctx context.Context, gate string, ask *share.Ask) int {
+func (g *Gate) ask(ctx context.Context, gate string, ask *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	asked := time.Now()
@@ -204,7 +204,7 @@
 		g.log.Debug("gate: nothing borrowed", zap.String("gate", gate), zap.Error(err))
 		return 0
 	}
-	n := g.shares.Borrowed(gate, loans, asked, time.Now())
+	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
 	g.meters.borrowed.Inc(int64(n))
 	return n
 }
@@ -212,7 +212,7 @@
 // borrow asks each sibling in turn for what the waiting checks need.
 func (g *Gate) borrow(ctx context.Context) {
 	for _, ask := range g.wants() {
-		for _, gate := range g.shares.Others() {
+		for _, gate := range g.shares.Peers() {
 			if ask.Want -= g.ask(ctx, gate, ask); ask.Want <= 0 {
 				break
 			}
@@ -222,13 +222,13 @@
 }
 
 // wants lists one request for each service whose checks wait.
-func (g *Gate) wants() []*share.Ask {
+func (g *Gate) wants() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var asks []*share.Ask
+	var asks []*share.LoanRequest
 	for _, p := range g.pools {
 		if n := p.len(); n > 0 {
-			asks = append(asks, &share.Ask{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
+			asks = append(asks, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
 		}
 	}
 	return asks
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -28,11 +28,11 @@
 
 func siblingsOverRPC(pool *rpc.Pool, address func(gate string) (string, bool)) Siblings {
 	return Siblings{
-		Borrow: func(ctx context.Context, gate string, ask *share.Ask) (*share.Loans, error) {
-			return callGate[share.Ask, share.Loans](ctx, pool, address, gate, MethodBorrow, ask)
+		Borrow: func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
+			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, ask)
 		},
-		Return: func(ctx context.Context, gate string, r *share.Return) error {
-			_, err := callGate[share.Return, share.Returned](ctx, pool, address, gate, MethodReturn, r)
+		Return: func(ctx context.Context, gate string, r *share.LoanReturn) error {
+			_, err := callGate[share.LoanReturn, share.LoanReturnReply](ctx, pool, address, gate, MethodReturn, r)
 			return err
 		},
 		Confirm: func(ctx context.Context, gate string, c *share.Confirmation) (*share.Confirmation, error) {
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -68,11 +68,11 @@
 // direct gives the siblings among some gates, reached by calls that take a while.
 func direct(gates map[string]*Gate, takes time.Duration) Option {
 	return Neighbours(Siblings{
-		func(ctx context.Context, gate string, ask *share.Ask) (*share.Loans, error) {
+		func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
 			time.Sleep(takes)
 			return gates[gate].Lend(ctx, ask)
 		},
-		func(ctx context.Context, gate string, r *share.Return) error {
+		func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := gates[gate].TakeBack(ctx, r)
 			return err
 		},
@@ -127,7 +127,7 @@
 		is.True(z.peak() <= 8)
 		time.Sleep(10 * time.Second)
 		is.Equal(done.Load(), int64(60*20))
-		is.Equal(len(z.gates["g1"].shares.Idle(time.Now())), 0) // What was idle has been returned.
+		is.Equal(len(z.gates["g1"].shares.ReturnIdle(time.Now())), 0) // What was idle has been returned.
 	})
 }
 
--- a/learn/learn.go
+++ b/learn/learn.go
@@ -11,7 +11,7 @@
 
 // Bounds of what is remembered.
 const (
-	DefaultMostClasses = 512
+	DefaultMaxClasses = 512
 	// Window is how many recent tasks of a class count, so that old habits are forgotten.
 	Window = 64
 	// few is how many tasks must have been seen before they outweigh what was declared.
@@ -21,7 +21,7 @@
 
 // What is assumed of a class of which few tasks were seen.
 const (
-	DefaultRun = 10 * time.Minute
+	DefaultRunTime = 10 * time.Minute
 	// declaredFactor is how far a declared run time is trusted.
 	declaredFactor = 2
 )
@@ -33,7 +33,7 @@
 type Estimate struct {
 	// Median and High are the quantiles 0.5 and 0.9 of run times.
 	Median time.Duration
-	High   time.Duration
+	P90    time.Duration
 	// CorePermille and MemoryPermille are the quantile 0.95 of peak usage, in thousandths of what
 	// was declared; zero if unknown.
 	CorePermille   int64
@@ -101,9 +101,9 @@
 		}
 	}
 	if declared == 0 {
-		declared = DefaultRun
+		declared = DefaultRunTime
 	}
-	return Estimate{Median: declared, High: declaredFactor * declared}
+	return Estimate{Median: declared, P90: declaredFactor * declared}
 }
 
 func (h *history) update() {
@@ -113,7 +113,7 @@
 	n := min(h.seen, Window)
 	ran, cores, memory := sorted(h.ran, n), sorted(h.cores, n), sorted(h.memory, n)
 	h.estimate = Estimate{
-		Median: ran[quantile(n, 50)], High: ran[quantile(n, 90)], Learned: true,
+		Median: ran[quantile(n, 50)], P90: ran[quantile(n, 90)], Learned: true,
 		CorePermille: cores[quantile(n, 95)], MemoryPermille: memory[quantile(n, 95)],
 	}
 }
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -157,8 +157,8 @@
 	}
 	ctx, cancel := context.WithCancel(g.ctx)
 	t := &Tenure{
-		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.holder.ValidFor,
-		Lost: func() { go g.endTenure("reported lost") },
+		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.holder.ValidWithGrace,
+		ReportLost: func() { go g.endTenure("reported lost") },
 	}
 	done := make(chan struct{})
 	g.tenure, g.tenureSince, g.endTerm, g.termDone = t, time.Now(), cancel, done
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -71,8 +71,8 @@
 	Revision int64
 	// Confirmed reports whether the store surely kept the tenure until no longer ago than grace.
 	Confirmed func(grace time.Duration) bool
-	// Lost reports that the tenure has ended, as a commit or a worker has told.
-	Lost func()
+	// ReportLost reports that the tenure has ended, as a commit or a worker has told.
+	ReportLost func()
 }
 
 // Compare gives the condition that holds while the tenure lasts.
@@ -144,8 +144,8 @@
 
 // Start joins the group.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.Renew(g.renew), lease.Overlap(), lease.Drift(DefaultDrift), lease.Logger(g.log),
-		lease.Lost(func(id int64) {
+	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultDrift), lease.Logger(g.log),
+		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the store says that the lease is gone", zap.Int64("lease", id))
 			g.endTenure("lease gone")
 		}))
@@ -158,8 +158,8 @@
 // Self gives this VM's entry.
 func (g *Group) Self() Node { return g.self }
 
-// Owned gives the last known owner of the cell and its fencing token.
-func (g *Group) Owned() (node Node, fence int64, ok bool) {
+// Owner gives the last known owner of the cell and its fencing token.
+func (g *Group) Owner() (node Node, fence int64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.owner == nil {
@@ -265,7 +265,7 @@
 
 // follow keeps nodes and owner as the store tells them.
 func (g *Group) follow() {
-	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.apply, Logger: g.log}
+	f := follow.Follower{Store: g.store, Prefix: root, OnReset: g.reset, OnChange: g.apply, Logger: g.log}
 	f.Run(g.ctx)
 }
 
--- a/owner/succession.go
+++ b/owner/succession.go
@@ -131,7 +131,7 @@
 		case <-tick.C:
 		}
 		g.takePace()
-		node, fence, ok := g.Owned()
+		node, fence, ok := g.Owner()
 		if !ok || !g.candidate(node) {
 			watched.close()
 			continue
--- a/permit/desk.go
+++ b/permit/desk.go
@@ -5,8 +5,8 @@
 // Kinds of questions by what they cost. A check asks for some ten to twenty milliseconds, a batch for
 // about a hundred, a roster for a second.
 const (
-	LongQuestion   = 300 * time.Millisecond
-	MediumQuestion = 50 * time.Millisecond
+	LongRequestCost   = 300 * time.Millisecond
+	MediumRequestCost = 50 * time.Millisecond
 )
 
 const (
@@ -24,9 +24,9 @@
 	notLongMost   = 12
 )
 
-// Desk chooses the entry VM from which a question is put. The service answers one question at a time
+// VMSelector chooses the entry VM from which a question is put. The service answers one question at a time
 // for each VM, so that the choice decides how long it waits there. It belongs to one goroutine.
-type Desk struct {
+type VMSelector struct {
 	// busy is until when the questions that were handed to a VM keep it.
 	busy map[string]time.Time
 	// failures counts the questions in a row that a VM has not answered.
@@ -62,15 +62,15 @@
 	restMost  = 8 * time.Second
 )
 
-// NewDesk returns a Desk at which nothing waits.
-func NewDesk() *Desk {
-	return &Desk{busy: make(map[string]time.Time), failures: make(map[string]int)}
+// NewVMSelector returns a Desk at which nothing waits.
+func NewVMSelector() *VMSelector {
+	return &VMSelector{busy: make(map[string]time.Time), failures: make(map[string]int)}
 }
 
 // Pick gives the VM that can answer a question of this cost first, and until when that takes; false
 // where none may have it now. Long questions are kept to the first half of the VMs and medium ones off
 // the last quarter: behind one of them a check would wait longer than its objective allows.
-func (d *Desk) Pick(vms []string, cost time.Duration, now time.Time) (vm string, until time.Time, ok bool) {
+func (d *VMSelector) Pick(vms []string, cost time.Duration, now time.Time) (vm string, until time.Time, ok bool) {
 	best, start := d.first(vms, cost, now)
 	if best == "" {
 		return "", time.Time{}, false
@@ -81,14 +81,14 @@
 	return best, until, true
 }
 
-// Free reports whether Pick would find a VM.
-func (d *Desk) Free(vms []string, cost time.Duration, now time.Time) bool {
+// CanPick reports whether Pick would find a VM.
+func (d *VMSelector) CanPick(vms []string, cost time.Duration, now time.Time) bool {
 	best, _ := d.first(vms, cost, now)
 	return best != ""
 }
 
 // first gives the VM that is free first among those that may have a question, or none.
-func (d *Desk) first(vms []string, cost time.Duration, now time.Time) (best string, start time.Time) {
+func (d *VMSelector) first(vms []string, cost time.Duration, now time.Time) (best string, start time.Time) {
 	k := kindOf(cost)
 	f := &d.found[k]
 	if !f.at.Equal(now) && !now.Before(f.until) {
@@ -99,16 +99,16 @@
 
 func kindOf(cost time.Duration) kind {
 	switch {
-	case cost > LongQuestion:
+	case cost > LongRequestCost:
 		return long
-	case cost > MediumQuestion:
+	case cost > MediumRequestCost:
 		return medium
 	}
 	return short
 }
 
 // search looks at all VMs that may have a question of that kind.
-func (d *Desk) search(vms []string, k kind, now time.Time) found {
+func (d *VMSelector) search(vms []string, k kind, now time.Time) found {
 	ahead := handAhead
 	switch k {
 	case long:
@@ -139,8 +139,8 @@
 	return f
 }
 
-// Failed notes that a VM gave no answer.
-func (d *Desk) Failed(vm string, now time.Time) {
+// RecordFailure notes that a VM gave no answer.
+func (d *VMSelector) RecordFailure(vm string, now time.Time) {
 	rest := min(restAfter<<min(d.failures[vm], 8), restMost)
 	d.failures[vm]++
 	if until := now.Add(rest); until.After(d.busy[vm]) {
@@ -149,11 +149,11 @@
 	d.found = [kinds]found{}
 }
 
-// Answered notes that a VM gave an answer.
-func (d *Desk) Answered(vm string) { delete(d.failures, vm) }
+// RecordSuccess notes that a VM gave an answer.
+func (d *VMSelector) RecordSuccess(vm string) { delete(d.failures, vm) }
 
-// Keep forgets the VMs that are no longer there.
-func (d *Desk) Keep(vms []string) {
+// RetainVMs forgets the VMs that are no longer there.
+func (d *VMSelector) RetainVMs(vms []string) {
 	d.found = [kinds]found{}
 	there := make(map[string]bool, len(vms))
 	for _, id := range vms {
--- a/permit/desk_test.go
+++ b/permit/desk_test.go
@@ -10,7 +10,7 @@
 // Checks must not wait behind the question of a roster, also when the rosters' VMs are all idle.
 func TestPickKeepsLongQuestionsApart(t *testing.T) {
 	is := is.New(t)
-	d, now := NewDesk(), time.Now()
+	d, now := NewVMSelector(), time.Now()
 	vms := []string{"vm1", "vm2", "vm3", "vm4"}
 	for range 2 {
 		vm, _, ok := d.Pick(vms, time.Second, now)
@@ -30,9 +30,9 @@
 // one, and is asked again in the end.
 func TestSilentVMRests(t *testing.T) {
 	is := is.New(t)
-	d, now := NewDesk(), time.Now()
+	d, now := NewVMSelector(), time.Now()
 	vms := []string{"vm1", "vm2"}
-	d.Failed("vm2", now)
+	d.RecordFailure("vm2", now)
 	for range 20 {
 		vm, _, _ := d.Pick(vms, 10*time.Millisecond, now)
 		is.Equal(vm, "vm1")
@@ -40,13 +40,13 @@
 	now = now.Add(restAfter + time.Millisecond)
 	vm, _, _ := d.Pick(vms, 10*time.Millisecond, now)
 	is.Equal(vm, "vm2")
-	d.Failed("vm2", now)
+	d.RecordFailure("vm2", now)
 	vm, _, _ = d.Pick(vms, 10*time.Millisecond, now.Add(restAfter+time.Millisecond))
 	is.Equal(vm, "vm1")
 }
 
 func TestPickWithoutVMs(t *testing.T) {
-	_, _, ok := NewDesk().Pick(nil, time.Second, time.Now())
+	_, _, ok := NewVMSelector().Pick(nil, time.Second, time.Now())
 	is.New(t).True(!ok)
 }
 
@@ -54,11 +54,11 @@
 // that a check that comes then waits for no more than its own kind.
 func TestFloodOfBatches(t *testing.T) {
 	is := is.New(t)
-	d, now := NewDesk(), time.Now()
+	d, now := NewVMSelector(), time.Now()
 	vms := []string{"vm1", "vm2", "vm3", "vm4", "vm5", "vm6", "vm7", "vm8"}
 	handed := 0
 	for range 100 {
-		if d.Free(vms, 140*time.Millisecond, now) {
+		if d.CanPick(vms, 140*time.Millisecond, now) {
 			_, _, ok := d.Pick(vms, 140*time.Millisecond, now)
 			is.True(ok)
 			handed++
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -12,8 +12,8 @@
 // ErrBusy means that the service declined the question because too many wait.
 var ErrBusy = errors.New("policy service is busy")
 
-// Question asks which of the workers may run a step of an occurrence of a work.
-type Question struct {
+// Request asks which of the workers may run a step of an occurrence of a work.
+type Request struct {
 	Work       string   `msgpack:"i"`
 	Occurrence int      `msgpack:"o"`
 	Step       int      `msgpack:"s"`
@@ -26,12 +26,12 @@
 	Ticket string `msgpack:"t"`
 }
 
-// Answer lists the workers that may run the step; those that were named and are not in it may not.
-type Answer struct {
+// Response lists the workers that may run the step; those that were named and are not in it may not.
+type Response struct {
 	Grants []Grant `msgpack:"g"`
-	// Valid is how long the tickets may be used from when they were made.
-	Valid time.Duration `msgpack:"v"`
+	// TicketTTL is how long the tickets may be used from when they were made.
+	TicketTTL time.Duration `msgpack:"v"`
 }
 
-// Ask puts a question to the service.
-type Ask func(ctx context.Context, q *Question) (*Answer, error)
+// AskFunc puts a question to the service.
+type AskFunc func(ctx context.Context, q *Request) (*Response, error)
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -6,9 +6,9 @@
 	"turmericgap/job"
 )
 
-// Gang gives a worker for each of count equal tasks, all in one zone and in as few racks as can be,
+// FindGang gives a worker for each of count equal tasks, all in one zone and in as few racks as can be,
 // or nil if no zone has room for all. Room is what a node offers; workers on probe get none.
-func (x *Index) Gang(each job.Resources, count int, zoneName string, room func(n *Node) job.Resources) []*Node {
+func (x *Index) FindGang(each job.Resources, count int, zoneName string, room func(n *Node) job.Resources) []*Node {
 	var best []*Node
 	bestRacks := 0
 	for i := range x.zones {
@@ -35,7 +35,7 @@
 		fit := 0
 		for _, n := range r.nodes {
 			if n.Open && !n.Probe {
-				fit += Count(room(n), each, count)
+				fit += FitCount(room(n), each, count)
 			}
 		}
 		if fit > 0 {
@@ -58,7 +58,7 @@
 			if !n.Open || n.Probe {
 				continue
 			}
-			for range Count(room(n), each, count-len(nodes)) {
+			for range FitCount(room(n), each, count-len(nodes)) {
 				nodes = append(nodes, n)
 			}
 		}
@@ -69,9 +69,9 @@
 	return nodes, racks
 }
 
-// Possible reports whether count tasks, or one if they are no gang, would fit into the empty
+// Feasible reports whether count tasks, or one if they are no gang, would fit into the empty
 // workers, closed ones included.
-func (x *Index) Possible(each job.Resources, count int, gang bool, zoneName string) bool {
+func (x *Index) Feasible(each job.Resources, count int, gang bool, zoneName string) bool {
 	if !gang {
 		count = 1
 	}
@@ -82,7 +82,7 @@
 		fit := 0
 		for _, r := range z.racks {
 			for _, n := range r.nodes {
-				if fit += Count(n.Info.Has, each, count); fit >= count {
+				if fit += FitCount(n.Info.Has, each, count); fit >= count {
 					return true
 				}
 			}
--- a/placement/node.go
+++ b/placement/node.go
@@ -30,8 +30,8 @@
 // Reserved says that part of the worker is kept for a job that waits.
 func (n *Node) Reserved() bool { return n.reserved }
 
-// Now is what a task can take that ends before the reservation is due.
-func (n *Node) Now() job.Resources {
+// AvailableNow is what a task can take that ends before the reservation is due.
+func (n *Node) AvailableNow() job.Resources {
 	if !n.Open || (n.Probe && n.Tasks > 0) {
 		return job.Resources{}
 	}
@@ -39,7 +39,7 @@
 }
 
 func (n *Node) available() job.Resources {
-	r := n.Now()
+	r := n.AvailableNow()
 	if n.reserved {
 		r.Millicores = min(r.Millicores, n.spare.Millicores)
 		r.MemoryMB = min(r.MemoryMB, n.spare.MemoryMB)
@@ -48,8 +48,8 @@
 	return r
 }
 
-// Count is how many tasks of the given size fit into r, most at the most.
-func Count(r, each job.Resources, most int) int {
+// FitCount is how many tasks of the given size fit into r, most at the most.
+func FitCount(r, each job.Resources, most int) int {
 	n := int64(most)
 	part := func(have, need int64) {
 		if need > 0 {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -45,21 +45,21 @@
 
 // Query asks for a worker for one task.
 type Query struct {
-	Each job.Resources
+	Request job.Resources
 	// Zone pins the task; Prefer names zones to try first.
-	Zone   string
-	Prefer []string
+	Zone           string
+	PreferredZones []string
 	// Strategy is Pack or Spread.
 	Strategy string
-	// Near counts the job's running tasks on a node, for Spread.
-	Near func(n *Node) int
+	// TasksOnNode counts the job's running tasks on a node, for Spread.
+	TasksOnNode func(n *Node) int
 }
 
 // New makes an index without workers; the seed says which of equal zones goes first.
 func New(seed uint64) *Index { return &Index{nodes: map[string]*Node{}, seed: seed} }
 
-// Largest gives the most of each part that any worker had.
-func (x *Index) Largest() job.Resources { return x.largest }
+// MaxCapacity gives the most of each part that any worker had.
+func (x *Index) MaxCapacity() job.Resources { return x.largest }
 
 // Node gives the worker with this id, or nil.
 func (x *Index) Node(id string) *Node { return x.nodes[id] }
@@ -67,14 +67,14 @@
 // Len counts the workers.
 func (x *Index) Len() int { return len(x.nodes) }
 
-// Open counts the workers that get new tasks.
-func (x *Index) Open() int { return x.open }
+// OpenCount counts the workers that get new tasks.
+func (x *Index) OpenCount() int { return x.open }
 
 // Totals gives what all workers have and what of it is free.
 func (x *Index) Totals() (has, free job.Resources) { return x.has, x.free }
 
-// Each calls visit for all workers, by zone, rack and id.
-func (x *Index) Each(visit func(n *Node)) {
+// ForEach calls visit for all workers, by zone, rack and id.
+func (x *Index) ForEach(visit func(n *Node)) {
 	for _, z := range x.zones {
 		for _, r := range z.racks {
 			for _, n := range r.nodes {
@@ -175,16 +175,16 @@
 	g.add(n)
 }
 
-// Take charges a task to a worker. It does not ask whether it fits, since after a recovery what
+// Allocate charges a task to a worker. It does not ask whether it fits, since after a recovery what
 // runs is a fact.
-func (x *Index) Take(n *Node, each job.Resources) {
+func (x *Index) Allocate(n *Node, each job.Resources) {
 	n.Free, x.free = n.Free.Minus(each), x.free.Minus(each)
 	n.Tasks++
 	x.refresh(n)
 }
 
-// Give frees what a task held.
-func (x *Index) Give(n *Node, each job.Resources) {
+// Release frees what a task held.
+func (x *Index) Release(n *Node, each job.Resources) {
 	n.Free, x.free = n.Free.Plus(each), x.free.Plus(each)
 	n.Tasks--
 	x.refresh(n)
@@ -196,8 +196,8 @@
 	x.refresh(n)
 }
 
-// Spend lowers the spare of a reserved worker by a task that will outlast the reservation.
-func (x *Index) Spend(n *Node, each job.Resources) {
+// UseSpare lowers the spare of a reserved worker by a task that will outlast the reservation.
+func (x *Index) UseSpare(n *Node, each job.Resources) {
 	n.spare = n.spare.Minus(each)
 	x.refresh(n)
 }
@@ -210,7 +210,7 @@
 
 // Find gives a worker on which the task fits, or nil.
 func (x *Index) Find(q *Query) *Node {
-	for _, name := range q.Prefer {
+	for _, name := range q.PreferredZones {
 		if q.Zone != "" && q.Zone != name {
 			continue
 		}
@@ -242,16 +242,16 @@
 
 func (q *Query) better(a, b *Node) bool {
 	if q.Strategy != Spread {
-		return leftOver(a, q.Each) < leftOver(b, q.Each)
+		return leftOver(a, q.Request) < leftOver(b, q.Request)
 	}
 	if na, nb := a.zone.near(q), b.zone.near(q); na != nb {
 		return na < nb
 	}
-	return leftOver(a, q.Each) > leftOver(b, q.Each)
+	return leftOver(a, q.Request) > leftOver(b, q.Request)
 }
 
 func (z *zone) find(q *Query) *Node {
-	n := z.pack(q.Each)
+	n := z.pack(q.Request)
 	if n == nil || q.Strategy != Spread {
 		return n
 	}
@@ -288,11 +288,11 @@
 			continue
 		}
 		for _, n := range r.nodes {
-			if !q.Each.Fits(n.avail) || (q.Each.Accelerators == 0) != (n.Info.Has.Accelerators == 0) {
+			if !q.Request.Fits(n.avail) || (q.Request.Accelerators == 0) != (n.Info.Has.Accelerators == 0) {
 				continue
 			}
 			near := q.near(n)
-			if count < bestRack || near < bestNear || (near == bestNear && leftOver(n, q.Each) > leftOver(best, q.Each)) {
+			if count < bestRack || near < bestNear || (near == bestNear && leftOver(n, q.Request) > leftOver(best, q.Request)) {
 				best, bestRack, bestNear = n, count, near
 			}
 		}
@@ -301,10 +301,10 @@
 }
 
 func (q *Query) near(n *Node) int {
-	if q.Near == nil {
+	if q.TasksOnNode == nil {
 		return 0
 	}
-	return q.Near(n)
+	return q.TasksOnNode(n)
 }
 
 func (r *rack) near(q *Query) int {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -34,10 +34,10 @@
 	scarce.Accelerators = 8
 	x.Set(worker.Info{ID: "a", Zone: "z", Rack: "r000", Has: scarce}, true, false)
 	for i, want := range []string{"vm0000", "vm0000", "a"} {
-		n := x.Find(&Query{Each: res(2, 2), Strategy: Pack})
+		n := x.Find(&Query{Request: res(2, 2), Strategy: Pack})
 		is.Equal(n.Info.ID, want) // start number:
 		_ = i
-		x.Take(n, res(2, 2))
+		x.Allocate(n, res(2, 2))
 	}
 }
 
@@ -47,10 +47,10 @@
 	on := map[string]int{}
 	racks := map[string]int{}
 	for range 8 {
-		n := x.Find(&Query{Each: res(1, 1), Strategy: Spread, Near: func(n *Node) int { return on[n.Info.ID] }})
+		n := x.Find(&Query{Request: res(1, 1), Strategy: Spread, TasksOnNode: func(n *Node) int { return on[n.Info.ID] }})
 		on[n.Info.ID]++
 		racks[n.Info.Rack]++
-		x.Take(n, res(1, 1))
+		x.Allocate(n, res(1, 1))
 	}
 	is.Equal(racks, map[string]int{"r000": 2, "r001": 2, "r002": 2, "r003": 2})
 	is.Equal(len(on), 8)
@@ -59,13 +59,13 @@
 func TestGangTakesTheSmallestRackThatHoldsIt(t *testing.T) {
 	is := is.New(t)
 	x := filled(3, 4, res(8, 32))
-	x.Take(x.Node("vm0004"), res(8, 8))
-	nodes := x.Gang(res(8, 8), 3, "", (*Node).Available)
+	x.Allocate(x.Node("vm0004"), res(8, 8))
+	nodes := x.FindGang(res(8, 8), 3, "", (*Node).Available)
 	is.Equal(len(nodes), 3)
 	for _, n := range nodes {
 		is.Equal(n.Info.Rack, "r001")
 	}
-	is.True(x.Gang(res(8, 8), 12, "", (*Node).Available) == nil)
+	is.True(x.FindGang(res(8, 8), 12, "", (*Node).Available) == nil)
 }
 
 // Find must see each worker on which a task fits, whatever was taken, given or reserved before.
@@ -80,7 +80,7 @@
 		for range rapid.IntRange(0, 30).Draw(t, "taken") {
 			n := x.Node(fmt.Sprintf("vm%04d", rapid.IntRange(0, 7).Draw(t, "node")))
 			if each := draw("take"); each.Fits(n.Free) {
-				x.Take(n, each)
+				x.Allocate(n, each)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "reserve") == 0 {
 				x.Reserve(n, draw("spare"))
@@ -88,8 +88,8 @@
 		}
 		each := draw("each")
 		exists := false
-		x.Each(func(n *Node) { exists = exists || each.Fits(n.Available()) })
-		n := x.Find(&Query{Each: each, Strategy: Pack})
+		x.ForEach(func(n *Node) { exists = exists || each.Fits(n.Available()) })
+		n := x.Find(&Query{Request: each, Strategy: Pack})
 		if (n != nil) != exists || (n != nil && !each.Fits(n.Available())) {
 			t.Fatalf("fits somewhere: %v, found %v", exists, n)
 		}
@@ -102,16 +102,16 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			x := filled(workers/8, 8, res(16, 64))
 			i := 0
-			x.Each(func(n *Node) {
-				x.Take(n, job.Resources{Millicores: int64(i*7919%15000 + 900), MemoryMB: int64(i * 104729 % 60000)})
+			x.ForEach(func(n *Node) {
+				x.Allocate(n, job.Resources{Millicores: int64(i*7919%15000 + 900), MemoryMB: int64(i * 104729 % 60000)})
 				i++
 			})
-			q := Query{Each: res(2, 8), Strategy: Pack}
+			q := Query{Request: res(2, 8), Strategy: Pack}
 			b.ReportAllocs()
 			for b.Loop() {
 				n := x.Find(&q)
-				x.Take(n, q.Each)
-				x.Give(n, q.Each)
+				x.Allocate(n, q.Request)
+				x.Release(n, q.Request)
 			}
 		})
 	}
--- a/planner/admit.go
+++ b/planner/admit.go
@@ -20,19 +20,19 @@
 func (p *Planner) Admit(_ time.Time, j *Job) Decision {
 	d, effect := p.ask(j.Spec, j.Accepted)
 	switch {
-	case d.Refused != "":
+	case d.RefusalReason != "":
 	case p.index.Len() == 0:
-		d.Refused, d.RetryAfter = "no worker is known yet", retryNoWorkers
-	case !p.index.Possible(j.Spec.Each, j.Spec.Tasks, j.Spec.Gang, j.Spec.Zone):
-		d.Refused, d.Hopeless = hopeless(j.Spec), true
-	case p.pending+j.Spec.Tasks > p.options.MostPending:
-		d.Refused, d.RetryAfter = "the queue is full", retryFullQueue
+		d.RefusalReason, d.RetryAfter = "no worker is known yet", retryNoWorkers
+	case !p.index.Feasible(j.Spec.Each, j.Spec.Tasks, j.Spec.Gang, j.Spec.Zone):
+		d.RefusalReason, d.Infeasible = hopeless(j.Spec), true
+	case p.pending+j.Spec.Tasks > p.options.MaxPending:
+		d.RefusalReason, d.RetryAfter = "the queue is full", retryFullQueue
 	case effect.MostPending > 0 && p.pendingUnder(d.Rule)+j.Spec.Tasks > effect.MostPending:
-		d.Refused, d.RetryAfter = "the queue of rule "+d.Rule+" is full", retryFullQueue
+		d.RefusalReason, d.RetryAfter = "the queue of rule "+d.Rule+" is full", retryFullQueue
 	case j.Spec.Gang && effect.MostRunning > 0 && j.Spec.Tasks > effect.MostRunning:
-		d.Refused = "a gang of this size exceeds the limit of rule " + d.Rule
+		d.RefusalReason = "a gang of this size exceeds the limit of rule " + d.Rule
 	case !p.quotaAllows(j.Spec, effect):
-		d.Refused = "it exceeds the quota of its pool, which may not borrow"
+		d.RefusalReason = "it exceeds the quota of its pool, which may not borrow"
 	}
 	return d
 }
@@ -76,7 +76,7 @@
 		return Decision{}, noEffect
 	}
 	return Decision{
-		Rule: e.Rule, Priority: e.Priority, Refused: e.Refuse,
+		Rule: e.Rule, Priority: e.Priority, RefusalReason: e.Refuse,
 		RetryAfter:     time.Duration(e.RetryAfterSeconds) * time.Second,
 		TimeoutSeconds: e.TimeoutSeconds, Retries: e.Retries,
 	}, e
@@ -106,15 +106,15 @@
 // decide fills in what the rules say of a job.
 func (p *Planner) decide(e *entry) {
 	e.decision, e.effect = p.ask(e.spec, e.accepted)
-	e.decision.Refused, e.decision.RetryAfter = "", 0
+	e.decision.RefusalReason, e.decision.RetryAfter = "", 0
 	e.pool, e.strategy = e.spec.Team, e.effect.Strategy
 	if q := e.effect.Quota; q != nil {
 		if q.Pool != "" {
 			e.pool = q.Pool
 		}
-		p.ledger.Set(e.pool, q.Most, q.Borrow)
+		p.ledger.SetLimit(e.pool, q.Most, q.Borrow)
 	}
-	p.ledger.Join(e.pool)
+	p.ledger.AddMember(e.pool)
 	switch {
 	case e.strategy != "":
 	case e.service():
@@ -133,7 +133,7 @@
 	e.charge = p.charge(e)
 	has, _ := p.index.Totals()
 	// Half of the cell is what a job can count on beside others.
-	width := placement.Count(has, e.charge, 2*len(e.pending)) / 2
+	width := placement.FitCount(has, e.charge, 2*len(e.pending)) / 2
 	e.item.LateAt = e.lateAt(max(width, 1))
 	p.queue.Push(&e.item, e.key())
 }
@@ -144,8 +144,8 @@
 	if !e.estimate.Learned || e.spec.Gang {
 		return e.spec.Each
 	}
-	want := e.estimate.Charge(e.spec.Each, p.index.Largest())
-	if want == e.spec.Each || !p.index.Possible(want, 1, false, e.spec.Zone) {
+	want := e.estimate.Charge(e.spec.Each, p.index.MaxCapacity())
+	if want == e.spec.Each || !p.index.Feasible(want, 1, false, e.spec.Zone) {
 		return e.spec.Each
 	}
 	return want
@@ -157,8 +157,8 @@
 	p.enqueue(e)
 }
 
-// Occupy notes that a task holds its resources on a worker already.
-func (p *Planner) Occupy(jobID string, index int, workerID string) {
+// MarkRunning notes that a task holds its resources on a worker already.
+func (p *Planner) MarkRunning(jobID string, index int, workerID string) {
 	e, ok := p.jobs[jobID]
 	if !ok {
 		return
@@ -174,7 +174,7 @@
 }
 
 // Release frees what an attempt held after it has surely ended.
-func (p *Planner) Release(now time.Time, jobID string, index int, end End) {
+func (p *Planner) Release(now time.Time, jobID string, index int, end AttemptResult) {
 	p.tick(now)
 	e, ok := p.jobs[jobID]
 	if !ok {
@@ -187,8 +187,8 @@
 	p.drop(t)
 	// An owner that recovers releases tasks whose run it has not seen; learned as zero, they would
 	// make their class look instant and spoil the slack of its deadlines.
-	if end.OK && end.Ran > 0 && !e.service() {
-		p.learner.Observe(e.kind, end.Ran, e.spec.Each, end.Peak.Max(t.peak))
+	if end.Completed && end.RunTime > 0 && !e.service() {
+		p.learner.Observe(e.kind, end.RunTime, e.spec.Each, end.PeakUsage.Max(t.peak))
 	}
 	if end.Requeue && !e.final {
 		e.pending = append(e.pending, index)
@@ -199,8 +199,8 @@
 	p.forget(e)
 }
 
-// Drop forgets the pending tasks of a job that is final.
-func (p *Planner) Drop(jobID string) {
+// DropPending forgets the pending tasks of a job that is final.
+func (p *Planner) DropPending(jobID string) {
 	e, ok := p.jobs[jobID]
 	if !ok {
 		return
@@ -215,7 +215,7 @@
 func (p *Planner) forget(e *entry) {
 	if len(e.pending) == 0 && len(e.running) == 0 {
 		p.unreserve(e.reservation)
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		delete(p.jobs, e.id)
 	}
 }
--- a/planner/entry.go
+++ b/planner/entry.go
@@ -103,11 +103,11 @@
 
 func (e *entry) key() queue.Key {
 	k := queue.Key{
-		Band: e.band(), Pool: e.pool, Rule: e.decision.Rule, Zone: e.spec.Zone, Each: e.charge, Spread: e.spread(),
+		Band: e.band(), Pool: e.pool, Rule: e.decision.Rule, Zone: e.spec.Zone, Request: e.charge, Spread: e.spread(),
 	}
-	k.Bounded = e.effect.MostRunning > 0 || (e.effect.Quota != nil && !e.effect.Quota.Borrow)
+	k.Limited = e.effect.MostRunning > 0 || (e.effect.Quota != nil && !e.effect.Quota.Borrow)
 	if e.spec.Gang {
-		k.Gang = len(e.pending)
+		k.GangSize = len(e.pending)
 	}
 	return k
 }
@@ -116,14 +116,14 @@
 // would be missed if its tasks, run in waves of width, started later.
 func (e *entry) lateAt(width int) time.Time {
 	at := e.accepted.Add(lateAfter - e.lead())
-	if e.band() >= queue.Top {
+	if e.band() >= queue.UrgentBand {
 		at = e.accepted.Add(lateAfterTop)
 	}
 	if e.spec.Deadline.IsZero() || e.service() {
 		return at
 	}
 	waves := (len(e.pending) + width - 1) / max(width, 1)
-	need := time.Duration(max(waves, 1)) * e.estimate.High
+	need := time.Duration(max(waves, 1)) * e.estimate.P90
 	if latest := e.spec.Deadline.Add(-need - need/4 - slackMargin - e.lead()); latest.Before(at) {
 		return latest
 	}
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -9,15 +9,15 @@
 	"turmericgap/rule"
 )
 
-// Why explains what a job waits for.
-func (p *Planner) Why(now time.Time, jobID string) Explanation {
+// Explain explains what a job waits for.
+func (p *Planner) Explain(now time.Time, jobID string) Explanation {
 	e, ok := p.jobs[jobID]
 	if !ok {
 		return Explanation{Job: jobID}
 	}
 	x := Explanation{
 		Job: jobID, Known: true, Rule: e.decision.Rule, Pending: len(e.pending), Running: len(e.running),
-		Pool: e.pool, Holds: p.ledger.Holds(e.pool), Charge: e.charge,
+		Pool: e.pool, Holds: p.ledger.Usage(e.pool), Charge: e.charge,
 	}
 	if p.options.Rules != nil {
 		var r rule.Request
@@ -69,7 +69,7 @@
 func (p *Planner) Stats(_ time.Time) Stats {
 	has, free := p.index.Totals()
 	s := Stats{
-		Pending: maps.Clone(p.classes), Running: len(p.running), Workers: p.index.Len(), Open: p.index.Open(),
+		Pending: maps.Clone(p.classes), Running: len(p.running), Workers: p.index.Len(), Open: p.index.OpenCount(),
 		Has: has, Used: has.Minus(free),
 	}
 	s.Packing = packing(s.Used, s.Has)
--- a/planner/load.go
+++ b/planner/load.go
@@ -22,7 +22,7 @@
 // Loads gives all workers by zone, rack and id.
 func (p *Planner) Loads() []Load {
 	out := make([]Load, 0, p.index.Len())
-	p.index.Each(func(n *placement.Node) {
+	p.index.ForEach(func(n *placement.Node) {
 		out = append(out, Load{Info: n.Info, Used: n.Info.Has.Minus(n.Free), Tasks: n.Tasks, Open: n.Open, Probe: n.Probe})
 	})
 	return out
--- a/planner/message.go
+++ b/planner/message.go
@@ -19,10 +19,10 @@
 	// Rule is the id of the rule that matched; empty if none did.
 	Rule     string
 	Priority int
-	// Refused is the reason for a refusal; empty means accepted.
-	Refused string
-	// Hopeless says that it was refused because it fits nowhere, even in an empty zone.
-	Hopeless bool
+	// RefusalReason is the reason for a refusal; empty means accepted.
+	RefusalReason string
+	// Infeasible says that it was refused because it fits nowhere, even in an empty zone.
+	Infeasible bool
 	// RetryAfter is when a refused job may be offered again; zero means that it is hopeless.
 	RetryAfter     time.Duration
 	TimeoutSeconds int64
@@ -39,32 +39,32 @@
 	Rule   string
 }
 
-// Preempt is a running task that must give way: it is asked for a checkpoint, then stopped.
-type Preempt struct {
+// Preemption is a running task that must give way: it is asked for a checkpoint, then stopped.
+type Preemption struct {
 	Job    string
 	Task   int
 	Worker string
-	// For is the job that gets the capacity.
-	For    string
+	// ForJob is the job that gets the capacity.
+	ForJob string
 	Reason string
 }
 
 // Plan is the outcome of Next.
 type Plan struct {
-	Starts   []Start
-	Preempts []Preempt
+	Starts      []Start
+	Preemptions []Preemption
 }
 
-// End tells how an attempt surely ended.
-type End struct {
+// AttemptResult tells how an attempt surely ended.
+type AttemptResult struct {
 	// Requeue puts the task back into the queue.
 	Requeue bool
-	// OK says that the task gave its answer, so that Ran is worth learning from.
-	OK bool
-	// Ran is zero if unknown.
-	Ran time.Duration
-	// Peak is the largest usage seen; zero means unknown.
-	Peak job.Resources
+	// Completed says that the task gave its answer, so that Ran is worth learning from.
+	Completed bool
+	// RunTime is zero if unknown.
+	RunTime time.Duration
+	// PeakUsage is the largest usage seen; zero means unknown.
+	PeakUsage job.Resources
 }
 
 // Explanation tells why a job stands where it does.
--- a/planner/next.go
+++ b/planner/next.go
@@ -23,15 +23,15 @@
 		p.unfit = p.unfit[:0]
 	}
 	var plan Plan
-	p.queue.Renew()
+	p.queue.BeginRound()
 	if p.freed {
-		p.queue.Unblock()
+		p.queue.UnblockAll()
 		p.wanting, p.freed = p.wanting[:0], false
 	}
 	// What was freed is for those who waited, so that lanes with a chance are opened before what is
 	// new is tried. Each pass opens some; the first is made in any case.
-	p.queue.Open(p.chance)
-	for more := true; more && len(plan.Starts) < most; more = p.queue.Open(p.chance) {
+	p.queue.UnblockCandidates(p.chance)
+	for more := true; more && len(plan.Starts) < most; more = p.queue.UnblockCandidates(p.chance) {
 		p.pass(now, most, &plan)
 	}
 	if len(plan.Starts) < most {
@@ -44,7 +44,7 @@
 
 // pass goes once through the lanes that are not blocked.
 func (p *Planner) pass(now time.Time, most int, plan *Plan) {
-	pass := p.queue.Begin(now, p.terms)
+	pass := p.queue.BeginPass(now, p.terms)
 	for len(plan.Starts) < most {
 		it := pass.Next()
 		if it == nil {
@@ -52,13 +52,13 @@
 		}
 		e, key := it.Value, *it.Key()
 		if p.try(now, e, plan) {
-			pass.Started(&key)
+			pass.MarkStarted(&key)
 			continue
 		}
 		if e.waits == waitsCapacity {
 			p.want(e)
 		}
-		pass.Block(it)
+		pass.BlockLane(it)
 	}
 }
 
@@ -92,10 +92,10 @@
 		return e.wait(now, waitsStop)
 	case e.effect.MostRunning > 0 && p.tally(e.decision.Rule).running+count > e.effect.MostRunning:
 		return e.wait(now, waitsLimit)
-	case !p.ledger.Within(e.pool, e.charge.Times(count)) && !p.ledger.MayBorrow(e.pool):
+	case !p.ledger.Fits(e.pool, e.charge.Times(count)) && !p.ledger.CanBorrow(e.pool):
 		return e.wait(now, waitsQuota)
 	case e.spec.Gang:
-		nodes := p.index.Gang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources { return p.room(now, e, n) })
+		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources { return p.room(now, e, n) })
 		if nodes == nil {
 			return e.wait(now, waitsCapacity)
 		}
@@ -120,14 +120,14 @@
 func (p *Planner) place(now time.Time, e *entry) *placement.Node {
 	if r := e.reservation; r != nil {
 		for _, k := range r.kept {
-			if n := p.index.Node(k.worker); n != nil && e.charge.Fits(n.Now()) {
+			if n := p.index.Node(k.worker); n != nil && e.charge.Fits(n.AvailableNow()) {
 				return n
 			}
 		}
 	}
 	if !p.unfits(e) {
 		q := placement.Query{
-			Each: e.charge, Zone: e.spec.Zone, Prefer: e.effect.Zones, Strategy: e.strategy, Near: e.near,
+			Request: e.charge, Zone: e.spec.Zone, PreferredZones: e.effect.Zones, Strategy: e.strategy, TasksOnNode: e.near,
 		}
 		if n := p.index.Find(&q); n != nil {
 			return n
--- a/planner/options.go
+++ b/planner/options.go
@@ -13,8 +13,8 @@
 	Seed     uint64
 	// Quotas holds what each team may hold; a team without one has no bound.
 	Quotas map[string]job.Resources
-	// MostPending bounds the tasks that wait.
-	MostPending int
+	// MaxPending bounds the tasks that wait.
+	MaxPending int
 }
 
 // Option sets one of the Options.
@@ -22,12 +22,12 @@
 
 // Defaults of the options.
 const (
-	DefaultStrategy    = "pack"
-	DefaultMostPending = 100_000
+	DefaultStrategy   = "pack"
+	DefaultMaxPending = 100_000
 )
 
 func newOptions(opts []Option) Options {
-	o := Options{Strategy: DefaultStrategy, MostPending: DefaultMostPending}
+	o := Options{Strategy: DefaultStrategy, MaxPending: DefaultMaxPending}
 	for _, set := range opts {
 		set(&o)
 	}
@@ -46,5 +46,5 @@
 // Quotas sets what each team may hold.
 func Quotas(q map[string]job.Resources) Option { return func(o *Options) { o.Quotas = q } }
 
-// MostPending bounds the tasks that wait.
-func MostPending(n int) Option { return func(o *Options) { o.MostPending = n } }
+// MaxPending bounds the tasks that wait.
+func MaxPending(n int) Option { return func(o *Options) { o.MaxPending = n } }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -43,7 +43,7 @@
 	unfit []unfit
 	// now is the latest time that the owner gave.
 	now   time.Time
-	terms queue.Terms
+	terms queue.PoolUsage
 }
 
 // mostFreed bounds the workers that are remembered one by one.
@@ -59,21 +59,21 @@
 		index:   placement.New(o.Seed),
 		queue:   queue.New[*entry](),
 		ledger:  quota.New(),
-		learner: learn.New(learn.DefaultMostClasses),
+		learner: learn.New(learn.DefaultMaxClasses),
 		jobs:    map[string]*entry{},
 		held:    map[string][]*task{},
 		rules:   map[string]*tally{},
 		classes: map[string]int{},
 	}
-	p.terms = queue.Terms{
+	p.terms = queue.PoolUsage{
 		Share: func(pool string) float64 {
 			has, _ := p.index.Totals()
-			return p.ledger.Share(pool, has)
+			return p.ledger.DominantShare(pool, has)
 		},
-		Within: func(k *queue.Key) bool { return p.ledger.Within(k.Pool, k.Each.Times(max(k.Gang, 1))) },
+		WithinQuota: func(k *queue.Key) bool { return p.ledger.Fits(k.Pool, k.Request.Times(max(k.GangSize, 1))) },
 	}
 	for team := range o.Quotas {
-		p.ledger.Join(team)
+		p.ledger.AddMember(team)
 	}
 	p.setQuotas()
 	return p
@@ -81,7 +81,7 @@
 
 func (p *Planner) setQuotas() {
 	for team, most := range p.options.Quotas {
-		p.ledger.Set(team, most, true)
+		p.ledger.SetLimit(team, most, true)
 	}
 }
 
@@ -89,13 +89,13 @@
 // that was accepted is never refused afterwards, and what runs keeps its worker.
 func (p *Planner) SetRules(l *rule.List) {
 	p.options.Rules = l
-	p.ledger.Unlimit()
+	p.ledger.ClearLimits()
 	p.setQuotas()
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		e := p.jobs[id]
 		p.queue.Remove(&e.item)
 		p.countPending(e, -len(e.pending))
-		p.ledger.Leave(e.pool)
+		p.ledger.RemoveMember(e.pool)
 		p.decide(e)
 		p.countPending(e, len(e.pending))
 		p.enqueue(e)
@@ -123,7 +123,7 @@
 		// What an attempt holds outlives the worker's absence from the VM list. Without this a
 		// worker that comes back would look empty, and be overfilled.
 		for _, t := range p.held[info.ID] {
-			p.index.Take(n, t.charge)
+			p.index.Allocate(n, t.charge)
 			t.zone = info.Zone
 		}
 	}
@@ -146,18 +146,18 @@
 func (p *Planner) take(e *entry, index int, workerID string) *task {
 	t := &task{
 		entry: e, index: index, worker: workerID, charge: e.charge, pool: e.pool, rule: e.decision.Rule, started: p.now, at: len(p.running),
-		end: p.now.Add(e.estimate.High), borrowed: !p.ledger.Within(e.pool, e.charge),
+		end: p.now.Add(e.estimate.P90), borrowed: !p.ledger.Fits(e.pool, e.charge),
 	}
 	p.running = append(p.running, t)
 	p.held[workerID] = append(p.held[workerID], t)
 	e.running[index] = t
 	e.on[workerID]++
-	p.ledger.Take(t.pool, t.charge)
+	p.ledger.Charge(t.pool, t.charge)
 	p.tally(t.rule).running++
 	if n := p.index.Node(workerID); n != nil {
 		t.zone = n.Info.Zone
 		p.spend(n, t)
-		p.index.Take(n, t.charge)
+		p.index.Allocate(n, t.charge)
 	}
 	return t
 }
@@ -177,11 +177,11 @@
 	if t.entry.on[t.worker]--; t.entry.on[t.worker] == 0 {
 		delete(t.entry.on, t.worker)
 	}
-	p.ledger.Give(t.pool, t.charge)
+	p.ledger.Release(t.pool, t.charge)
 	p.tally(t.rule).running--
 	p.untally(t.rule)
 	if n := p.index.Node(t.worker); n != nil {
-		p.index.Give(n, t.charge)
+		p.index.Release(n, t.charge)
 		p.freedOn = append(p.freedOn, n)
 	}
 	p.freed = p.freed || len(p.freedOn) > mostFreed
@@ -190,11 +190,11 @@
 // chance reports whether a blocked lane may start now that something was freed. Without the
 // question, each end of a task would have every lane of a full cell tried in vain.
 func (p *Planner) chance(k *queue.Key) bool {
-	if k.Gang > 0 || k.Bounded {
+	if k.GangSize > 0 || k.Limited {
 		return len(p.freedOn) > 0
 	}
 	for _, n := range p.freedOn {
-		if k.Each.Fits(n.Now()) {
+		if k.Request.Fits(n.AvailableNow()) {
 			return true
 		}
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// Usage notes what a running task lately used.
-func (p *Planner) Usage(jobID string, index int, used job.Resources) {
+// ObserveUsage notes what a running task lately used.
+func (p *Planner) ObserveUsage(jobID string, index int, used job.Resources) {
 	if e, ok := p.jobs[jobID]; ok {
 		if t, ok := e.running[index]; ok {
 			t.peak = t.peak.Max(used)
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -44,7 +44,7 @@
 	specs   map[string]*job.Submission
 	running map[string]Start
 	left    map[string]int
-	victims []Preempt
+	victims []Preemption
 	// slow is the part of the victims that stop at a time, peak what tasks use of what they declared.
 	slow int
 	peak int
@@ -65,7 +65,7 @@
 
 func (c *cell) add(id string, s *job.Submission) Decision {
 	j := &Job{ID: id, Spec: s, Accepted: c.now}
-	if d := c.Admit(c.now, j); d.Refused != "" {
+	if d := c.Admit(c.now, j); d.RefusalReason != "" {
 		return d
 	}
 	c.specs[id], c.left[id] = s, s.Tasks
@@ -108,13 +108,13 @@
 	if requeue {
 		c.left[s.Job]++
 	}
-	c.Release(c.now, s.Job, s.Task, End{OK: !requeue, Requeue: requeue, Ran: time.Minute, Peak: c.specs[s.Job].Each.Times(c.peak)})
+	c.Release(c.now, s.Job, s.Task, AttemptResult{Completed: !requeue, Requeue: requeue, RunTime: time.Minute, PeakUsage: c.specs[s.Job].Each.Times(c.peak)})
 }
 
 // step judges a plan and stops some of the victims; the others stop with the next plans.
 func (c *cell) step(p Plan) string {
 	fault := c.judge(p)
-	c.victims = append(c.victims, p.Preempts...)
+	c.victims = append(c.victims, p.Preemptions...)
 	stops := (len(c.victims) + c.slow - 1) / c.slow
 	for _, v := range c.victims[:stops] {
 		if k := fmt.Sprint(v.Job, "/", v.Task); c.running[k].Worker != "" {
@@ -232,10 +232,10 @@
 	c.add("small", spec("booking", 8, 500)) // It must not take what the victims leave.
 	plan := c.Next(c.now, 8)
 	is.Equal(len(plan.Starts), 0)
-	is.Equal(len(plan.Preempts), 2)
-	for _, v := range plan.Preempts {
+	is.Equal(len(plan.Preemptions), 2)
+	for _, v := range plan.Preemptions {
 		is.Equal(v.Job, "roster")
-		is.Equal(v.For, "urgent")
+		is.Equal(v.ForJob, "urgent")
 	}
 	c.now = c.now.Add(1500 * time.Millisecond)
 	c.step(plan)
@@ -256,10 +256,10 @@
 	own := spec("other", 8, 2000)
 	own.Team = "lender"
 	c.add("own", own)
-	is.Equal(len(c.Next(c.now, 32).Preempts), 0)
+	is.Equal(len(c.Next(c.now, 32).Preemptions), 0)
 	c.now = c.now.Add(reclaimAfter)
 	plan := c.Next(c.now, 32)
-	is.Equal(len(plan.Preempts), 8)
+	is.Equal(len(plan.Preemptions), 8)
 	c.step(plan)
 	plan = c.Next(c.now, 32)
 	is.Equal(len(plan.Starts), 8)
@@ -311,10 +311,10 @@
 	urgent.Urgent = true
 	c.add("urgent", urgent)
 	plan := c.Next(c.now, 8)
-	is.Equal(len(plan.Preempts), 2)
-	is.Equal(plan.Preempts[0].Job, plan.Preempts[1].Job)
+	is.Equal(len(plan.Preemptions), 2)
+	is.Equal(plan.Preemptions[0].Job, plan.Preemptions[1].Job)
 	// One has stopped and the other not yet: the first must not start again alone.
-	c.end(fmt.Sprint(plan.Preempts[0].Job, "/", plan.Preempts[0].Task), true)
+	c.end(fmt.Sprint(plan.Preemptions[0].Job, "/", plan.Preemptions[0].Task), true)
 	c.SetWorker(c.now, vm(4, 8000), true, false)
 	next := c.Next(c.now, 8)
 	is.Equal(len(next.Starts), 1)
@@ -327,8 +327,8 @@
 	c := newCell(1, 8000)
 	c.add("a", spec("roster", 2, 1000))
 	for i, ran := range []time.Duration{0, time.Minute} {
-		c.Occupy("a", i, "vm0")
-		c.Release(c.now, "a", i, End{OK: true, Ran: ran})
+		c.MarkRunning("a", i, "vm0")
+		c.Release(c.now, "a", i, AttemptResult{Completed: true, RunTime: ran})
 		is.Equal(c.learner.Classes(), i)
 	}
 }
@@ -344,9 +344,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := newCell(4, 8000, MostPending(10))
+			c := newCell(4, 8000, MaxPending(10))
 			d := c.Admit(start, &Job{ID: "x", Spec: s, Accepted: start})
-			is.True(d.Refused != "")
+			is.True(d.RefusalReason != "")
 			is.Equal(d.RetryAfter > 0, name == "queue is full")
 		})
 	}
@@ -363,7 +363,7 @@
 	is.NoErr(err)
 	c.SetRules(l)
 	is.Equal(c.Next(c.now, 1).Starts[0].Job, "second")
-	x := c.Why(c.now, "first")
-	is.Equal(x.Rules.Asked[0].Values, `class is "a"`)
+	x := c.Explain(c.now, "first")
+	is.Equal(x.Rules.Results[0].FieldValues, `class is "a"`)
 	is.True(x.WaitsFor != "")
 }
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -47,7 +47,7 @@
 func (p *Planner) late(now time.Time) *entry {
 	var found *entry
 	left := mostLate
-	p.queue.Late(now, func(e *entry) bool {
+	p.queue.EachLate(now, func(e *entry) bool {
 		left--
 		if e.waits == waitsCapacity && p.mayReserve(e) && (p.large(e) || now.Sub(e.waitsSince) >= starvedAfter) {
 			found = e
@@ -63,7 +63,7 @@
 // large reports whether a job can be starved by smaller work. To keep room for others as well drains
 // workers and gains nothing: more deadlines were missed.
 func (p *Planner) large(e *entry) bool {
-	most := p.index.Largest()
+	most := p.index.MaxCapacity()
 	return e.spec.Gang || e.charge.Accelerators > 0 ||
 		2*e.charge.Millicores >= most.Millicores || 2*e.charge.MemoryMB >= most.MemoryMB
 }
@@ -107,7 +107,7 @@
 }
 
 func (p *Planner) mayReclaim(now time.Time, e *entry) bool {
-	return now.Sub(e.waitsSince) >= reclaimAfter && p.ledger.Within(e.pool, e.charge.Times(e.tasksNext()))
+	return now.Sub(e.waitsSince) >= reclaimAfter && p.ledger.Fits(e.pool, e.charge.Times(e.tasksNext()))
 }
 
 // yields reports whether a task may be preempted at all: services, sessions and what is not
@@ -125,7 +125,7 @@
 }
 
 func (p *Planner) borrowedFrom(e *entry) func(*task) bool {
-	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Over(t.pool) }
+	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Exceeded(t.pool) }
 }
 
 // lost is the work that is lost at worst, in core seconds. A gang is lost whole.
@@ -151,7 +151,7 @@
 	need := min(len(e.pending), mostVictims)
 	zones := map[string][]option{}
 	var names []string
-	p.index.Each(func(n *placement.Node) {
+	p.index.ForEach(func(n *placement.Node) {
 		zone := n.Info.Zone
 		if e.spec.Zone != "" && e.spec.Zone != zone || !n.Open || n.Probe || n.Reserved() {
 			return
@@ -181,8 +181,8 @@
 		}
 	}
 	slices.SortStableFunc(victims, func(a, b *task) int { return cmp.Compare(a.lost(now), b.lost(now)) })
-	room := n.Now()
-	have := placement.Count(room, e.charge, need)
+	room := n.AvailableNow()
+	have := placement.FitCount(room, e.charge, need)
 	var options []option
 	for range have {
 		options = append(options, option{node: n})
@@ -192,7 +192,7 @@
 	for _, t := range victims {
 		room = room.Plus(t.charge)
 		group, cost = append(group, t), cost+t.lost(now)
-		for count := placement.Count(room, e.charge, need); have < count; have++ {
+		for count := placement.FitCount(room, e.charge, need); have < count; have++ {
 			least = max(least, cost)
 			options = append(options, option{node: n, victims: group, cost: least})
 			group, cost = nil, 0
@@ -241,7 +241,7 @@
 	for _, o := range chosen {
 		id := o.node.Info.ID
 		if counts[id] == 0 {
-			room[id] = o.node.Now()
+			room[id] = o.node.AvailableNow()
 			r.kept = append(r.kept, kept{worker: id})
 		}
 		counts[id]++
@@ -272,6 +272,6 @@
 		}
 		v.leaving = true
 		v.entry.leaving++
-		plan.Preempts = append(plan.Preempts, Preempt{Job: v.entry.id, Task: v.index, Worker: v.worker, For: e.id, Reason: reason})
+		plan.Preemptions = append(plan.Preemptions, Preemption{Job: v.entry.id, Task: v.index, Worker: v.worker, ForJob: e.id, Reason: reason})
 	}
 }
--- a/planner/reserve.go
+++ b/planner/reserve.go
@@ -55,13 +55,13 @@
 		return n.Available()
 	}
 	if r := p.holder(n.Info.ID); r == nil || r.entry == e || e.endsBefore(now, r.at) {
-		return n.Now()
+		return n.AvailableNow()
 	}
 	return n.Available()
 }
 
 func (e *entry) endsBefore(now, at time.Time) bool {
-	return !e.service() && !now.Add(e.estimate.High).After(at)
+	return !e.service() && !now.Add(e.estimate.P90).After(at)
 }
 
 // backfill gives a reserved worker on which a short task ends before the reservation is due.
@@ -72,7 +72,7 @@
 		}
 		for _, k := range r.kept {
 			n := p.index.Node(k.worker)
-			if n != nil && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.Now()) {
+			if n != nil && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.AvailableNow()) {
 				return n
 			}
 		}
@@ -87,7 +87,7 @@
 	}
 	r := p.holder(n.Info.ID)
 	if r != nil && r.entry != t.entry && (t.entry.service() || t.end.After(r.at)) {
-		p.index.Spend(n, t.charge)
+		p.index.UseSpare(n, t.charge)
 	}
 }
 
@@ -167,7 +167,7 @@
 	after := before.Plus(r)
 	f.room[n] = after
 	zone := n.Info.Zone
-	f.fits[zone] += placement.Count(after, f.each, f.need) - placement.Count(before, f.each, f.need)
+	f.fits[zone] += placement.FitCount(after, f.each, f.need) - placement.FitCount(before, f.each, f.need)
 	if f.fits[zone] >= f.need && f.zone == "" {
 		f.zone = zone
 	}
@@ -191,9 +191,9 @@
 // forecast lets running tasks end, the first to end first, until the job fits into a zone.
 func (p *Planner) forecast(now time.Time, e *entry) (f *forecast, at time.Time) {
 	f = &forecast{room: map[*placement.Node]job.Resources{}, fits: map[string]int{}, each: e.charge, need: e.tasksNext()}
-	p.index.Each(func(n *placement.Node) {
+	p.index.ForEach(func(n *placement.Node) {
 		if n.Open && !n.Probe && !n.Reserved() && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.Info.Has) {
-			f.add(n, n.Now())
+			f.add(n, n.AvailableNow())
 		}
 	})
 	at = now
@@ -218,7 +218,7 @@
 		if n.Info.Zone != f.zone || left == 0 {
 			continue
 		}
-		if count := placement.Count(f.room[n], f.each, left); count > 0 {
+		if count := placement.FitCount(f.room[n], f.each, left); count > 0 {
 			k = append(k, kept{n.Info.ID, count})
 			left -= count
 		}
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -156,7 +156,7 @@
 	return true
 }
 
-func (b *baseline) release(_ time.Time, jobID string, task int, _ planner.End) {
+func (b *baseline) release(_ time.Time, jobID string, task int, _ planner.AttemptResult) {
 	w := b.jobs[jobID]
 	n := w.on[task]
 	n.free = n.free.Plus(w.Spec.Each)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,7 +14,7 @@
 	Admit     func(now time.Time, j *planner.Job) planner.Decision
 	Add       func(now time.Time, j *planner.Job) planner.Decision
 	Next      func(now time.Time, most int) planner.Plan
-	Release   func(now time.Time, jobID string, task int, end planner.End)
+	Release   func(now time.Time, jobID string, task int, end planner.AttemptResult)
 	Stats     func(now time.Time) planner.Stats
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -129,7 +129,7 @@
 		now = now.Add(3 * time.Millisecond)
 		began := time.Now()
 		s := running[i%len(running)]
-		p.Release(now, s.Job, s.Task, planner.End{OK: true, Ran: 10 * time.Second, Requeue: true})
+		p.Release(now, s.Job, s.Task, planner.AttemptResult{Completed: true, RunTime: 10 * time.Second, Requeue: true})
 		plan := p.Next(now, 64)
 		took = append(took, time.Since(began))
 		starts += len(plan.Starts)
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -125,7 +125,7 @@
 		a := &r.load.Jobs[i]
 		r.arrived++
 		j := &planner.Job{ID: a.Spec.Key, Spec: a.Spec, Accepted: a.At}
-		if r.policy.Admit(now, j).Refused != "" {
+		if r.policy.Admit(now, j).RefusalReason != "" {
 			r.report.Refused++
 			continue
 		}
@@ -150,12 +150,12 @@
 			j.attempts[e.task]++
 			r.pending++
 			r.report.LostCoreSeconds += int64(ran.Seconds()) * a.Spec.Each.Millicores / 1000
-			r.policy.Release(now, a.Spec.Key, e.task, planner.End{Requeue: true, Ran: ran})
+			r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Requeue: true, RunTime: ran})
 			continue
 		}
 		j.done[e.task] = true
 		r.demand = r.demand.Minus(a.Spec.Each)
-		r.policy.Release(now, a.Spec.Key, e.task, planner.End{OK: true, Ran: ran, Peak: a.Peak})
+		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.Peak})
 		if j.left--; j.left == 0 {
 			r.report.finished(a, now)
 		}
@@ -168,8 +168,8 @@
 		for i := range plan.Starts {
 			r.start(now, &plan.Starts[i])
 		}
-		for i := range plan.Preempts {
-			v := &plan.Preempts[i]
+		for i := range plan.Preemptions {
+			v := &plan.Preemptions[i]
 			k := r.index[v.Job]
 			r.report.Preempted++
 			r.schedule(event{at: now.Add(stopTime), job: k, task: v.Task, attempt: r.jobs[k].attempts[v.Task], stopped: true})
--- a/queue/pass.go
+++ b/queue/pass.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Terms are the questions that a pass asks about pools.
-type Terms struct {
+// PoolUsage are the questions that a pass asks about pools.
+type PoolUsage struct {
 	// Share is how much of its quota a pool holds.
 	Share func(pool string) float64
-	// Within reports whether the pool could start one more of the lane within its quota.
-	Within func(k *Key) bool
+	// WithinQuota reports whether the pool could start one more of the lane within its quota.
+	WithinQuota func(k *Key) bool
 }
 
 // Pass goes once through what could start, in order.
 type Pass[T any] struct {
 	q     *Queue[T]
 	now   time.Time
-	terms Terms
+	terms PoolUsage
 	// borrow is the second phase, in which pools may go beyond their quota.
 	borrow  bool
 	tried   int
@@ -25,8 +25,8 @@
 	byTurn bool
 }
 
-// Begin starts a pass; the one before it ends.
-func (q *Queue[T]) Begin(now time.Time, terms Terms) *Pass[T] {
+// BeginPass starts a pass; the one before it ends.
+func (q *Queue[T]) BeginPass(now time.Time, terms PoolUsage) *Pass[T] {
 	q.stamp++
 	q.pass = Pass[T]{q: q, now: now, terms: terms}
 	return &q.pass
@@ -54,18 +54,18 @@
 			return it
 		}
 	}
-	if it := p.band(Top, Highest); it != nil {
+	if it := p.band(UrgentBand, MaxBand); it != nil {
 		return it
 	}
 	if it := p.late(); it != nil {
 		return it
 	}
-	return p.band(Lowest, Top-1)
+	return p.band(MinBand, UrgentBand-1)
 }
 
-// Started notes a start, so that late items get their turns.
-func (p *Pass[T]) Started(k *Key) {
-	for _, t := range p.q.bands[k.Band-Lowest] {
+// MarkStarted notes a start, so that late items get their turns.
+func (p *Pass[T]) MarkStarted(k *Key) {
+	for _, t := range p.q.bands[k.Band-MinBand] {
 		if t.pool == k.Pool {
 			t.stamp = 0
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-// Block passes over the lane of an item until Unblock.
-func (p *Pass[T]) Block(it *Item[T]) {
+// BlockLane passes over the lane of an item until Unblock.
+func (p *Pass[T]) BlockLane(it *Item[T]) {
 	p.tried++
 	p.q.block(it.lane)
 }
@@ -93,7 +93,7 @@
 			return false
 		}
 		p.cursor = it
-		if it.lane.blocked || (!p.borrow && !p.terms.Within(&it.lane.key)) {
+		if it.lane.blocked || (!p.borrow && !p.terms.WithinQuota(&it.lane.key)) {
 			p.looked++
 			return true
 		}
@@ -112,9 +112,9 @@
 	for b := to; b >= from; b-- {
 		var best *Item[T]
 		var bestShare float64
-		for _, t := range p.q.bands[b-Lowest] {
+		for _, t := range p.q.bands[b-MinBand] {
 			it, ok := t.ready.Min()
-			if !ok || (!p.borrow && !p.terms.Within(&it.lane.key)) {
+			if !ok || (!p.borrow && !p.terms.WithinQuota(&it.lane.key)) {
 				continue
 			}
 			if t.stamp != p.q.stamp {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -11,12 +11,12 @@
 	"turmericgap/job"
 )
 
-// Bands run from Lowest to Highest; from Top on they go before late items of lower bands.
+// Bands run from MinBand to MaxBand; from UrgentBand on they go before late items of lower bands.
 const (
-	Lowest  = -8
-	Highest = 8
-	Top     = 5
-	bands   = Highest - Lowest + 1
+	MinBand    = -8
+	MaxBand    = 8
+	UrgentBand = 5
+	bands      = MaxBand - MinBand + 1
 )
 
 const (
@@ -33,16 +33,16 @@
 type Key struct {
 	Band int
 	// Pool is charged for the items.
-	Pool string
-	Rule string
-	Zone string
-	Each job.Resources
-	// Gang is the number of tasks that start together, zero for no gang.
-	Gang int
+	Pool    string
+	Rule    string
+	Zone    string
+	Request job.Resources
+	// GangSize is the number of tasks that start together, zero for no gang.
+	GangSize int
 	// Spread says that tasks are spread over racks.
 	Spread bool
-	// Bounded says that a limit or quota may hold the items back although they fit.
-	Bounded bool
+	// Limited says that a limit or quota may hold the items back although they fit.
+	Limited bool
 }
 
 // Item waits in a queue.
@@ -98,14 +98,14 @@
 // Len is the number of items.
 func (q *Queue[T]) Len() int { return q.late.Len() }
 
-// Late calls visit for the late items, the one that is so for longest first, while it returns true.
-func (q *Queue[T]) Late(now time.Time, visit func(v T) bool) {
+// EachLate calls visit for the late items, the one that is so for longest first, while it returns true.
+func (q *Queue[T]) EachLate(now time.Time, visit func(v T) bool) {
 	q.late.Ascend(func(it *Item[T]) bool { return !it.LateAt.After(now) && visit(it.Value) })
 }
 
 // Push adds an item that does not wait yet.
 func (q *Queue[T]) Push(it *Item[T], k Key) {
-	k.Band = min(max(k.Band, Lowest), Highest)
+	k.Band = min(max(k.Band, MinBand), MaxBand)
 	l, ok := q.lanes[k]
 	if !ok {
 		l = &lane[T]{key: k, team: q.team(k.Band, k.Pool)}
@@ -136,14 +136,14 @@
 		l.blocked = false
 	}
 	if l.team.lanes--; l.team.lanes == 0 {
-		b := &q.bands[l.key.Band-Lowest]
+		b := &q.bands[l.key.Band-MinBand]
 		at := slices.Index(*b, l.team)
 		*b = slices.Delete(*b, at, at+1)
 	}
 }
 
 func (q *Queue[T]) team(band int, pool string) *team[T] {
-	b := &q.bands[band-Lowest]
+	b := &q.bands[band-MinBand]
 	at, ok := sort.Find(len(*b), func(i int) int { return strings.Compare(pool, (*b)[i].pool) })
 	if !ok {
 		*b = slices.Insert(*b, at, &team[T]{pool: pool, ready: newTree[T]()})
@@ -151,18 +151,18 @@
 	return (*b)[at]
 }
 
-// Renew begins a round of Open, since something was freed.
-func (q *Queue[T]) Renew() {
+// BeginRound begins a round of Open, since something was freed.
+func (q *Queue[T]) BeginRound() {
 	q.round++
 	clear(q.chances)
 	q.chances, q.asked = q.chances[:0], false
 }
 
-// Open lets one blocked lane of each team and band be tried again: the first that has a chance and
+// UnblockCandidates lets one blocked lane of each team and band be tried again: the first that has a chance and
 // was not tried in this round. It reports whether there was any. After a small thing was freed this
 // saves trying all lanes in vain. Chances only fall during a round, so that one look at all lanes
 // is enough.
-func (q *Queue[T]) Open(chance func(k *Key) bool) bool {
+func (q *Queue[T]) UnblockCandidates(chance func(k *Key) bool) bool {
 	from := q.chances
 	if !q.asked {
 		from, q.asked = q.blocked, true
@@ -191,11 +191,11 @@
 	return len(opened) > 0
 }
 
-// Unblock lets all blocked lanes be tried again. If the last pass was cut short, only the top bands
+// UnblockAll lets all blocked lanes be tried again. If the last pass was cut short, only the top bands
 // are: the others go on where it ended, so that each lane has its try.
-func (q *Queue[T]) Unblock() {
+func (q *Queue[T]) UnblockAll() {
 	for i := len(q.blocked) - 1; i >= 0; i-- {
-		if l := q.blocked[i]; !q.cut || l.key.Band >= Top {
+		if l := q.blocked[i]; !q.cut || l.key.Band >= UrgentBand {
 			q.open(l)
 		}
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -9,26 +9,26 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-func terms(share map[string]float64, over string) Terms {
-	return Terms{
-		Share:  func(pool string) float64 { return share[pool] },
-		Within: func(k *Key) bool { return k.Pool != over },
+func terms(share map[string]float64, over string) PoolUsage {
+	return PoolUsage{
+		Share:       func(pool string) float64 { return share[pool] },
+		WithinQuota: func(k *Key) bool { return k.Pool != over },
 	}
 }
 
 // drain starts or blocks everything in order and gives the names.
-func drain(q *Queue[string], t Terms, blocks bool) []string {
+func drain(q *Queue[string], t PoolUsage, blocks bool) []string {
 	var got []string
-	p := q.Begin(now, t)
+	p := q.BeginPass(now, t)
 	for it := p.Next(); it != nil; it = p.Next() {
 		got = append(got, it.Value)
 		if blocks {
-			p.Block(it)
+			p.BlockLane(it)
 			continue
 		}
 		k := *it.Key()
 		q.Remove(it)
-		p.Started(&k)
+		p.MarkStarted(&k)
 	}
 	return got
 }
@@ -71,10 +71,10 @@
 	push(q, "other", 0, "b", 3*time.Hour)
 	is.Equal(drain(q, terms(nil, ""), true), []string{"first", "other"})
 	is.Equal(len(drain(q, terms(nil, ""), true)), 0)
-	q.Renew()
-	is.True(q.Open(func(k *Key) bool { return k.Pool == "b" }))
+	q.BeginRound()
+	is.True(q.UnblockCandidates(func(k *Key) bool { return k.Pool == "b" }))
 	is.Equal(drain(q, terms(nil, ""), true), []string{"other"})
-	is.True(!q.Open(func(k *Key) bool { return k.Pool == "b" })) // tried in this round
-	q.Unblock()
+	is.True(!q.UnblockCandidates(func(k *Key) bool { return k.Pool == "b" })) // tried in this round
+	q.UnblockAll()
 	is.Equal(len(drain(q, terms(nil, ""), false)), 3)
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -29,25 +29,25 @@
 	return p
 }
 
-// Set bounds a pool; borrow lets it go beyond most while capacity is idle. A part that is zero
+// SetLimit bounds a pool; borrow lets it go beyond most while capacity is idle. A part that is zero
 // allows nothing of it.
-func (l *Ledger) Set(name string, most job.Resources, borrow bool) {
+func (l *Ledger) SetLimit(name string, most job.Resources, borrow bool) {
 	p := l.pool(name)
 	p.limited, p.most, p.borrow = true, most, borrow
 }
 
-// Unlimit forgets all quotas; what is held stays counted.
-func (l *Ledger) Unlimit() {
+// ClearLimits forgets all quotas; what is held stays counted.
+func (l *Ledger) ClearLimits() {
 	for _, p := range l.pools {
 		p.limited = false
 	}
 }
 
-// Join keeps a pool known until as many calls of Leave.
-func (l *Ledger) Join(name string) { l.pool(name).members++ }
+// AddMember keeps a pool known until as many calls of Leave.
+func (l *Ledger) AddMember(name string) { l.pool(name).members++ }
 
-// Leave ends one Join; a pool without members that holds nothing is forgotten.
-func (l *Ledger) Leave(name string) {
+// RemoveMember ends one Join; a pool without members that holds nothing is forgotten.
+func (l *Ledger) RemoveMember(name string) {
 	l.pool(name).members--
 	l.sweep(name)
 }
@@ -58,47 +58,47 @@
 	}
 }
 
-// Take charges a task to a pool.
-func (l *Ledger) Take(name string, r job.Resources) {
+// Charge charges a task to a pool.
+func (l *Ledger) Charge(name string, r job.Resources) {
 	p := l.pool(name)
 	p.holds, p.tasks = p.holds.Plus(r), p.tasks+1
 }
 
-// Give frees what a task was charged with.
-func (l *Ledger) Give(name string, r job.Resources) {
+// Release frees what a task was charged with.
+func (l *Ledger) Release(name string, r job.Resources) {
 	p := l.pool(name)
 	p.holds, p.tasks = p.holds.Minus(r), p.tasks-1
 	l.sweep(name)
 }
 
-// Within reports whether the pool could hold r more within its quota.
-func (l *Ledger) Within(name string, r job.Resources) bool {
+// Fits reports whether the pool could hold r more within its quota.
+func (l *Ledger) Fits(name string, r job.Resources) bool {
 	p, ok := l.pools[name]
 	return !ok || !p.limited || p.holds.Plus(r).Fits(p.most)
 }
 
-// MayBorrow reports whether the pool may go beyond its quota.
-func (l *Ledger) MayBorrow(name string) bool {
+// CanBorrow reports whether the pool may go beyond its quota.
+func (l *Ledger) CanBorrow(name string) bool {
 	p, ok := l.pools[name]
 	return !ok || !p.limited || p.borrow
 }
 
-// Over reports whether the pool holds more than its quota.
-func (l *Ledger) Over(name string) bool {
+// Exceeded reports whether the pool holds more than its quota.
+func (l *Ledger) Exceeded(name string) bool {
 	p, ok := l.pools[name]
 	return ok && p.limited && !p.holds.Fits(p.most)
 }
 
-// Holds gives what the pool holds.
-func (l *Ledger) Holds(name string) job.Resources {
+// Usage gives what the pool holds.
+func (l *Ledger) Usage(name string) job.Resources {
 	if p, ok := l.pools[name]; ok {
 		return p.holds
 	}
 	return job.Resources{}
 }
 
-// Share is the largest part of its quota that the pool holds, or of all if it has no quota.
-func (l *Ledger) Share(name string, all job.Resources) float64 {
+// DominantShare is the largest part of its quota that the pool holds, or of all if it has no quota.
+func (l *Ledger) DominantShare(name string, all job.Resources) float64 {
 	p, ok := l.pools[name]
 	if !ok {
 		return 0
--- a/rule/action.go
+++ b/rule/action.go
@@ -44,8 +44,8 @@
 	return l
 }
 
-// CheckLeast adds a finding unless value is at least least.
-func CheckLeast(l *finding.List, place string, value, least int64) {
+// CheckMin adds a finding unless value is at least least.
+func CheckMin(l *finding.List, place string, value, least int64) {
 	if value < least {
 		l.Add("with."+place, "must be at least %d", least)
 	}
--- a/rule/explain.go
+++ b/rule/explain.go
@@ -8,34 +8,34 @@
 // Explanation tells why the rules decide a request as they do.
 type Explanation struct {
 	Version int64 `json:"version"`
-	// Decided is the id of the rule that decided; empty if none holds.
-	Decided string `json:"decided"`
-	// Asked holds the rules up to the deciding one, in order.
-	Asked []Verdict `json:"asked"`
+	// DecidedBy is the id of the rule that decided; empty if none holds.
+	DecidedBy string `json:"decided"`
+	// Results holds the rules up to the deciding one, in order.
+	Results []RuleResult `json:"asked"`
 }
 
-// Verdict is what became of one rule.
-type Verdict struct {
-	Rule  string `json:"rule"`
-	Holds bool   `json:"holds"`
-	// Failed is the first part of the condition that does not hold.
-	Failed string `json:"failed,omitempty"`
-	// Values are those that the failed part read, such as `class is "sweep"`.
-	Values string `json:"values,omitempty"`
+// RuleResult is what became of one rule.
+type RuleResult struct {
+	Rule    string `json:"rule"`
+	Matched bool   `json:"holds"`
+	// FailedCondition is the first part of the condition that does not hold.
+	FailedCondition string `json:"failed,omitempty"`
+	// FieldValues are those that the failed part read, such as `class is "sweep"`.
+	FieldValues string `json:"values,omitempty"`
 }
 
 // Explain goes through the rules as Decide does, for a past or hypothetical request.
 func (l *List) Explain(r *Request) Explanation {
-	x := Explanation{Version: l.document.Version, Asked: []Verdict{}}
+	x := Explanation{Version: l.document.Version, Results: []RuleResult{}}
 	for i := range l.rules {
 		c := &l.rules[i]
-		v := Verdict{Rule: c.effect.Rule, Holds: c.condition.holds(r)}
-		if v.Holds {
-			x.Decided, x.Asked = c.effect.Rule, append(x.Asked, v)
+		v := RuleResult{Rule: c.effect.Rule, Matched: c.condition.holds(r)}
+		if v.Matched {
+			x.DecidedBy, x.Results = c.effect.Rule, append(x.Results, v)
 			return x
 		}
-		v.Failed, v.Values = c.condition.failed(r)
-		x.Asked = append(x.Asked, v)
+		v.FailedCondition, v.FieldValues = c.condition.failed(r)
+		x.Results = append(x.Results, v)
 	}
 	return x
 }
--- a/rule/limit/limit.go
+++ b/rule/limit/limit.go
@@ -18,7 +18,7 @@
 func apply(with json.RawMessage, e *rule.Effect) finding.List {
 	var p Parameters
 	l := rule.Decode(with, &p)
-	rule.CheckLeast(&l, "mostRunning", int64(p.MostRunning), 1)
+	rule.CheckMin(&l, "mostRunning", int64(p.MostRunning), 1)
 	e.MostRunning = p.MostRunning
 	return l
 }
--- a/rule/queue/queue.go
+++ b/rule/queue/queue.go
@@ -29,7 +29,7 @@
 	if p.Priority < LowestPriority || p.Priority > HighestPriority {
 		l.Add("with.priority", "must be from %d to %d", LowestPriority, HighestPriority)
 	}
-	rule.CheckLeast(&l, "mostPending", int64(p.MostPending), 0)
+	rule.CheckMin(&l, "mostPending", int64(p.MostPending), 0)
 	e.Priority, e.MostPending = p.Priority, p.MostPending
 	return l
 }
--- a/rule/quota/quota.go
+++ b/rule/quota/quota.go
@@ -23,9 +23,9 @@
 func apply(with json.RawMessage, e *rule.Effect) finding.List {
 	var p Parameters
 	l := rule.Decode(with, &p)
-	rule.CheckLeast(&l, "most.millicores", p.Most.Millicores, 0)
-	rule.CheckLeast(&l, "most.memoryMB", p.Most.MemoryMB, 0)
-	rule.CheckLeast(&l, "most.accelerators", p.Most.Accelerators, 0)
+	rule.CheckMin(&l, "most.millicores", p.Most.Millicores, 0)
+	rule.CheckMin(&l, "most.memoryMB", p.Most.MemoryMB, 0)
+	rule.CheckMin(&l, "most.accelerators", p.Most.Accelerators, 0)
 	if len(p.Pool) > job.MaxNameBytes {
 		l.Add("with.pool", "must be at most %d bytes", job.MaxNameBytes)
 	}
--- a/rule/refuse/refuse.go
+++ b/rule/refuse/refuse.go
@@ -23,7 +23,7 @@
 	if p.Reason == "" {
 		l.Add("with.reason", "must not be empty")
 	}
-	rule.CheckLeast(&l, "retryAfterSeconds", p.RetryAfterSeconds, 0)
+	rule.CheckMin(&l, "retryAfterSeconds", p.RetryAfterSeconds, 0)
 	e.Refuse, e.RetryAfterSeconds = p.Reason, p.RetryAfterSeconds
 	return l
 }
--- a/rule/request.go
+++ b/rule/request.go
@@ -6,8 +6,8 @@
 	"turmericgap/job"
 )
 
-// Each is what one task of a request needs.
-type Each struct {
+// TaskResources is what one task of a request needs.
+type TaskResources struct {
 	Millicores   int64 `expr:"millicores" json:"millicores"`
 	MemoryMB     int64 `expr:"memoryMB" json:"memoryMB"`
 	Accelerators int64 `expr:"accelerators" json:"accelerators"`
@@ -21,14 +21,14 @@
 	// Check tells a check or session request from a job.
 	Check bool `expr:"check" json:"check"`
 
-	Class      string `expr:"class" json:"class"`
-	Team       string `expr:"team" json:"team"`
-	Kind       string `expr:"kind" json:"kind"`
-	Tasks      int    `expr:"tasks" json:"tasks"`
-	Gang       bool   `expr:"gang" json:"gang"`
-	Urgent     bool   `expr:"urgent" json:"urgent"`
-	Repeatable bool   `expr:"repeatable" json:"repeatable"`
-	Each       Each   `expr:"each" json:"each"`
+	Class      string        `expr:"class" json:"class"`
+	Team       string        `expr:"team" json:"team"`
+	Kind       string        `expr:"kind" json:"kind"`
+	Tasks      int           `expr:"tasks" json:"tasks"`
+	Gang       bool          `expr:"gang" json:"gang"`
+	Urgent     bool          `expr:"urgent" json:"urgent"`
+	Repeatable bool          `expr:"repeatable" json:"repeatable"`
+	Each       TaskResources `expr:"each" json:"each"`
 	// RunSeconds is the declared run time; zero means not declared.
 	RunSeconds int64 `expr:"runSeconds" json:"runSeconds"`
 	// SecondsToDeadline is NoDeadline for a request without one.
@@ -51,7 +51,7 @@
 	*r = Request{
 		Class: s.Class, Team: s.Team, Kind: string(s.Kind), Tasks: s.Tasks, Gang: s.Gang,
 		Urgent: s.Urgent, Repeatable: s.Repeatable, RunSeconds: s.RunSeconds, Zone: s.Zone,
-		Each:              Each{s.Each.Millicores, s.Each.MemoryMB, s.Each.Accelerators},
+		Each:              TaskResources{s.Each.Millicores, s.Each.MemoryMB, s.Each.Accelerators},
 		SecondsToDeadline: NoDeadline,
 	}
 	if !s.Deadline.IsZero() {
@@ -79,7 +79,7 @@
 		each = each.Max(s.Each)
 		runs += s.Estimate
 	}
-	r.Each = Each{each.Millicores, each.MemoryMB, each.Accelerators}
+	r.Each = TaskResources{each.Millicores, each.MemoryMB, each.Accelerators}
 	r.RunSeconds = int64(runs / time.Second)
 	r.at(w.Accepted)
 }
--- a/rule/retry/retry.go
+++ b/rule/retry/retry.go
@@ -23,7 +23,7 @@
 func apply(with json.RawMessage, e *rule.Effect) finding.List {
 	var p Parameters
 	l := rule.Decode(with, &p)
-	rule.CheckLeast(&l, "timeoutSeconds", p.TimeoutSeconds, 0)
+	rule.CheckMin(&l, "timeoutSeconds", p.TimeoutSeconds, 0)
 	if p.Retries < 0 || p.Retries > MaxRetries {
 		l.Add("with.retries", "must be from 0 to %d", MaxRetries)
 	}
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -55,7 +55,7 @@
 // awaitRecord waits until the job's record is durable, or surely never will be. One that the store
 // does not take soon is taken back, so that its caller hears at once that it was not run.
 func (t *term) awaitRecord(ctx context.Context, id string, wait chan error) *rpc.Fault {
-	slow := time.NewTimer(t.o.StoreSlow)
+	slow := time.NewTimer(t.o.MaxCommitDelay)
 	defer slow.Stop()
 	for {
 		select {
@@ -91,7 +91,7 @@
 // takeBack runs on the loop: it withdraws a job whose record has not begun its way to the store.
 func (t *term) takeBack(id string) bool {
 	e := t.jobs[id]
-	if e == nil || e.saved == nil || !e.ticket.Withdraw() {
+	if e == nil || e.saved == nil || !e.ticket.Cancel() {
 		return false
 	}
 	delete(t.jobs, id)
@@ -120,20 +120,20 @@
 		return accepted{fault: fault}
 	}
 	d := t.planner.Admit(now, &planner.Job{ID: id, Spec: spec, Accepted: now})
-	if d.Hopeless && spec.Zone == "" {
+	if d.Infeasible && spec.Zone == "" {
 		if zone := t.zoneFor(spec); zone != "" {
 			return t.move(id, zone, now)
 		}
-		d.Refused = "it fits into no zone of the cell, even if empty"
+		d.RefusalReason = "it fits into no zone of the cell, even if empty"
 	}
-	if d.Refused != "" {
+	if d.RefusalReason != "" {
 		t.refused(spec, d, now)
-		return accepted{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.Refused)}
+		return accepted{fault: rpc.Refused(d.RetryAfter, "rule %s: %s", d.Rule, d.RefusalReason)}
 	}
 	e := newEntry(id, jobRecord{Spec: *spec, Accepted: now.UTC(), Parent: parent})
 	e.durable, e.decision = false, d
 	wait := make(chan error, waitersMost)
-	ticket, err := t.journal.Offer([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
+	ticket, err := t.journal.AppendCancelable([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
 		if err != nil {
 			wait <- err
 			t.fail(err)
@@ -154,9 +154,9 @@
 	switch {
 	case t.draining:
 		return rpc.Refused(t.o.RetryAfter, "this scheduler is stopping")
-	case len(t.live) >= t.o.MaxLive:
+	case len(t.live) >= t.o.MaxLiveJobs:
 		return rpc.Refused(t.o.RetryAfter, "the zone has %d live jobs, its limit", len(t.live))
-	case t.journal.Stats().Pending > t.o.StoreSlow:
+	case t.journal.Stats().Pending > t.o.MaxCommitDelay:
 		return rpc.Refused(t.o.RetryAfter, "the store does not take records now")
 	case !t.valid():
 		return rpc.Refused(t.o.RetryAfter, "this scheduler does not hold its zone now")
@@ -220,7 +220,7 @@
 func (t *term) cancelled(e *entry, c cancelRecord, done chan struct{}) {
 	now := time.Now()
 	e.cancel, e.cancelling = &c, nil
-	t.planner.Drop(e.id)
+	t.planner.DropPending(e.id)
 	for i := range e.tasks {
 		t.cancelTask(e, i, now)
 	}
--- a/scheduler/follow.go
+++ b/scheduler/follow.go
@@ -22,13 +22,13 @@
 			l.mayHaveRenewed = now
 		}
 		if t.valid() {
-			t.fleet.Missed(now, l.info.ID)
+			t.fleet.RecordMissedHeartbeat(now, l.info.ID)
 		}
 		t.openWorker(now, l)
 		return
 	}
 	l.mayHaveRenewed, l.answered, l.answeredAt, l.boot = now, true, b.began, b.reply.Boot
-	t.fleet.Seen(now, l.info.ID)
+	t.fleet.RecordHeartbeat(now, l.info.ID)
 	t.openWorker(now, l)
 	for i := range b.reply.Reports {
 		t.onListed(l, &b.reply.Reports[i], now)
@@ -92,7 +92,7 @@
 			k.started = now
 			t.countStart(e, now)
 		}
-		t.planner.Usage(e.id, i, r.Usage)
+		t.planner.ObserveUsage(e.id, i, r.Usage)
 		return
 	}
 	k.report = r
@@ -157,7 +157,7 @@
 	if len(e.tasks) == 1 && !e.Spec.Repeatable {
 		id = ""
 	}
-	t.fleet.Outcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
+	t.fleet.RecordOutcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
 	if l := t.links[k.Worker]; l != nil {
 		t.openWorker(now, l)
 	}
@@ -186,9 +186,9 @@
 // release frees the worker's resources after a durable end, and ends the job with its last task.
 func (t *term) release(e *entry, i int, now time.Time) {
 	k := &e.tasks[i]
-	end := planner.End{Requeue: k.Phase == pending && e.cancel == nil, OK: k.Outcome == job.Done && k.Answer.Exit == 0}
+	end := planner.AttemptResult{Requeue: k.Phase == pending && e.cancel == nil, Completed: k.Outcome == job.Done && k.Answer.Exit == 0}
 	if !k.started.IsZero() {
-		end.Ran = now.Sub(k.started)
+		end.RunTime = now.Sub(k.started)
 	}
 	*k = task{taskRecord: k.taskRecord}
 	t.planner.Release(now, e.id, i, end)
@@ -206,8 +206,8 @@
 		return
 	}
 	e.close()
-	t.planner.Drop(e.id)
-	t.fleet.Forget(e.id)
+	t.planner.DropPending(e.id)
+	t.fleet.ForgetJob(e.id)
 	t.countAnswers(e)
 	s := e.status(t.o.Zone)
 	for _, w := range e.waiters {
--- a/scheduler/link.go
+++ b/scheduler/link.go
@@ -107,7 +107,7 @@
 		}
 		b := t.beatOnce(l, h, wait)
 		if b.err == nil {
-			cursor, wait, misses = b.reply.Cursor, t.o.BeatWait, 0
+			cursor, wait, misses = b.reply.Cursor, t.o.HeartbeatWait, 0
 		} else {
 			misses++
 			l.giveForget(b.forgot)
@@ -116,9 +116,9 @@
 		if !t.post(func() { t.onBeat(l, b) }) {
 			return
 		}
-		rest := t.o.BeatPause
+		rest := t.o.HeartbeatPause
 		if b.err != nil {
-			rest = t.o.BeatRetry
+			rest = t.o.HeartbeatRetry
 		}
 		if !retry.Sleep(l.ctx, rest) {
 			return
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -19,26 +19,26 @@
 	// take-over by another scheduler, so that the death of an owner ends no task.
 	DefaultWorkerLease = 40 * time.Second
 	DefaultWorkerDrift = 2 * time.Second
-	// DefaultMessageLife bounds how long a message can be under way after its sender gave it up.
-	DefaultMessageLife = 3 * time.Second
-	DefaultBeatWait    = 10 * time.Second
-	DefaultBeatRetry   = time.Second
-	// DefaultBeatPause joins the changes of a busy worker into one answer; each end is heard this
+	// DefaultMessageLifetime bounds how long a message can be under way after its sender gave it up.
+	DefaultMessageLifetime = 3 * time.Second
+	DefaultHeartbeatWait   = 10 * time.Second
+	DefaultHeartbeatRetry  = time.Second
+	// DefaultHeartbeatPause joins the changes of a busy worker into one answer; each end is heard this
 	// much later at the most.
-	DefaultBeatPause   = 250 * time.Millisecond
-	DefaultCallTimeout = 2 * time.Second
-	DefaultResend      = 3 * time.Second
-	DefaultTick        = time.Second
-	// DefaultStoreSlow is how long a commit may take before new jobs are refused.
-	DefaultStoreSlow = 2 * time.Second
+	DefaultHeartbeatPause = 250 * time.Millisecond
+	DefaultCallTimeout    = 2 * time.Second
+	DefaultResendInterval = 3 * time.Second
+	DefaultTick           = time.Second
+	// DefaultMaxCommitDelay is how long a commit may take before new jobs are refused.
+	DefaultMaxCommitDelay = 2 * time.Second
 	// DefaultDrainAfter is how long tasks may go on at a worker that leaves before they are moved.
-	DefaultDrainAfter  = 30 * time.Second
-	DefaultRetryAfter  = 2 * time.Second
-	DefaultAttempts    = 4
-	DefaultMaxLive     = 20_000
-	DefaultKeepAnswers = 24 * time.Hour
-	// DefaultKeepAnswerBytes is the budget of one zone for the bodies of finished answers.
-	DefaultKeepAnswerBytes = 4 << 20
+	DefaultDrainAfter      = 30 * time.Second
+	DefaultRetryAfter      = 2 * time.Second
+	DefaultMaxAttempts     = 4
+	DefaultMaxLiveJobs     = 20_000
+	DefaultAnswerRetention = 24 * time.Hour
+	// DefaultAnswerBudgetBytes is the budget of one zone for the bodies of finished answers.
+	DefaultAnswerBudgetBytes = 4 << 20
 	// MaxAnswerBytes bounds the body of one task's answer.
 	MaxAnswerBytes = 16 << 10
 
@@ -69,12 +69,12 @@
 	Rules   func(*planner.Planner)
 	Journal []record.Option
 
-	WorkerLease, WorkerDrift, MessageLife    time.Duration
-	BeatWait, BeatRetry, BeatPause           time.Duration
-	CallTimeout, Resend                      time.Duration
-	Tick, RetryAfter, KeepAnswers, StoreSlow time.Duration
-	DrainAfter                               time.Duration
-	KeepAnswerBytes, MaxLive                 int
+	WorkerLease, WorkerDrift, MessageLifetime         time.Duration
+	HeartbeatWait, HeartbeatRetry, HeartbeatPause     time.Duration
+	CallTimeout, ResendInterval                       time.Duration
+	Tick, RetryAfter, AnswerRetention, MaxCommitDelay time.Duration
+	DrainAfter                                        time.Duration
+	AnswerBudgetBytes, MaxLiveJobs                    int
 }
 
 // Option sets up a Scheduler.
@@ -87,10 +87,10 @@
 		Workers:     func() []worker.Info { return nil },
 		Planner:     func() *planner.Planner { return planner.New() },
 		Rules:       func(*planner.Planner) {},
-		WorkerLease: DefaultWorkerLease, WorkerDrift: DefaultWorkerDrift, MessageLife: DefaultMessageLife,
-		BeatWait: DefaultBeatWait, BeatRetry: DefaultBeatRetry, BeatPause: DefaultBeatPause, CallTimeout: DefaultCallTimeout, Resend: DefaultResend,
-		Tick: DefaultTick, StoreSlow: DefaultStoreSlow, DrainAfter: DefaultDrainAfter, RetryAfter: DefaultRetryAfter, KeepAnswers: DefaultKeepAnswers,
-		KeepAnswerBytes: DefaultKeepAnswerBytes, MaxLive: DefaultMaxLive,
+		WorkerLease: DefaultWorkerLease, WorkerDrift: DefaultWorkerDrift, MessageLifetime: DefaultMessageLifetime,
+		HeartbeatWait: DefaultHeartbeatWait, HeartbeatRetry: DefaultHeartbeatRetry, HeartbeatPause: DefaultHeartbeatPause, CallTimeout: DefaultCallTimeout, ResendInterval: DefaultResendInterval,
+		Tick: DefaultTick, MaxCommitDelay: DefaultMaxCommitDelay, DrainAfter: DefaultDrainAfter, RetryAfter: DefaultRetryAfter, AnswerRetention: DefaultAnswerRetention,
+		AnswerBudgetBytes: DefaultAnswerBudgetBytes, MaxLiveJobs: DefaultMaxLiveJobs,
 	}
 }
 
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -19,7 +19,7 @@
 		return
 	}
 	plan := t.planner.Next(now, startsMost)
-	t.preempt(plan.Preempts, now)
+	t.preempt(plan.Preemptions, now)
 	if len(plan.Starts) == 0 {
 		return
 	}
@@ -38,7 +38,7 @@
 	}
 	if !t.save(changes, func() { t.sendIntended(changes) }) {
 		for _, c := range changes {
-			t.planner.Release(now, c.e.id, c.task, planner.End{Requeue: true})
+			t.planner.Release(now, c.e.id, c.task, planner.AttemptResult{Requeue: true})
 		}
 	}
 	// More may be startable than one plan holds; the next event or tick goes on.
@@ -61,14 +61,14 @@
 }
 
 // preempt checkpoints and stops tasks that make room for more urgent ones.
-func (t *term) preempt(list []planner.Preempt, now time.Time) {
+func (t *term) preempt(list []planner.Preemption, now time.Time) {
 	for _, p := range list {
 		e := t.live[p.Job]
 		if e == nil || e.tasks[p.Task].Phase != intended || e.tasks[p.Task].stop != "" {
 			continue
 		}
 		t.o.Metrics.Counter("task.preempted").Inc(1)
-		t.yield(e, p.Task, "preempted for "+p.For, now)
+		t.yield(e, p.Task, "preempted for "+p.ForJob, now)
 	}
 }
 
@@ -137,7 +137,7 @@
 	case k.stop == "" && e.overtime(k, now):
 		k.stop = stopOvertime
 		t.sendAct(e, i, worker.Stop, now)
-	case now.Sub(k.sentAt) < t.o.Resend:
+	case now.Sub(k.sentAt) < t.o.ResendInterval:
 	case k.Phase == pending && e.cancel != nil:
 		t.cancelTask(e, i, now)
 	case k.Phase == intended && (k.stop != "" || e.cancel != nil):
@@ -165,28 +165,28 @@
 // listWorkers opens links to new workers of the zone and gives the ids of all that are listed.
 func (t *term) listWorkers(now time.Time) map[string]bool {
 	listed := make(map[string]bool)
-	var entries []fleet.Entry
+	var entries []fleet.ListEntry
 	for _, info := range t.o.Workers() {
 		if info.Zone != t.o.Zone {
 			continue
 		}
 		listed[info.ID] = true
-		entries = append(entries, fleet.Entry{ID: info.ID, Zone: info.Zone, Leaving: info.Leaving})
+		entries = append(entries, fleet.ListEntry{ID: info.ID, Zone: info.Zone, Leaving: info.Leaving})
 		if l := t.links[info.ID]; l != nil {
 			l.info = info
 		} else {
 			t.links[info.ID] = t.openLink(info)
 		}
 	}
-	t.fleet.List(now, entries)
+	t.fleet.UpdateList(now, entries)
 	return listed
 }
 
 // openWorker tells the planner whether a worker may get new work, when that has changed.
 func (t *term) openWorker(now time.Time, l *link) {
-	a := t.fleet.Open(now, l.info.ID)
-	open := l.answered && l.listed && !l.info.Leaving && a.Verdict != fleet.Closed
-	probe := a.Verdict == fleet.Probe
+	a := t.fleet.Admission(now, l.info.ID)
+	open := l.answered && l.listed && !l.info.Leaving && a.Decision != fleet.Deny
+	probe := a.Decision == fleet.AllowProbes
 	if l.told == l.info && l.open == open && l.probe == probe {
 		return
 	}
@@ -213,7 +213,7 @@
 // That says nothing of a start that was sent and never reported: it may lie in a socket of a frozen
 // VM. Such an attempt stays until its worker answers, or the VM list no longer shows the VM.
 func (t *term) lapseWorkers(now time.Time) {
-	limit := t.o.MessageLife + t.o.WorkerLease + t.o.WorkerDrift
+	limit := t.o.MessageLifetime + t.o.WorkerLease + t.o.WorkerDrift
 	ids := make([]string, 0, len(t.held))
 	for id := range t.held {
 		ids = append(ids, id)
@@ -240,7 +240,7 @@
 // forgetOld drops finished jobs after their time, and bodies of answers beyond the budget.
 func (t *term) forgetOld(now time.Time) {
 	for id, m := range t.moved {
-		if now.Sub(m.At) > t.o.KeepAnswers {
+		if now.Sub(m.At) > t.o.AnswerRetention {
 			delete(t.moved, id)
 		}
 	}
@@ -249,7 +249,7 @@
 		if e.ended.IsZero() {
 			continue
 		}
-		if now.Sub(e.ended) > t.o.KeepAnswers {
+		if now.Sub(e.ended) > t.o.AnswerRetention {
 			t.answers -= answerBytes(e)
 			delete(t.jobs, id)
 			continue
@@ -258,7 +258,7 @@
 			oldest = e
 		}
 	}
-	if oldest != nil && t.answers > t.o.KeepAnswerBytes {
+	if oldest != nil && t.answers > t.o.AnswerBudgetBytes {
 		t.answers -= answerBytes(oldest)
 		for i := range oldest.tasks {
 			oldest.tasks[i].Answer = nil
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -30,11 +30,11 @@
 	// Refusals are the last of them, with their reasons.
 	Refusals []Refusal `json:"refusals"`
 	// Ends are the last jobs that ended without an answer.
-	Ends []End `json:"ends"`
+	Ends []EndedJob `json:"ends"`
 }
 
-// End is a job that ended as not run or unknown, with the reason.
-type End struct {
+// EndedJob is a job that ended as not run or unknown, with the reason.
+type EndedJob struct {
 	Job     string      `json:"job"`
 	Ended   time.Time   `json:"ended"`
 	Outcome job.Outcome `json:"outcome"`
@@ -56,7 +56,7 @@
 	if len(t.refusals) == stateRefusals {
 		t.refusals = slices.Delete(t.refusals, 0, 1)
 	}
-	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.Refused})
+	t.refusals = append(t.refusals, Refusal{At: now, Team: spec.Team, Class: spec.Class, Rule: d.Rule, Reason: d.RefusalReason})
 }
 
 // State gives the operators' view of the zone; only its owner has one.
@@ -77,7 +77,7 @@
 func (t *term) state() *State {
 	s := &State{
 		Zone: t.o.Zone, Epoch: t.epoch, Live: len(t.live), Stats: t.planner.Stats(time.Now()),
-		Workers: t.planner.Loads(), Ejections: t.fleet.Reasons(),
+		Workers: t.planner.Loads(), Ejections: t.fleet.Ejections(),
 		Refusals: slices.Clone(t.refusals),
 	}
 	for _, e := range t.jobs {
@@ -85,10 +85,10 @@
 			continue
 		}
 		if outcome, reason := e.outcome(); outcome != job.Done {
-			s.Ends = append(s.Ends, End{Job: e.id, Ended: e.ended, Outcome: outcome, Reason: reason})
+			s.Ends = append(s.Ends, EndedJob{Job: e.id, Ended: e.ended, Outcome: outcome, Reason: reason})
 		}
 	}
-	slices.SortFunc(s.Ends, func(a, b End) int { return cmp.Or(b.Ended.Compare(a.Ended), cmp.Compare(a.Job, b.Job)) })
+	slices.SortFunc(s.Ends, func(a, b EndedJob) int { return cmp.Or(b.Ended.Compare(a.Ended), cmp.Compare(a.Job, b.Job)) })
 	s.Ends = s.Ends[:min(len(s.Ends), stateEnds)]
 	return s
 }
--- a/scheduler/term.go
+++ b/scheduler/term.go
@@ -93,11 +93,11 @@
 		e.decision = t.planner.Add(now, &planner.Job{ID: e.id, Spec: &e.Spec, Accepted: e.Accepted})
 		for i := range e.tasks {
 			if e.tasks[i].Phase != pending {
-				t.planner.Occupy(e.id, i, e.tasks[i].Worker)
+				t.planner.MarkRunning(e.id, i, e.tasks[i].Worker)
 				e.tasks[i].starts = 1
 			}
 			if e.tasks[i].Phase == final {
-				t.planner.Release(now, e.id, i, planner.End{OK: true})
+				t.planner.Release(now, e.id, i, planner.AttemptResult{Completed: true})
 			}
 		}
 	}
--- a/scheduler/verdict.go
+++ b/scheduler/verdict.go
@@ -92,5 +92,5 @@
 	if e.decision.Retries > 0 {
 		return 1 + e.decision.Retries
 	}
-	return DefaultAttempts
+	return DefaultMaxAttempts
 }
--- a/share/loan.go
+++ b/share/loan.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ask asks a gate to lend idle slots.
-type Ask struct {
+// LoanRequest asks a gate to lend idle slots.
+type LoanRequest struct {
 	// Gate is the borrower.
 	Gate string `json:"gate" msgpack:"g"`
 	// Want is how many slots it can use, on any of Targets.
@@ -27,22 +27,22 @@
 	ID     uint64        `json:"id" msgpack:"i"`
 	Target string        `json:"target" msgpack:"t"`
 	Slots  int           `json:"slots" msgpack:"s"`
-	Life   time.Duration `json:"life" msgpack:"l"`
+	TTL    time.Duration `json:"life" msgpack:"l"`
 }
 
-// Loans answers an Ask.
-type Loans struct {
+// LoanReply answers an Ask.
+type LoanReply struct {
 	Loans []Loan `json:"loans" msgpack:"l"`
 }
 
-// Return gives loans back before their time.
-type Return struct {
+// LoanReturn gives loans back before their time.
+type LoanReturn struct {
 	Gate string   `json:"gate" msgpack:"g"`
 	IDs  []uint64 `json:"ids" msgpack:"i"`
 }
 
-// Returned answers a Return.
-type Returned struct{}
+// LoanReturnReply answers a Return.
+type LoanReturnReply struct{}
 
 // lent is a loan on its lender's side.
 type lent struct {
@@ -63,10 +63,10 @@
 }
 
 // Lend lends what this gate can spare, and keeps a reserve so that a burst here is served at once.
-func (h *Holder) Lend(ask *Ask, now time.Time) Loans {
+func (h *Allocator) Lend(ask *LoanRequest, now time.Time) LoanReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out Loans
+	var out LoanReply
 	if !h.opts.Valid() || ask.Gate == h.id {
 		return out
 	}
@@ -89,8 +89,8 @@
 		}
 		h.serial++
 		// The lender counts longer than the borrower: from later, and with the drift of both clocks.
-		u.lent = append(u.lent, lent{h.serial, ask.Gate, n, now.Add(h.opts.Life + h.opts.Drift)})
-		out.Loans = append(out.Loans, Loan{ID: h.serial, Target: t.ID, Slots: n, Life: h.opts.Life})
+		u.lent = append(u.lent, lent{h.serial, ask.Gate, n, now.Add(h.opts.LoanTTL + h.opts.ClockDrift)})
+		out.Loans = append(out.Loans, Loan{ID: h.serial, Target: t.ID, Slots: n, TTL: h.opts.LoanTTL})
 		want -= n
 	}
 	return out
@@ -98,7 +98,7 @@
 
 // renewed lengthens loans. A lender that is short itself lets every other one run out, so that its
 // slots come back little by little instead of all at once.
-func (h *Holder) renewed(ask *Ask, short bool, now time.Time) []Loan {
+func (h *Allocator) renewed(ask *LoanRequest, short bool, now time.Time) []Loan {
 	if len(ask.Renew) == 0 {
 		return nil
 	}
@@ -112,8 +112,8 @@
 		for i := range u.lent {
 			l := &u.lent[i]
 			if asked[l.id] && l.borrower == ask.Gate && len(out) < maxLoans {
-				l.expires = now.Add(h.opts.Life + h.opts.Drift)
-				out = append(out, Loan{ID: l.id, Target: target, Slots: l.slots, Life: h.opts.Life})
+				l.expires = now.Add(h.opts.LoanTTL + h.opts.ClockDrift)
+				out = append(out, Loan{ID: l.id, Target: target, Slots: l.slots, TTL: h.opts.LoanTTL})
 			}
 		}
 	}
@@ -121,22 +121,22 @@
 }
 
 // Renewals gives the loans that are in use and have lived a quarter of their time, by lender.
-func (h *Holder) Renewals(now time.Time) map[string]*Ask {
+func (h *Allocator) Renewals(now time.Time) map[string]*LoanRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out map[string]*Ask
+	var out map[string]*LoanRequest
 	for target, u := range h.uses {
 		u.prune(now)
 		for _, b := range u.borrowed {
-			if b.expires.Sub(now) > h.opts.Life*3/4 || (b.inUse == 0 && now.Sub(b.used) >= h.opts.IdleLoan) {
+			if b.expires.Sub(now) > h.opts.LoanTTL*3/4 || (b.inUse == 0 && now.Sub(b.used) >= h.opts.LoanIdleTimeout) {
 				continue
 			}
 			if out == nil {
-				out = make(map[string]*Ask)
+				out = make(map[string]*LoanRequest)
 			}
 			ask := out[b.lender]
 			if ask == nil {
-				ask = &Ask{Gate: h.id}
+				ask = &LoanRequest{Gate: h.id}
 				out[b.lender] = ask
 			}
 			ask.Renew = append(ask.Renew, b.id)
@@ -150,12 +150,12 @@
 }
 
 // lists reports whether the newest table lists a gate.
-func (h *Holder) lists(gate string) bool {
+func (h *Allocator) lists(gate string) bool {
 	newest := h.newest()
 	return newest != nil && newest.has(gate)
 }
 
-func (h *Holder) spare(targets []Target, now time.Time) int {
+func (h *Allocator) spare(targets []Target, now time.Time) int {
 	total, idle := 0, 0
 	for _, t := range targets {
 		u := h.use(t.ID, now)
@@ -166,13 +166,13 @@
 	return idle - (total+reservePart-1)/reservePart
 }
 
-// Borrowed takes over the loans that answer an Ask sent at the given time.
-func (h *Holder) Borrowed(lender string, loans *Loans, asked, now time.Time) int {
+// AddBorrowed takes over the loans that answer an Ask sent at the given time.
+func (h *Allocator) AddBorrowed(lender string, loans *LoanReply, asked, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for _, l := range loans.Loans {
-		expires := asked.Add(l.Life)
+		expires := asked.Add(l.TTL)
 		u := h.use(l.Target, now)
 		if old := u.find(lender, l.ID); old != nil {
 			if expires.After(old.expires) {
@@ -200,24 +200,24 @@
 	return nil
 }
 
-// Idle drops the loans that have not been used for a while, and gives what to return, by lender.
-func (h *Holder) Idle(now time.Time) map[string]*Return {
+// ReturnIdle drops the loans that have not been used for a while, and gives what to return, by lender.
+func (h *Allocator) ReturnIdle(now time.Time) map[string]*LoanReturn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out map[string]*Return
+	var out map[string]*LoanReturn
 	for _, u := range h.uses {
 		u.prune(now)
 		kept := u.borrowed[:0]
 		for _, b := range u.borrowed {
-			if b.inUse > 0 || now.Sub(b.used) < h.opts.IdleLoan {
+			if b.inUse > 0 || now.Sub(b.used) < h.opts.LoanIdleTimeout {
 				kept = append(kept, b)
 				continue
 			}
 			if out == nil {
-				out = make(map[string]*Return)
+				out = make(map[string]*LoanReturn)
 			}
 			if out[b.lender] == nil {
-				out[b.lender] = &Return{Gate: h.id}
+				out[b.lender] = &LoanReturn{Gate: h.id}
 			}
 			out[b.lender].IDs = append(out[b.lender].IDs, b.id)
 		}
@@ -226,8 +226,8 @@
 	return out
 }
 
-// TakeBack takes loans back that their borrower has given up.
-func (h *Holder) TakeBack(r *Return, now time.Time) {
+// AcceptReturn takes loans back that their borrower has given up.
+func (h *Allocator) AcceptReturn(r *LoanReturn, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ids := make(map[uint64]bool, len(r.IDs))
--- a/share/options.go
+++ b/share/options.go
@@ -4,12 +4,12 @@
 
 // Options are what a Holder is made of.
 type Options struct {
-	Valid    func() bool
-	Since    func() int64
-	Life     time.Duration
-	Drift    time.Duration
-	IdleLoan time.Duration
-	Settle   time.Duration
+	Valid           func() bool
+	MemberSince     func() int64
+	LoanTTL         time.Duration
+	ClockDrift      time.Duration
+	LoanIdleTimeout time.Duration
+	RemovalGrace    time.Duration
 }
 
 // Option sets up a Holder.
@@ -19,14 +19,14 @@
 // be used.
 func Valid(f func() bool) Option { return func(o *Options) { o.Valid = f } }
 
-// Since sets the function that gives the table version with which the present membership began;
+// MemberSince sets the function that gives the table version with which the present membership began;
 // it is asked after Valid.
-func Since(f func() int64) Option { return func(o *Options) { o.Since = f } }
+func MemberSince(f func() int64) Option { return func(o *Options) { o.MemberSince = f } }
 
-// Life sets how long a loan holds, and how much longer its lender keeps it charged.
-func Life(life, drift time.Duration) Option {
-	return func(o *Options) { o.Life, o.Drift = life, drift }
+// LoanTTL sets how long a loan holds, and how much longer its lender keeps it charged.
+func LoanTTL(life, drift time.Duration) Option {
+	return func(o *Options) { o.LoanTTL, o.ClockDrift = life, drift }
 }
 
-// Settle sets how long the last requests and loans of a removed gate may still occupy targets.
-func Settle(d time.Duration) Option { return func(o *Options) { o.Settle = d } }
+// RemovalGrace sets how long the last requests and loans of a removed gate may still occupy targets.
+func RemovalGrace(d time.Duration) Option { return func(o *Options) { o.RemovalGrace = d } }
--- a/share/report.go
+++ b/share/report.go
@@ -20,7 +20,7 @@
 }
 
 // Report tells of this gate's shares.
-func (h *Holder) Report(now time.Time) Report {
+func (h *Allocator) Report(now time.Time) Report {
 	valid := h.opts.Valid()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // missing lists the other gates of t that have not confirmed it.
-func (h *Holder) missing(t *Table) []string {
+func (h *Allocator) missing(t *Table) []string {
 	var out []string
 	for _, gate := range t.Gates {
 		if gate != h.id && h.confirmed[gate].Version != t.Version {
--- a/share/share.go
+++ b/share/share.go
@@ -9,14 +9,14 @@
 
 // Defaults.
 const (
-	// DefaultLife is how long a loan holds on its borrower's clock.
-	DefaultLife = 10 * time.Second
-	// DefaultDrift is how much longer its lender keeps it charged.
-	DefaultDrift = 500 * time.Millisecond
-	// DefaultIdleLoan is how long a loan may stay unused before it is returned.
-	DefaultIdleLoan = time.Second
-	// DefaultSettle is how long the last requests and loans of a removed gate may still occupy targets.
-	DefaultSettle = 16 * time.Second
+	// DefaultLoanTTL is how long a loan holds on its borrower's clock.
+	DefaultLoanTTL = 10 * time.Second
+	// DefaultClockDrift is how much longer its lender keeps it charged.
+	DefaultClockDrift = 500 * time.Millisecond
+	// DefaultLoanIdleTimeout is how long a loan may stay unused before it is returned.
+	DefaultLoanIdleTimeout = time.Second
+	// DefaultRemovalGrace is how long the last requests and loans of a removed gate may still occupy targets.
+	DefaultRemovalGrace = 16 * time.Second
 
 	maxPending       = 64
 	maxLoans         = 1024
@@ -25,8 +25,8 @@
 	reservePart = 4
 )
 
-// Holder keeps one gate's shares of all targets; it is safe for concurrent use.
-type Holder struct {
+// Allocator keeps one gate's shares of all targets; it is safe for concurrent use.
+type Allocator struct {
 	id   string
 	opts Options
 
@@ -64,27 +64,27 @@
 	since int64
 }
 
-// Lent reports whether the slot is a sibling's.
-func (s *Slot) Lent() bool { return s.loan != nil }
+// Borrowed reports whether the slot is a sibling's.
+func (s *Slot) Borrowed() bool { return s.loan != nil }
 
 // New returns the Holder of a gate. The id is unique for each life of the process: one that comes
 // back under an old id would be taken to have kept its promises.
-func New(id string, opts ...Option) *Holder {
+func New(id string, opts ...Option) *Allocator {
 	o := Options{
-		Valid: func() bool { return true }, Since: func() int64 { return 0 }, Life: DefaultLife, Drift: DefaultDrift,
-		IdleLoan: DefaultIdleLoan, Settle: DefaultSettle,
+		Valid: func() bool { return true }, MemberSince: func() int64 { return 0 }, LoanTTL: DefaultLoanTTL, ClockDrift: DefaultClockDrift,
+		LoanIdleTimeout: DefaultLoanIdleTimeout, RemovalGrace: DefaultRemovalGrace,
 	}
 	for _, f := range opts {
 		f(&o)
 	}
-	return &Holder{
+	return &Allocator{
 		id: id, opts: o, confirmed: make(map[string]Confirmation), left: make(map[string]bool),
 		uses: make(map[string]*use),
 	}
 }
 
 // SetTable takes a newer table over; an older or the same one changes nothing.
-func (h *Holder) SetTable(t Table, now time.Time) {
+func (h *Allocator) SetTable(t Table, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.move(now)
@@ -97,9 +97,9 @@
 	case newest == nil || !t.has(h.id) || len(h.pending) >= maxPending:
 		// A new gate has no claim yet, a removed one has lost it, and one that lost count starts anew.
 		h.base, h.pending, h.anew = nil, nil, true
-		h.settled = now.Add(h.opts.Settle)
+		h.settled = now.Add(h.opts.RemovalGrace)
 	case h.mustSettle(&t):
-		h.settled = now.Add(h.opts.Settle)
+		h.settled = now.Add(h.opts.RemovalGrace)
 	}
 	h.pending = append(h.pending, t)
 	for gate := range h.confirmed {
@@ -111,22 +111,22 @@
 }
 
 // mustSettle reports whether requests of a gate that t does not list may still occupy targets.
-func (h *Holder) mustSettle(t *Table) bool {
+func (h *Allocator) mustSettle(t *Table) bool {
 	if h.base != nil && t.lacks(h.base, h.left) {
 		return true
 	}
 	return slices.ContainsFunc(h.pending, func(old Table) bool { return t.lacks(&old, h.left) })
 }
 
-func (h *Holder) newest() *Table {
+func (h *Allocator) newest() *Table {
 	if n := len(h.pending); n > 0 {
 		return &h.pending[n-1]
 	}
 	return h.base
 }
 
-// Confirmed notes what another gate of the zone has told.
-func (h *Holder) Confirmed(c Confirmation, now time.Time) {
+// AddConfirmation notes what another gate of the zone has told.
+func (h *Allocator) AddConfirmation(c Confirmation, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if t := h.newest(); t != nil && t.has(c.Gate) && c.Version >= h.confirmed[c.Gate].Version {
@@ -138,18 +138,18 @@
 	h.move(now)
 }
 
-// Confirms gives what this gate may tell the others.
-func (h *Holder) Confirms(now time.Time) Confirmation {
+// Confirmation gives what this gate may tell the others.
+func (h *Allocator) Confirmation(now time.Time) Confirmation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.move(now)
 	if h.mayConfirm(now) {
 		h.confirms = h.newest().Version
 	}
-	return Confirmation{Gate: h.id, Version: h.confirms, Knows: !h.anew, Left: h.gone}
+	return Confirmation{Gate: h.id, Version: h.confirms, KnowsHistory: !h.anew, Left: h.gone}
 }
 
-func (h *Holder) mayConfirm(now time.Time) bool {
+func (h *Allocator) mayConfirm(now time.Time) bool {
 	if h.newest() == nil || (!h.anew && now.Before(h.settled)) {
 		return false
 	}
@@ -164,18 +164,18 @@
 
 // renew forgets the tables before the present membership. A gate that was removed and has joined
 // again may never see the table that lacked it, and its old share is another's by now.
-func (h *Holder) renew(now time.Time) {
-	since := h.opts.Since()
+func (h *Allocator) renew(now time.Time) {
+	since := h.opts.MemberSince()
 	stale := func(t Table) bool { return t.Version < since }
 	if (h.base == nil || !stale(*h.base)) && !slices.ContainsFunc(h.pending, stale) {
 		return
 	}
 	h.base, h.pending, h.anew = nil, slices.DeleteFunc(h.pending, stale), true
-	h.settled = now.Add(h.opts.Settle)
+	h.settled = now.Add(h.opts.RemovalGrace)
 }
 
 // move makes the newest table the base once all its other gates have confirmed it.
-func (h *Holder) move(now time.Time) {
+func (h *Allocator) move(now time.Time) {
 	h.renew(now)
 	t := h.newest()
 	if t == nil || t == h.base || !t.has(h.id) {
@@ -192,7 +192,7 @@
 		if c.Version != t.Version {
 			return
 		}
-		settled = settled || (h.anew && c.Knows)
+		settled = settled || (h.anew && c.KnowsHistory)
 	}
 	if settled {
 		base := *t
@@ -202,25 +202,25 @@
 }
 
 // Agreed reports whether nothing is left to be confirmed here.
-func (h *Holder) Agreed() bool {
+func (h *Allocator) Agreed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.newest() == h.base
 }
 
 // limit is the smallest share of the base and all newer tables.
-func (h *Holder) limit(target string, slots int) int {
+func (h *Allocator) limit(target string, slots int) int {
 	if h.base == nil || h.gone {
 		return 0
 	}
-	n := h.base.Of(h.id, target, slots)
+	n := h.base.ShareOf(h.id, target, slots)
 	for i := range h.pending {
-		n = min(n, h.pending[i].Of(h.id, target, slots))
+		n = min(n, h.pending[i].ShareOf(h.id, target, slots))
 	}
 	return n
 }
 
-func (h *Holder) use(target string, now time.Time) *use {
+func (h *Allocator) use(target string, now time.Time) *use {
 	u, ok := h.uses[target]
 	if !ok {
 		u = &use{}
@@ -259,7 +259,7 @@
 }
 
 // Limit gives how many slots of a target this gate may occupy at most, by its share and by loans.
-func (h *Holder) Limit(target string, slots int, now time.Time) int {
+func (h *Allocator) Limit(target string, slots int, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.opts.Valid() {
@@ -276,7 +276,7 @@
 
 // Leave gives up all shares for good, if nothing is taken of them and nothing is lent. It is called
 // before a planned stop; where it reports false, the others wait as for a gate that died.
-func (h *Holder) Leave(now time.Time) bool {
+func (h *Allocator) Leave(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, u := range h.uses {
@@ -290,4 +290,4 @@
 }
 
 // Valid reports whether the gate holds its membership.
-func (h *Holder) Valid() bool { return h.opts.Valid() }
+func (h *Allocator) Valid() bool { return h.opts.Valid() }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -37,7 +37,7 @@
 }
 
 type sim struct {
-	holder *Holder
+	holder *Allocator
 	valid  time.Time
 	frozen time.Time
 	joined int64
@@ -87,8 +87,8 @@
 		if w.plant.hasty {
 			settle = 0
 		}
-		s.holder = New(id, Life(loanLife, loanDrift), Settle(settle), Valid(func() bool { return w.now.Before(s.valid) }),
-			Since(func() int64 { return s.joined }))
+		s.holder = New(id, LoanTTL(loanLife, loanDrift), RemovalGrace(settle), Valid(func() bool { return w.now.Before(s.valid) }),
+			MemberSince(func() int64 { return s.joined }))
 		w.gates[id] = s
 	}
 	w.change(append(slices.Clone(w.table().Gates), id))
@@ -127,24 +127,24 @@
 	if !slices.Contains(w.table().Gates, id) || !s.holder.Leave(w.now) {
 		return
 	}
-	c := s.holder.Confirms(w.now)
+	c := s.holder.Confirmation(w.now)
 	for _, other := range w.table().Gates {
-		w.gates[other].holder.Confirmed(c, w.now)
+		w.gates[other].holder.AddConfirmation(c, w.now)
 	}
 	s.dead = true
 	w.change(slices.DeleteFunc(slices.Clone(w.table().Gates), func(g string) bool { return g == id }))
 }
 
 func (w *world) heartbeat(s *sim) {
-	c := s.holder.Confirms(w.now)
+	c := s.holder.Confirmation(w.now)
 	to := w.gates[w.table().Gates[w.draw(len(w.table().Gates))]]
-	w.mail = append(w.mail, func() { to.holder.Confirmed(c, w.now) })
+	w.mail = append(w.mail, func() { to.holder.AddConfirmation(c, w.now) })
 }
 
 func (w *world) borrow(id string, s *sim) {
 	lender := w.table().Gates[w.draw(len(w.table().Gates))]
 	asked, from := w.now, w.gates[lender]
-	ask := &Ask{Gate: id, Want: 1 + w.draw(8), Targets: worldTargets}
+	ask := &LoanRequest{Gate: id, Want: 1 + w.draw(8), Targets: worldTargets}
 	w.mail = append(w.mail, func() {
 		loans := from.holder.Lend(ask, w.now)
 		if w.plant.forgetful {
@@ -152,7 +152,7 @@
 				u.lent = nil
 			}
 		}
-		w.mail = append(w.mail, func() { s.holder.Borrowed(lender, &loans, asked, w.now) })
+		w.mail = append(w.mail, func() { s.holder.AddBorrowed(lender, &loans, asked, w.now) })
 	})
 }
 
@@ -162,7 +162,7 @@
 		ask, asked, from := asks[lender], w.now, w.gates[lender]
 		w.mail = append(w.mail, func() {
 			loans := from.holder.Lend(ask, w.now)
-			w.mail = append(w.mail, func() { s.holder.Borrowed(lender, &loans, asked, w.now) })
+			w.mail = append(w.mail, func() { s.holder.AddBorrowed(lender, &loans, asked, w.now) })
 		})
 	}
 }
@@ -170,7 +170,7 @@
 func (w *world) start(s *sim) {
 	t := worldTargets[w.draw(len(worldTargets))]
 	end := w.now.Add(time.Duration(1+w.draw(int(maxRequest/time.Millisecond))) * time.Millisecond)
-	slot, ok := s.holder.Take(t.ID, t.Slots, end, w.now)
+	slot, ok := s.holder.Acquire(t.ID, t.Slots, end, w.now)
 	if !ok {
 		return
 	}
@@ -183,7 +183,7 @@
 				w.act()
 			}
 		}
-		if !w.now.Before(end) || !s.holder.Holds(slot, end) {
+		if !w.now.Before(end) || !s.holder.CanSend(slot, end) {
 			s.holder.Release(slot, w.now)
 			return
 		}
@@ -263,10 +263,10 @@
 	case k < 138:
 		w.extend(s)
 	case k < 140:
-		idle := s.holder.Idle(w.now)
+		idle := s.holder.ReturnIdle(w.now)
 		for _, lender := range slices.Sorted(maps.Keys(idle)) {
 			r := idle[lender]
-			w.mail = append(w.mail, func() { w.gates[lender].holder.TakeBack(r, w.now) })
+			w.mail = append(w.mail, func() { w.gates[lender].holder.AcceptReturn(r, w.now) })
 		}
 	default:
 		w.start(s)
@@ -341,25 +341,25 @@
 	now := time.Unix(1000, 0)
 	two, three := Table{1, []string{"a", "b"}}, Table{2, []string{"a", "b", "c"}}
 	target := "t"
-	for i := 0; two.Of("b", target, 1) != 1 || three.Of("a", target, 1) != 1; i++ {
+	for i := 0; two.ShareOf("b", target, 1) != 1 || three.ShareOf("a", target, 1) != 1; i++ {
 		target = fmt.Sprint("t", i)
 	}
 	a, b := New("a"), New("b")
 	a.SetTable(two, now)
 	b.SetTable(two, now)
-	now = now.Add(DefaultSettle)
-	a.Confirmed(b.Confirms(now), now)
-	b.Confirmed(a.Confirms(now), now)
+	now = now.Add(DefaultRemovalGrace)
+	a.AddConfirmation(b.Confirmation(now), now)
+	b.AddConfirmation(a.Confirmation(now), now)
 	a.SetTable(three, now)
-	a.Confirmed(Confirmation{Gate: "c", Version: 2}, now)
+	a.AddConfirmation(Confirmation{Gate: "c", Version: 2}, now)
 	b.SetTable(Table{3, two.Gates}, now)
-	a.Confirmed(b.Confirms(now), now)
-	is.Equal(b.Confirms(now).Version, int64(3))
+	a.AddConfirmation(b.Confirmation(now), now)
+	is.Equal(b.Confirmation(now).Version, int64(3))
 	is.Equal(b.Limit(target, 1, now), 1)
 	is.Equal(a.Limit(target, 1, now), 0)
 	a.SetTable(Table{3, two.Gates}, now)
-	now = now.Add(DefaultSettle)
-	is.Equal(a.Confirms(now).Version, int64(3))
+	now = now.Add(DefaultRemovalGrace)
+	is.Equal(a.Confirmation(now).Version, int64(3))
 	is.Equal(a.Limit(target, 1, now), 0)
 }
 
@@ -381,19 +381,19 @@
 			a, b := New("a"), New("b")
 			if c.before != nil {
 				a.SetTable(Table{7, c.before}, now)
-				now = now.Add(DefaultSettle)
-				a.Confirmed(Confirmation{Gate: "x", Version: 7, Left: c.left}, now)
+				now = now.Add(DefaultRemovalGrace)
+				a.AddConfirmation(Confirmation{Gate: "x", Version: 7, Left: c.left}, now)
 			}
 			for range 3 {
 				a.SetTable(Table{9, []string{"a", "b"}}, now)
 				b.SetTable(Table{9, []string{"a", "b"}}, now)
-				a.Confirmed(b.Confirms(now), now)
-				b.Confirmed(a.Confirms(now), now)
+				a.AddConfirmation(b.Confirmation(now), now)
+				b.AddConfirmation(a.Confirmation(now), now)
 			}
 			is.Equal(b.Limit("t", 8, now), c.want)
-			now = now.Add(DefaultSettle)
-			a.Confirmed(b.Confirms(now), now)
-			b.Confirmed(a.Confirms(now), now)
+			now = now.Add(DefaultRemovalGrace)
+			a.AddConfirmation(b.Confirmation(now), now)
+			b.AddConfirmation(a.Confirmation(now), now)
 			is.Equal(a.Limit("t", 8, now), 4)
 			is.Equal(b.Limit("t", 8, now), 4)
 		})
@@ -408,52 +408,52 @@
 	cases := []struct {
 		name string
 		// pause changes the world while gate a, which holds all 8 slots, is paused with an unsent request.
-		pause             func(h *Holder, valid *bool, since *int64)
+		pause             func(h *Allocator, valid *bool, since *int64)
 		holds, knows      bool
 		limit, lentByPeer int
 	}{
-		{"nothing happened", func(*Holder, *bool, *int64) {}, true, true, 8, 0},
-		{"lease lapsed", func(_ *Holder, valid *bool, _ *int64) { *valid = false }, false, true, 0, 0},
-		{"listed again unseen", func(_ *Holder, _ *bool, since *int64) { *since = 9 }, false, false, 0, 0},
-		{"listed again, table seen", func(h *Holder, _ *bool, since *int64) {
+		{"nothing happened", func(*Allocator, *bool, *int64) {}, true, true, 8, 0},
+		{"lease lapsed", func(_ *Allocator, valid *bool, _ *int64) { *valid = false }, false, true, 0, 0},
+		{"listed again unseen", func(_ *Allocator, _ *bool, since *int64) { *since = 9 }, false, false, 0, 0},
+		{"listed again, table seen", func(h *Allocator, _ *bool, since *int64) {
 			*since = 9
 			h.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, false, false, 0, 0},
-		{"removal seen", func(h *Holder, _ *bool, _ *int64) {
+		{"removal seen", func(h *Allocator, _ *bool, _ *int64) {
 			h.SetTable(Table{8, []string{"b"}}, now)
 			h.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, true, false, 0, 0},
-		{"answer to an ask is late", func(h *Holder, _ *bool, _ *int64) {
-			h.Borrowed("b", &Loans{[]Loan{{ID: 1, Target: "t", Slots: 2, Life: time.Second}}}, now.Add(-time.Second), now)
+		{"answer to an ask is late", func(h *Allocator, _ *bool, _ *int64) {
+			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second), now)
 		}, true, true, 8, 0},
-		{"answer to a renewal is late", func(h *Holder, _ *bool, _ *int64) {
-			loans := &Loans{[]Loan{{ID: 1, Target: "t", Slots: 2, Life: time.Second}}}
-			h.Borrowed("b", loans, now.Add(-time.Second/2), now)
-			h.Borrowed("b", loans, now.Add(-time.Second*9/10), now)
+		{"answer to a renewal is late", func(h *Allocator, _ *bool, _ *int64) {
+			loans := &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}
+			h.AddBorrowed("b", loans, now.Add(-time.Second/2), now)
+			h.AddBorrowed("b", loans, now.Add(-time.Second*9/10), now)
 		}, true, true, 10, 2},
-		{"answer to an ask is in time", func(h *Holder, _ *bool, _ *int64) {
-			h.Borrowed("b", &Loans{[]Loan{{ID: 1, Target: "t", Slots: 2, Life: time.Second}}}, now.Add(-time.Second/2), now)
+		{"answer to an ask is in time", func(h *Allocator, _ *bool, _ *int64) {
+			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second/2), now)
 		}, true, true, 10, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			valid, since := true, int64(7)
-			h := New("a", Settle(0), Valid(func() bool { return valid }), Since(func() int64 { return since }))
+			h := New("a", RemovalGrace(0), Valid(func() bool { return valid }), MemberSince(func() int64 { return since }))
 			h.SetTable(Table{7, []string{"a"}}, now)
-			slot, ok := h.Take("t", 8, now.Add(time.Second), now)
+			slot, ok := h.Acquire("t", 8, now.Add(time.Second), now)
 			is.True(ok)
 			c.pause(h, &valid, &since)
-			is.Equal(h.Holds(slot, now.Add(time.Second)), c.holds)
+			is.Equal(h.CanSend(slot, now.Add(time.Second)), c.holds)
 			is.Equal(h.Limit("t", 8, now), c.limit)
-			is.Equal(h.Confirms(now).Knows, c.knows)
+			is.Equal(h.Confirmation(now).KnowsHistory, c.knows)
 			for range 8 {
-				h.Take("t", 8, now.Add(time.Second/4), now)
+				h.Acquire("t", 8, now.Add(time.Second/4), now)
 			}
-			if loan, ok := h.Take("t", 8, now.Add(time.Second/4), now); c.lentByPeer > 0 {
-				is.True(ok && loan.Lent())
-				is.True(h.Holds(loan, now.Add(time.Second/2)))
-				is.True(!h.Holds(loan, now.Add(time.Second)))
+			if loan, ok := h.Acquire("t", 8, now.Add(time.Second/4), now); c.lentByPeer > 0 {
+				is.True(ok && loan.Borrowed())
+				is.True(h.CanSend(loan, now.Add(time.Second/2)))
+				is.True(!h.CanSend(loan, now.Add(time.Second)))
 			} else {
 				is.True(!ok)
 			}
@@ -465,10 +465,10 @@
 func TestLendNeedsMembership(t *testing.T) {
 	is := is.New(t)
 	now, valid := time.Unix(1000, 0), true
-	h := New("a", Settle(0), Valid(func() bool { return valid }))
+	h := New("a", RemovalGrace(0), Valid(func() bool { return valid }))
 	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.Confirmed(Confirmation{Gate: "b", Version: 7}, now)
-	ask := &Ask{Gate: "b", Want: 9, Targets: []Target{{"t", 8}}}
+	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
+	ask := &LoanRequest{Gate: "b", Want: 9, Targets: []Target{{"t", 8}}}
 	valid = false
 	is.Equal(len(h.Lend(ask, now).Loans), 0)
 	valid = true
@@ -481,22 +481,22 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	h := New("a", Settle(0), Life(10*time.Second, time.Second))
+	h := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
 	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.Confirmed(Confirmation{Gate: "b", Version: 7}, now)
+	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
 	targets := []Target{{"t", 16}}
-	first := h.Lend(&Ask{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
-	second := h.Lend(&Ask{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
-	h.Lend(&Ask{Gate: "b", Renew: []uint64{first.ID}}, at(6*time.Second))
+	first := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
+	second := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
+	h.Lend(&LoanRequest{Gate: "b", Renew: []uint64{first.ID}}, at(6*time.Second))
 	is.Equal(h.Limit("t", 16, at(10*time.Second)), 6)
 	is.Equal(h.Limit("t", 16, at(12*time.Second)), 7)
 	is.Equal(h.Limit("t", 16, at(18*time.Second)), 8)
-	third := h.Lend(&Ask{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
-	fourth := h.Lend(&Ask{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
+	third := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
+	fourth := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
 	for range 6 {
-		h.Take("t", 16, at(20*time.Second), at(19*time.Second))
+		h.Acquire("t", 16, at(20*time.Second), at(19*time.Second))
 	}
-	short := h.Lend(&Ask{Gate: "b", Targets: targets, Renew: []uint64{third.ID, fourth.ID}}, at(20*time.Second))
+	short := h.Lend(&LoanRequest{Gate: "b", Targets: targets, Renew: []uint64{third.ID, fourth.ID}}, at(20*time.Second))
 	is.Equal(len(short.Loans), 1)
 	is.True(second.ID != first.ID)
 }
@@ -506,18 +506,18 @@
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	h := New("a", Settle(0), Life(10*time.Second, time.Second))
+	h := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
 	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.Confirmed(Confirmation{Gate: "b", Version: 7}, now)
-	slot, _ := h.Take("t", 16, now.Add(time.Second), now)
+	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
+	slot, _ := h.Acquire("t", 16, now.Add(time.Second), now)
 	is.True(!h.Leave(now))
 	h.Release(slot, now)
-	is.Equal(len(h.Lend(&Ask{Gate: "b", Want: 1, Targets: []Target{{"t", 16}}}, now).Loans), 1)
+	is.Equal(len(h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: []Target{{"t", 16}}}, now).Loans), 1)
 	is.True(!h.Leave(now))
 	later := now.Add(11 * time.Second)
-	is.True(!h.Confirms(later).Left)
+	is.True(!h.Confirmation(later).Left)
 	is.True(h.Leave(later))
-	is.True(h.Confirms(later).Left)
-	_, ok := h.Take("t", 16, later.Add(time.Second), later)
+	is.True(h.Confirmation(later).Left)
+	_, ok := h.Acquire("t", 16, later.Add(time.Second), later)
 	is.True(!ok)
 }
--- a/share/slot.go
+++ b/share/slot.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Free gives how many more slots of a target this gate may occupy until the given time.
-func (h *Holder) Free(target string, slots int, until, now time.Time) int {
+// FreeSlots gives how many more slots of a target this gate may occupy until the given time.
+func (h *Allocator) FreeSlots(target string, slots int, until, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.opts.Valid() {
@@ -23,15 +23,15 @@
 	return n
 }
 
-// Take occupies a slot of a target for a request that has surely ended at the given time.
-func (h *Holder) Take(target string, slots int, until, now time.Time) (*Slot, bool) {
+// Acquire occupies a slot of a target for a request that has surely ended at the given time.
+func (h *Allocator) Acquire(target string, slots int, until, now time.Time) (*Slot, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.opts.Valid() {
 		return nil, false
 	}
 	h.move(now)
-	since := h.opts.Since()
+	since := h.opts.MemberSince()
 	u := h.use(target, now)
 	u.slots = slots
 	if u.own+u.lentOut() < h.limit(target, slots) {
@@ -46,14 +46,14 @@
 	return nil, false
 }
 
-// Holds reports whether a slot may still be used for a request that ends at the given time; it is
+// CanSend reports whether a slot may still be used for a request that ends at the given time; it is
 // asked directly before each send, because the process may have been paused since Take.
-func (h *Holder) Holds(s *Slot, until time.Time) bool {
-	return h.opts.Valid() && h.opts.Since() == s.since && (s.loan == nil || !until.After(s.loan.expires))
+func (h *Allocator) CanSend(s *Slot, until time.Time) bool {
+	return h.opts.Valid() && h.opts.MemberSince() == s.since && (s.loan == nil || !until.After(s.loan.expires))
 }
 
 // Release gives a slot back.
-func (h *Holder) Release(s *Slot, now time.Time) {
+func (h *Allocator) Release(s *Slot, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.loan != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Keep forgets the targets that are gone and of which nothing is taken.
-func (h *Holder) Keep(targets map[string]bool) {
+// RetainTargets forgets the targets that are gone and of which nothing is taken.
+func (h *Allocator) RetainTargets(targets map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id, u := range h.uses {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Others lists the other gates of the newest table.
-func (h *Holder) Others() []string {
+// Peers lists the other gates of the newest table.
+func (h *Allocator) Peers() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.newest()
--- a/share/table.go
+++ b/share/table.go
@@ -14,9 +14,9 @@
 	Gates []string `json:"gates" msgpack:"g"`
 }
 
-// Of gives how many of a target's slots the table allots to a gate. Each gate gets the whole part;
+// ShareOf gives how many of a target's slots the table allots to a gate. Each gate gets the whole part;
 // the rest goes round from a start that the target's id decides, so that no gate gets all the rests.
-func (t *Table) Of(gate, target string, slots int) int {
+func (t *Table) ShareOf(gate, target string, slots int) int {
 	n := len(t.Gates)
 	i := slices.Index(t.Gates, gate)
 	if i < 0 || slots <= 0 {
@@ -41,9 +41,9 @@
 	Gate string `json:"gate" msgpack:"g"`
 	// Version is the newest table of whose share the gate uses no more than its own.
 	Version int64 `json:"version" msgpack:"v"`
-	// Knows says that the gate knows the earlier tables, and that nothing is left at the targets of
+	// KnowsHistory says that the gate knows the earlier tables, and that nothing is left at the targets of
 	// gates that were removed.
-	Knows bool `json:"knows" msgpack:"k"`
+	KnowsHistory bool `json:"knows" msgpack:"k"`
 	// Left says that the gate uses nothing any more and never will, so that nobody need wait for its
 	// last requests.
 	Left bool `json:"left,omitempty" msgpack:"l,omitempty"`
--- a/status/status.go
+++ b/status/status.go
@@ -55,7 +55,7 @@
 	Racks       []Rack
 	Processes   []Process
 	Ejections   []fleet.Ejection
-	Ends        []scheduler.End
+	Ends        []scheduler.EndedJob
 	Refusals    []Refusal
 }
 
@@ -139,7 +139,7 @@
 	}
 	slices.SortStableFunc(p.Refusals, func(a, b Refusal) int { return b.At.Compare(a.At) })
 	p.Refusals = p.Refusals[:min(len(p.Refusals), endsMost)]
-	slices.SortStableFunc(p.Ends, func(a, b scheduler.End) int { return b.Ended.Compare(a.Ended) })
+	slices.SortStableFunc(p.Ends, func(a, b scheduler.EndedJob) int { return b.Ended.Compare(a.Ended) })
 	p.Ends = p.Ends[:min(len(p.Ends), endsMost)]
 }
 
@@ -208,7 +208,7 @@
 	}
 	if present != nil {
 		out.Lease = "there"
-		if !present[member.PresentKey(m.Zone, m.Role, m.ID)] {
+		if !present[member.PresenceKey(m.Zone, m.Role, m.ID)] {
 			out.Lease = "absent"
 			p.alarm("%s %s in zone %s: its lease is absent.", m.Role, m.ID, m.Zone)
 		}
