--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -91,7 +91,7 @@
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
 		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, Permits: ask,
-		Decide: p.rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
+		Decide: p.rules.Decide, StoreHeard: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
 	})
 	p.config.Start()
 	p.group.Start()
--- a/front/accept.go
+++ b/front/accept.go
@@ -203,7 +203,7 @@
 	if res.Succeeded {
 		return nil, nil
 	}
-	return dispatch.Existing(res.Found), nil
+	return dispatch.Existing(res.Existing), nil
 }
 
 // settle answers the submissions whose work exists: a repeat of an ID, or an earlier try that went
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -265,7 +265,7 @@
 
 // follow keeps nodes and owner as the store tells them.
 func (g *Group) follow() {
-	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.apply, Logger: g.log}
+	f := follow.Follower{Store: g.store, Prefix: root, OnReset: g.reset, OnChange: g.apply, Logger: g.log}
 	f.Run(g.ctx)
 }
 
