--- a/record/codec.go
+++ b/record/codec.go
@@ -11,80 +11,80 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrCorrupt means that a stored value is not what a journal wrote.
+// ErrCorrupt means that a stored value fails its checksum or cannot be decoded.
 var ErrCorrupt = errors.New("journal value damaged")
 
-// Record is one change of the owner's state, or one item of a snapshot of it.
+// Record is one change of the owner's state, or one item of a snapshot of that state.
 type Record struct {
-	// Kind tells the owner how to read Data.
+	// Kind selects how the owner decodes Data.
 	Kind string `msgpack:"k"`
-	// Key names what the record is about.
+	// Key identifies the object that the record describes.
 	Key string `msgpack:"n"`
-	// Data is the owner's own.
+	// Data is opaque to the journal.
 	Data []byte `msgpack:"d"`
 }
 
-// A stored value is a magic number, the checksum of the rest, and msgpack.
+// A stored value consists of a magic number, the checksum of the body, and the body in msgpack.
 const (
-	magic     = "tgj1"
-	sealBytes = len(magic) + 8
-	// blockBytes is room for a seal and a blockHeader.
-	blockBytes = 128
-	// recordBytes is room for what msgpack adds to the three parts of a record.
-	recordBytes = 32
+	magic               = "tgj1"
+	checksumHeaderBytes = len(magic) + 8
+	// blockOverheadBytes is the upper bound of the size of the checksum header and the blockHeader.
+	blockOverheadBytes = 128
+	// recordOverheadBytes is the upper bound of the bytes that msgpack adds to the fields of a Record.
+	recordOverheadBytes = 32
 )
 
-// head says where recovery starts.
+// head is the stored pointer to the newest snapshot and to the first segment after it; recovery starts there.
 type head struct {
 	Writer string `msgpack:"w"`
-	// Generation names the snapshot's folder; empty means that there is no snapshot.
+	// Generation is the key prefix of the snapshot's parts; it is empty if there is no snapshot.
 	Generation string `msgpack:"g"`
-	// Number counts the snapshots.
+	// Number is the sequence number of the snapshot.
 	Number uint64 `msgpack:"n"`
 	Parts  uint64 `msgpack:"p"`
-	// First is the first segment that the snapshot does not cover.
+	// First is the number of the first segment that the snapshot does not cover.
 	First uint64 `msgpack:"f"`
 }
 
-// blockHeader stands before the records of a segment or of a snapshot's part.
+// blockHeader precedes the records in a segment or a snapshot part.
 type blockHeader struct {
 	Writer string `msgpack:"w"`
 	Number uint64 `msgpack:"n"`
 	Count  int    `msgpack:"c"`
 }
 
-// block is a decoded value whose records are still encoded.
+// block is a segment or snapshot part with a decoded header and records that are still encoded.
 type block struct {
 	blockHeader
 	records []byte
 }
 
-func seal(body []byte) []byte {
-	out := make([]byte, 0, sealBytes+len(body))
+func addChecksum(body []byte) []byte {
+	out := make([]byte, 0, checksumHeaderBytes+len(body))
 	out = append(out, magic...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...)
 }
 
-func unseal(raw []byte) ([]byte, error) {
-	if len(raw) < sealBytes || string(raw[:len(magic)]) != magic {
-		return nil, fmt.Errorf("no seal: %w", ErrCorrupt)
+func verifyChecksum(raw []byte) ([]byte, error) {
+	if len(raw) < checksumHeaderBytes || string(raw[:len(magic)]) != magic {
+		return nil, fmt.Errorf("missing checksum header: %w", ErrCorrupt)
 	}
-	body := raw[sealBytes:]
+	body := raw[checksumHeaderBytes:]
 	if binary.BigEndian.Uint64(raw[len(magic):]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("wrong checksum: %w", ErrCorrupt)
+		return nil, fmt.Errorf("checksum mismatch: %w", ErrCorrupt)
 	}
 	return body, nil
 }
 
 func encodeHead(h head) ([]byte, error) {
 	body, err := msgpack.Marshal(&h)
-	return seal(body), err
+	return addChecksum(body), err
 }
 
 func decodeHead(raw []byte) (head, error) {
 	var h head
-	body, err := unseal(raw)
+	body, err := verifyChecksum(raw)
 	if err != nil {
 		return h, err
 	}
@@ -92,7 +92,7 @@
 		return h, errors.Join(ErrCorrupt, err)
 	}
 	if h.First == 0 || (h.Generation == "") != (h.Parts == 0) {
-		return h, fmt.Errorf("head: %w", ErrCorrupt)
+		return h, fmt.Errorf("head has inconsistent fields: %w", ErrCorrupt)
 	}
 	return h, nil
 }
@@ -113,12 +113,12 @@
 	for _, r := range records {
 		body = append(body, r...)
 	}
-	return seal(body), err
+	return addChecksum(body), err
 }
 
 func decodeBlock(raw []byte) (block, error) {
 	var b block
-	body, err := unseal(raw)
+	body, err := verifyChecksum(raw)
 	if err != nil {
 		return b, err
 	}
@@ -127,14 +127,14 @@
 		return b, errors.Join(ErrCorrupt, err)
 	}
 	if b.Count < 0 {
-		return b, fmt.Errorf("negative count: %w", ErrCorrupt)
+		return b, fmt.Errorf("negative record count: %w", ErrCorrupt)
 	}
 	b.records = body[len(body)-r.Len():]
 	return b, nil
 }
 
-// each decodes the records one after the other.
-func (b block) each(do func(Record) error) error {
+// forEach decodes the records in order and calls do for each of them.
+func (b block) forEach(do func(Record) error) error {
 	r := bytes.NewReader(b.records)
 	dec := msgpack.NewDecoder(r)
 	for range b.Count {
@@ -147,7 +147,7 @@
 		}
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("more records than counted: %w", ErrCorrupt)
+		return fmt.Errorf("data after the last record: %w", ErrCorrupt)
 	}
 	return nil
 }
--- a/record/codec_test.go
+++ b/record/codec_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func sealedSeeds(f *testing.F) {
+func addSeeds(f *testing.F) {
 	h, err := encodeHead(head{Writer: "w", Generation: "g", Number: 1, Parts: 2, First: 3})
 	if err != nil {
 		f.Fatal(err)
@@ -23,46 +23,46 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	lie, err := encodeBlock(blockHeader{Writer: "w", Count: math.MaxInt}, raw)
+	wrongCount, err := encodeBlock(blockHeader{Writer: "w", Count: math.MaxInt}, raw)
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, v := range [][]byte{h, b, lie, nil, []byte(magic)} {
+	for _, v := range [][]byte{h, b, wrongCount, nil, []byte(magic)} {
 		f.Add(v)
-		if len(v) > sealBytes {
-			f.Add(v[sealBytes:]) // a body, which the target seals itself
+		if len(v) > checksumHeaderBytes {
+			f.Add(v[checksumHeaderBytes:]) // a body without the checksum header, which the fuzz target adds
 		}
 	}
 }
 
-// A stored value may be anything. It is refused as damaged or read, and nothing else happens.
+// Guards against a panic or an unexpected error when a stored value holds arbitrary bytes.
 func FuzzDecodeBlock(f *testing.F) {
-	sealedSeeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, value := range [][]byte{raw, seal(raw)} {
+		for _, value := range [][]byte{raw, addChecksum(raw)} {
 			b, err := decodeBlock(value)
 			if err == nil {
 				records := 0
-				err = b.each(func(Record) error { records++; return nil })
+				err = b.forEach(func(Record) error { records++; return nil })
 				if err == nil && records != b.Count {
-					t.Fatalf("%d records of %d", records, b.Count)
+					t.Fatalf("decoded %d of %d records", records, b.Count)
 				}
 			}
 			if err != nil && !errors.Is(err, ErrCorrupt) {
-				t.Fatalf("not told as damaged: %v", err)
+				t.Fatalf("error is not ErrCorrupt: %v", err)
 			}
 		}
 	})
 }
 
 func FuzzDecodeHead(f *testing.F) {
-	sealedSeeds(f)
+	addSeeds(f)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		for _, value := range [][]byte{raw, seal(raw)} {
+		for _, value := range [][]byte{raw, addChecksum(raw)} {
 			h, err := decodeHead(value)
 			if err != nil {
 				if !errors.Is(err, ErrCorrupt) {
-					t.Fatalf("not told as damaged: %v", err)
+					t.Fatalf("error is not ErrCorrupt: %v", err)
 				}
 				continue
 			}
@@ -71,14 +71,14 @@
 				t.Fatal(err)
 			}
 			if back, err := decodeHead(again); err != nil || back != h {
-				t.Fatalf("%+v comes back as %+v, %v", h, back, err)
+				t.Fatalf("%+v was decoded as %+v, error %v", h, back, err)
 			}
 		}
 	})
 }
 
-// One wrong byte anywhere is noticed.
-func TestDamage(t *testing.T) {
+// Guards against decoding a value with one wrong byte or a truncated value.
+func TestCorruptionDetected(t *testing.T) {
 	is := is.New(t)
 	raw, err := encodeRecords([]Record{record(1), record(2)})
 	is.NoErr(err)
@@ -94,8 +94,7 @@
 	}
 }
 
-// The room that is reckoned for a record covers what msgpack makes of it; else a group could exceed
-// its bound.
+// Guards against a record whose encoding is larger than recordSize, which would let a group exceed its limit.
 func TestRecordSize(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{0, 31, 32, 255, 256, 65535, 65536, 1 << 20} {
--- a/record/commit.go
+++ b/record/commit.go
@@ -11,28 +11,29 @@
 	"turmericgap/store/retry"
 )
 
-// run commits one group after the other, with one step of a snapshot between them.
+// run commits groups until the journal ends. It writes at most one part of a snapshot between two groups.
 func (j *Journal) run() {
-	for j.result == nil && j.waitWork() {
-		j.result = j.step()
+	for j.runErr == nil && j.waitForWork() {
+		j.runErr = j.step()
 	}
-	rest := j.result
-	if rest == nil {
-		rest = ErrClosed
+	closeErr := j.runErr
+	if closeErr == nil {
+		closeErr = ErrClosed
 	}
-	j.queue.end(rest)
-	for left := j.queue.take(j.queueBytes); len(left) > 0; left = j.queue.take(j.queueBytes) {
-		j.queue.release(left)
-		for _, e := range left {
-			e.done(rest)
+	j.queue.close(closeErr)
+	for group := j.queue.nextGroup(j.queueBytes); len(group) > 0; group = j.queue.nextGroup(j.queueBytes) {
+		j.queue.release(group)
+		for _, e := range group {
+			e.done(closeErr)
 		}
 	}
 }
 
-// waitWork waits for entries or a step of a snapshot that is due; false ends the journal.
-func (j *Journal) waitWork() bool {
+// waitForWork blocks until entries are queued or a snapshot write is due. It returns false when the journal is
+// closed and its queue is empty.
+func (j *Journal) waitForWork() bool {
 	for {
-		if !j.queue.empty() {
+		if !j.queue.isEmpty() {
 			return true
 		}
 		select {
@@ -56,12 +57,13 @@
 	}
 }
 
-// step takes its write allowance before its group, so that a group holds all that came meanwhile.
+// step commits the next group and performs the next snapshot write, if due. It waits for the rate limiter before it
+// takes the group, so that the group includes the entries queued meanwhile.
 func (j *Journal) step() error {
-	if j.queue.writes() && j.limiter.Wait(j.ctx) != nil {
+	if j.queue.needsWrite() && j.limiter.Wait(j.ctx) != nil {
 		return ErrClosed
 	}
-	if group := j.queue.take(j.groupBytes - blockBytes); len(group) > 0 {
+	if group := j.queue.nextGroup(j.groupBytes - blockOverheadBytes); len(group) > 0 {
 		if err := j.commitGroup(group); err != nil {
 			return err
 		}
@@ -73,14 +75,14 @@
 }
 
 func (j *Journal) commitGroup(group []entry) error {
-	if len(group) == 1 && group[0].cut != nil {
-		j.startSnapshot(group[0].cut)
+	if len(group) == 1 && group[0].snapshot != nil {
+		j.startSnapshot(group[0].snapshot)
 		return nil
 	}
 	count, raw := 0, make([][]byte, 0, len(group))
 	for _, e := range group {
 		count += e.count
-		raw = append(raw, e.raw)
+		raw = append(raw, e.encoded)
 	}
 	var err error
 	if count > 0 {
@@ -93,16 +95,16 @@
 	if !errors.Is(err, ErrUnknown) {
 		return err
 	}
-	// What was queued behind the group was never sent.
+	// The entries queued after this group were never sent, so their outcome is known.
 	if j.ctx.Err() != nil {
 		return ErrClosed
 	}
 	return ErrFenced
 }
 
-// commit writes one segment and returns nil only when it is durable.
+// commit writes one segment and returns nil only if the segment is durable.
 func (j *Journal) commit(count int, raw [][]byte) error {
-	value, err := encodeBlock(blockHeader{Writer: j.writer, Number: j.next, Count: count}, raw...)
+	value, err := encodeBlock(blockHeader{Writer: j.writer, Number: j.nextSegment, Count: count}, raw...)
 	if err != nil {
 		return err
 	}
@@ -110,15 +112,15 @@
 	j.setInFlight(started)
 	err = j.write(value)
 	j.setInFlight(time.Time{})
-	j.count(func(s *Stats) { s.Unresolved = false })
+	j.updateStats(func(s *Stats) { s.Unresolved = false })
 	if err != nil {
-		j.log.Warn("journal: commit failed", zap.Uint64("segment", j.next), zap.Error(err))
+		j.log.Warn("journal: commit failed", zap.Uint64("segment", j.nextSegment), zap.Error(err))
 		return err
 	}
-	j.next++
+	j.nextSegment++
 	j.addSegment(len(value))
 	took := time.Since(started)
-	j.count(func(s *Stats) {
+	j.updateStats(func(s *Stats) {
 		s.Commits++
 		s.Records += int64(count)
 		s.LastCommit = took
@@ -133,44 +135,44 @@
 	j.mu.Lock()
 	j.inFlight = t
 	j.mu.Unlock()
-	j.measurePending()
+	j.updatePendingMetrics()
 }
 
-func (j *Journal) measurePending() {
+func (j *Journal) updatePendingMetrics() {
 	s := j.Stats()
 	j.metrics.Gauge(metricPendingMillis).Update(s.Pending.Milliseconds())
 	j.metrics.Gauge(metricQueued).Update(int64(s.Queued))
 }
 
-// addSegment counts a segment that recovery would have to read.
+// addSegment adds a segment to the totals that decide when the next snapshot is due.
 func (j *Journal) addSegment(size int) {
-	j.sizes = append(j.sizes, size)
+	j.segmentSizes = append(j.segmentSizes, size)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stats.Segments++
 	j.stats.SegmentBytes += size
-	j.measureSegments()
+	j.updateSegmentMetrics()
 }
 
-func (j *Journal) measureSegments() {
-	j.due = j.stats.Segments >= j.maxSegments || j.stats.SegmentBytes >= j.maxSegmentBytes
+func (j *Journal) updateSegmentMetrics() {
+	j.snapshotDue = j.stats.Segments >= j.maxSegments || j.stats.SegmentBytes >= j.maxSegmentBytes
 	j.metrics.Gauge(metricSegments).Update(int64(j.stats.Segments))
 }
 
-// verdict is what is known about a segment that was sent.
-type verdict int
+// segmentOutcome is the known state of a segment that was sent.
+type segmentOutcome int
 
 const (
-	written  verdict = iota
-	absent           // and it may be sent again
-	replaced         // by a newer owner; it was not written and never will be
-	lost             // a newer owner has removed what would tell
+	outcomeWritten segmentOutcome = iota
+	outcomeMissing                // not written; it may be sent again
+	outcomeFenced                 // not written and never will be, because a newer owner has taken over
+	outcomeUnknown                // cannot be determined, because a newer owner's snapshot covers the segment number
 )
 
-// write sends the segment until its outcome is known. The comparison with the segment's key keeps a
-// copy that the network delivers late from being written twice.
+// write sends the segment until its outcome is known. The compare on the segment's key prevents a delayed duplicate
+// request from writing the segment a second time.
 func (j *Journal) write(value []byte) error {
-	key := j.keys.segment(j.next)
+	key := j.keys.segment(j.nextSegment)
 	txn := store.Txn{
 		Compares: []store.Compare{
 			{Key: j.epochKey, Target: store.ModRevision, Revision: j.epochRevision},
@@ -178,26 +180,27 @@
 		},
 		Then: []store.Op{{Key: key, Value: value}},
 	}
-	open := false // an earlier try may have taken effect
+	unresolved := false // an earlier attempt may have taken effect
 	b := retry.New()
 	for {
 		res, err := j.txn(txn)
 		switch {
 		case err == nil && res.Succeeded:
 			return nil
-		case err == nil && !open:
+		case err == nil && !unresolved:
 			return ErrFenced
 		case err == nil || !store.NotApplied(err):
-			open = true
-			j.noteLost()
-			if known, err := j.settle(key); known {
+			unresolved = true
+			j.countLostAnswer()
+			if known, err := j.resolve(key); known {
 				return err
 			}
 		}
-		j.measurePending()
-		j.log.Warn("journal: commit is tried again", zap.Uint64("segment", j.next), zap.Bool("unresolved", open), zap.Error(err))
+		j.updatePendingMetrics()
+		j.log.Warn("journal: commit is tried again",
+			zap.Uint64("segment", j.nextSegment), zap.Bool("unresolved", unresolved), zap.Error(err))
 		if b.Wait(j.ctx) != nil {
-			if open {
+			if unresolved {
 				return ErrUnknown
 			}
 			return ErrClosed
@@ -205,67 +208,67 @@
 	}
 }
 
-func (j *Journal) noteLost() {
-	j.count(func(s *Stats) { s.Lost++; s.Unresolved = true })
+func (j *Journal) countLostAnswer() {
+	j.updateStats(func(s *Stats) { s.Lost++; s.Unresolved = true })
 	j.metrics.Counter(metricLost).Inc(1)
 }
 
 func (j *Journal) txn(t store.Txn) (store.TxnResult, error) {
-	j.count(func(s *Stats) { s.Calls++ })
+	j.updateStats(func(s *Stats) { s.Calls++ })
 	ctx, cancel := context.WithTimeout(j.ctx, j.callTimeout)
 	defer cancel()
 	return j.store.Txn(ctx, t)
 }
 
-// settle reads what became of a segment; known is false when it is to be sent again.
-func (j *Journal) settle(key string) (known bool, err error) {
-	v, err := j.judge(key)
+// resolve determines the outcome of a segment whose response was lost; known is false if it must be sent again.
+func (j *Journal) resolve(key string) (known bool, err error) {
+	outcome, err := j.readOutcome(key)
 	if err != nil {
-		return true, ErrUnknown // only when the journal is closed
+		return true, ErrUnknown // reads fail only after the journal is closed
 	}
-	switch v {
-	case written:
+	switch outcome {
+	case outcomeWritten:
 		return true, nil
-	case replaced:
+	case outcomeFenced:
 		return true, ErrFenced
-	case lost:
+	case outcomeUnknown:
 		return true, ErrUnknown
 	default:
 		return false, nil
 	}
 }
 
-// judge reads the epoch first: once it has moved, nothing of ours can be written any more, and what
-// the later reads find stays true. A newer owner may have read our segment, put it into a snapshot
-// and removed it; a missing segment proves nothing once the head has passed its number.
-func (j *Journal) judge(key string) (verdict, error) {
+// readOutcome reads the epoch before the segment: once the epoch has changed, this owner's requests can no longer
+// take effect, so the results of the later reads remain valid. A newer owner may have included the segment in a
+// snapshot and deleted it, so a missing segment proves nothing if head.First is greater than its number.
+func (j *Journal) readOutcome(key string) (segmentOutcome, error) {
 	epoch, err := j.readKey(j.ctx, j.epochKey)
 	if err != nil {
-		return lost, err
+		return outcomeUnknown, err
 	}
 	p, err := j.readKey(j.ctx, key)
 	if err != nil {
-		return lost, err
+		return outcomeUnknown, err
 	}
 	if p.ModRevision != 0 {
 		b, err := decodeBlock(p.Value)
 		if err == nil && b.Writer == j.writer {
-			return written, nil
+			return outcomeWritten, nil
 		}
-		return replaced, nil
+		return outcomeFenced, nil
 	}
 	if epoch.ModRevision == j.epochRevision {
-		return absent, nil
+		return outcomeMissing, nil
 	}
 	p, err = j.readKey(j.ctx, j.keys.head())
 	if err != nil {
-		return lost, err
+		return outcomeUnknown, err
 	}
 	if p.ModRevision == 0 {
-		return replaced, nil
+		return outcomeFenced, nil
 	}
-	if h, err := decodeHead(p.Value); err != nil || h.First > j.next {
-		return lost, nil
+	if h, err := decodeHead(p.Value); err != nil || h.First > j.nextSegment {
+		return outcomeUnknown, nil
 	}
-	return replaced, nil
+	return outcomeFenced, nil
 }
--- a/record/doc.go
+++ b/record/doc.go
@@ -1,9 +1,9 @@
-// Package record keeps one owner's records in the platform's key-value service.
+// Package record implements a write-ahead journal in the platform's key-value store. Each zone's owner has one.
 //
-// Records become durable in groups: one transaction writes all that became due since the last, and
-// compares the owner's epoch, so that an owner that was replaced writes nothing more. Snapshots of
-// what is live replace old groups, so that storage and recovery follow what is live.
+// Records are committed in groups: one transaction writes all records queued since the previous commit. It compares
+// the owner's epoch, which fences off an owner that has been replaced. Snapshots of the live state replace old
+// segments, so storage and recovery time depend on the live state and not on the length of the history.
 //
-// An answer that was lost leaves open whether its group was written. The journal then reads the
-// group's key and decides by what it finds; nobody is told anything before that.
+// If the response to a transaction is lost, the journal reads the segment's key to determine whether the group was
+// written. It reports no outcome to callers before that.
 package record
--- a/record/gateway_test.go
+++ b/record/gateway_test.go
@@ -15,8 +15,8 @@
 	"turmericgap/store/memory"
 )
 
-// The journal keeps its word over the wire as it does in memory.
-// Answers are cut after their writes took effect, at commits and at a snapshot, over real sockets.
+// Guards against wrong outcomes when the journal uses the HTTP gateway instead of the in-memory store.
+// Responses are cut after the writes took effect, at commits and at a snapshot.
 func TestOverGateway(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
--- a/record/inspect.go
+++ b/record/inspect.go
@@ -9,10 +9,10 @@
 	"turmericgap/store"
 )
 
-// inspectTries bounds how often an inspection starts again because an owner cut a snapshot meanwhile.
-const inspectTries = 3
+// maxInspectAttempts limits how often an inspection restarts because the owner wrote a snapshot while it ran.
+const maxInspectAttempts = 3
 
-// Report tells what the store holds of one journal, for an operator.
+// Report describes the stored state of one journal for an operator.
 type Report struct {
 	Zone string `json:"zone"`
 	// Writer is the identity of the owner that wrote the newest snapshot.
@@ -24,16 +24,16 @@
 	First        uint64 `json:"first"`
 	Segments     int    `json:"segments"`
 	SegmentBytes int    `json:"segmentBytes"`
-	// Records counts those that a recovery would replay.
+	// Records is the number of records that a recovery would replay.
 	Records int `json:"records"`
-	// Unused counts keys that no recovery reads; the next snapshot removes them.
+	// Unused is the number of keys that recovery does not read; the next snapshot deletes them.
 	Unused int `json:"unused"`
-	// Findings are the faults because of which a recovery would fail.
+	// Findings lists the faults that would make recovery fail.
 	Findings finding.List `json:"findings"`
 }
 
-// Inspect reads a zone's journal without owning it and changes nothing; it collects all findings,
-// where Open stops at the first.
+// Inspect reads a zone's journal without taking ownership and without changing it. Unlike Open, which stops at the
+// first fault, it collects all of them.
 func Inspect(ctx context.Context, s *store.Store, name string) (Report, error) {
 	in := inspection{store: s, keys: keys{root: Prefix + name + "/"}}
 	for try := 1; ; try++ {
@@ -49,9 +49,9 @@
 		if err != nil {
 			return in.report, err
 		}
-		if before == after || try == inspectTries {
+		if before == after || try == maxInspectAttempts {
 			if before != after {
-				in.report.Findings.Add("head", "changed while it was read; ask again")
+				in.report.Findings.Add("head", "changed during the inspection; try again")
 			}
 			return in.report, nil
 		}
@@ -59,12 +59,12 @@
 }
 
 type inspection struct {
-	store  *store.Store
-	keys   keys
-	head   head
-	next   uint64 // the segment that has to come next
-	part   uint64 // the part that has to come next
-	report Report
+	store       *store.Store
+	keys        keys
+	head        head
+	nextSegment uint64 // the expected number of the next segment
+	nextPart    uint64 // the expected number of the next part
+	report      Report
 }
 
 func (in *inspection) revision(ctx context.Context) (int64, error) {
@@ -88,45 +88,45 @@
 			in.report.Findings.Add("head", "%s", err.Error())
 		}
 	}
-	in.next, in.part = in.head.First, 0
+	in.nextSegment, in.nextPart = in.head.First, 0
 	in.report.Writer, in.report.Generation, in.report.First = in.head.Writer, in.head.Generation, in.head.First
 	return revision, nil
 }
 
 func (in *inspection) readAll(ctx context.Context) error {
-	for _, folder := range []string{in.keys.segments(), in.keys.snapshots()} {
-		r := store.Range{Key: folder, End: store.PrefixEnd(folder), Limit: pageLimit}
+	for _, prefix := range []string{in.keys.segments(), in.keys.snapshots()} {
+		r := store.Range{Key: prefix, End: store.PrefixEnd(prefix), Limit: pageLimit}
 		for more := true; more; {
 			res, err := in.store.Range(ctx, r)
 			if err != nil {
 				return err
 			}
 			for _, p := range res.Pairs {
-				in.look(p)
+				in.examine(p)
 				r.Key = p.Key + "\x00"
 			}
 			more = res.More && len(res.Pairs) > 0
 		}
 	}
-	if in.part != in.head.Parts {
-		in.report.Findings.Add("snap/"+in.head.Generation, "has %d parts of %d", in.part, in.head.Parts)
+	if in.nextPart != in.head.Parts {
+		in.report.Findings.Add("snap/"+in.head.Generation, "has %d parts of %d", in.nextPart, in.head.Parts)
 	}
 	return nil
 }
 
-// look takes one key, which is a segment, a part of the snapshot, or neither.
-func (in *inspection) look(p store.Pair) {
+// examine checks one key, which is a segment, a part of the current snapshot, or unused.
+func (in *inspection) examine(p store.Pair) {
 	place := strings.TrimPrefix(p.Key, in.keys.root)
 	if rest, ok := strings.CutPrefix(p.Key, in.keys.segments()); ok {
 		if n, err := parseNumber(rest); err == nil && n >= in.head.First {
-			in.expect(place, n, &in.next)
+			in.checkOrder(place, n, &in.nextSegment)
 			in.count(place, p, n, &in.report.Segments, &in.report.SegmentBytes)
 			return
 		}
 	}
 	if rest, ok := strings.CutPrefix(p.Key, in.keys.parts(in.head.Generation)); ok && in.head.Generation != "" {
 		if n, err := parseNumber(rest); err == nil && n < in.head.Parts {
-			in.expect(place, n, &in.part)
+			in.checkOrder(place, n, &in.nextPart)
 			in.count(place, p, n, &in.report.Parts, &in.report.SnapshotBytes)
 			return
 		}
@@ -134,7 +134,7 @@
 	in.report.Unused++
 }
 
-func (in *inspection) expect(place string, n uint64, next *uint64) {
+func (in *inspection) checkOrder(place string, n uint64, next *uint64) {
 	if n != *next {
 		in.report.Findings.Add(place, "comes where %d is missing", *next)
 	}
@@ -146,10 +146,10 @@
 	*size += len(p.Value)
 	b, err := decodeBlock(p.Value)
 	if err == nil {
-		err = b.each(func(Record) error { in.report.Records++; return nil })
+		err = b.forEach(func(Record) error { in.report.Records++; return nil })
 	}
 	if err == nil && b.Number != n {
-		err = fmt.Errorf("bears the number %d: %w", b.Number, ErrCorrupt)
+		err = fmt.Errorf("contains the number %d: %w", b.Number, ErrCorrupt)
 	}
 	if err != nil {
 		in.report.Findings.Add(place, "%s", err.Error())
--- a/record/keys.go
+++ b/record/keys.go
@@ -7,10 +7,10 @@
 	"turmericgap/store"
 )
 
-// Prefix is the part of the store that holds all journals.
+// Prefix is the key prefix of all journals in the store.
 const Prefix = "/turmericgap/journal/"
 
-// keys names the keys of one journal. Numbers have a fixed width, so that their order is the keys'.
+// keys builds the keys of one journal. Numbers are formatted with a fixed width, so that keys sort by number.
 type keys struct{ root string }
 
 func (k keys) head() string { return k.root + "head" }
@@ -29,5 +29,5 @@
 
 func parseNumber(s string) (uint64, error) { return strconv.ParseUint(s, 16, 64) }
 
-// remove deletes all keys from first up to, but without, end.
-func remove(first, end string) store.Op { return store.Op{Delete: true, Key: first, End: end} }
+// deleteRange returns an operation that deletes the keys in [first, end).
+func deleteRange(first, end string) store.Op { return store.Op{Delete: true, Key: first, End: end} }
--- a/record/load/doc.go
+++ b/record/load/doc.go
@@ -1,3 +1,3 @@
-// Package load puts journals under a steady load of starts and measures what the store bears: calls,
-// and the time from a record's hand-over until it is durable.
+// Package load runs journals under a steady load of job starts. It measures the store calls and the time from a
+// record's Append until the record is durable.
 package load
--- a/record/load/load.go
+++ b/record/load/load.go
@@ -14,7 +14,7 @@
 	"turmericgap/store"
 )
 
-// Defaults: 670 running tasks at 55 starts a second in each of six zones.
+// Default settings of a Plan. They give 670 running tasks and 55 starts per second in each of six zones.
 const (
 	DefaultZones       = 6
 	DefaultStarts      = 330.0
@@ -24,22 +24,22 @@
 	DefaultTaskBytes   = 120
 )
 
-// Plan is one load.
+// Plan describes the load of one run.
 type Plan struct {
-	// Name is the first part of the zones' names; their keys are removed at the end.
+	// Name is the prefix of the zones' names; the zones' keys are deleted at the end of the run.
 	Name  string
 	Zones int
-	// Starts is the starts a second of all zones together.
+	// Starts is the total rate of all zones, in starts per second.
 	Starts   float64
 	Duration time.Duration
-	// JobLifetime is how long a job is live; it tells how many records a snapshot has.
+	// JobLifetime is how long a job is live; it determines the number of records in a snapshot.
 	JobLifetime time.Duration
 	AcceptBytes int
 	TaskBytes   int
 	Journal     []record.Option
 }
 
-// DefaultPlan is a cell of the two-year size.
+// DefaultPlan returns a Plan with the load of a cell at the size expected in two years.
 func DefaultPlan() Plan {
 	return Plan{
 		Name: "load", Zones: DefaultZones, Starts: DefaultStarts, Duration: DefaultDuration, JobLifetime: DefaultJobLifetime,
@@ -47,25 +47,25 @@
 	}
 }
 
-// Result is what one load cost.
+// Result holds the measurements of one run.
 type Result struct {
 	Starts, Records, Refused, Failed int64
-	// Calls counts all calls of the store, Lost those without an answer.
+	// Calls counts all store calls; Lost counts commit attempts whose outcome was unknown.
 	Calls, Lost, Snapshots int64
 	Elapsed                time.Duration
 	Segments               int
-	// Bytes is what the journals held in the store at the end.
+	// Bytes is the size of the journals in the store at the end of the run.
 	Bytes int
 	waits []time.Duration
 }
 
-// CallsPerSecond is the load on the store.
+// CallsPerSecond returns the average rate of store calls.
 func (r Result) CallsPerSecond() float64 { return float64(r.Calls) / r.Elapsed.Seconds() }
 
-// CallsPerRecord is the price of one record.
+// CallsPerRecord returns the average number of store calls per record.
 func (r Result) CallsPerRecord() float64 { return float64(r.Calls) / float64(max(r.Records, 1)) }
 
-// WaitQuantile gives the quantile q of the time until a record was durable.
+// WaitQuantile returns quantile q of the time until a record was durable.
 func (r Result) WaitQuantile(q float64) time.Duration {
 	if len(r.waits) == 0 {
 		return 0
@@ -76,7 +76,7 @@
 // RowHeader names the columns of Row.
 const RowHeader = "starts/s zones | calls/s calls/record | wait ms p50 p99 max | KB at the end, segments | refused lost failed"
 
-// Row gives the result as one line below Head.
+// Row formats the result as one line below RowHeader.
 func (r Result) Row(p Plan) string {
 	return fmt.Sprintf("%8.0f %5d | %7.1f %12.3f | %11d %3d %3d | %13d, %8d | %7d %4d %6d",
 		p.Starts, p.Zones, r.CallsPerSecond(), r.CallsPerRecord(),
@@ -84,7 +84,7 @@
 		r.Bytes>>10, r.Segments, r.Refused, r.Lost, r.Failed)
 }
 
-// Run puts the load on the journals of p.Zones owners; open gives the store of each.
+// Run generates the load on the journals of p.Zones owners; open returns a store for each owner.
 func Run(ctx context.Context, p Plan, open func() *store.Store) (Result, error) {
 	var wg sync.WaitGroup
 	owners := make([]*owner, p.Zones)
@@ -118,13 +118,13 @@
 	r.waits = append(r.waits, o.waits...)
 }
 
-// owner is the owner of one zone.
+// owner simulates the owner of one zone.
 type owner struct {
 	plan    Plan
 	zone    string
 	store   *store.Store
 	journal *record.Journal
-	live    map[int]bool
+	live    map[int]bool // running jobs by number
 
 	mu     sync.Mutex
 	result Result
@@ -135,38 +135,38 @@
 	epoch := root + "epoch"
 	res, err := o.store.Txn(ctx, store.Txn{Then: []store.Op{{Key: epoch}}})
 	if err != nil {
-		return eris.Wrap(err, "take the load's epoch")
+		return eris.Wrap(err, "write the epoch of the load zone")
 	}
 	if o.journal, err = record.Open(ctx, o.store, o.zone, epoch, res.Revision, o.plan.Journal...); err != nil {
-		return eris.Wrap(err, "open the load's journal")
+		return eris.Wrap(err, "open the journal of the load zone")
 	}
-	o.starts(ctx)
+	o.generate(ctx)
 	err = o.journal.Close(ctx)
 	s := o.journal.Stats()
 	o.result.Records, o.result.Calls, o.result.Lost = s.Records, s.Calls, s.Lost
 	o.result.Refused, o.result.Snapshots = s.Refused, s.Snapshots
 	o.result.Segments, o.result.Bytes = s.Segments, s.SegmentBytes+s.SnapshotBytes
-	_, removed := o.store.Txn(ctx, store.Txn{Then: []store.Op{{Delete: true, Key: root, End: store.PrefixEnd(root)}}})
-	return errors.Join(err, removed)
+	_, deleteErr := o.store.Txn(ctx, store.Txn{Then: []store.Op{{Delete: true, Key: root, End: store.PrefixEnd(root)}}})
+	return errors.Join(err, deleteErr)
 }
 
-// starts makes jobs start and end at a steady rate; each ends after its life.
-func (o *owner) starts(ctx context.Context) {
-	each := time.Duration(float64(time.Second) * float64(o.plan.Zones) / o.plan.Starts)
-	lives := int(o.plan.JobLifetime / each)
-	tick := time.NewTicker(each)
+// generate starts jobs at a steady rate and ends each one after its lifetime.
+func (o *owner) generate(ctx context.Context) {
+	interval := time.Duration(float64(time.Second) * float64(o.plan.Zones) / o.plan.Starts)
+	liveJobs := int(o.plan.JobLifetime / interval)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	for n := range int(o.plan.Duration / each) {
+	for n := range int(o.plan.Duration / interval) {
 		o.live[n] = true
 		o.result.Starts++
 		o.append(n, o.plan.AcceptBytes)
 		o.append(n, o.plan.TaskBytes)
-		if n >= lives {
-			delete(o.live, n-lives)
-			o.append(n-lives, o.plan.TaskBytes)
+		if n >= liveJobs {
+			delete(o.live, n-liveJobs)
+			o.append(n-liveJobs, o.plan.TaskBytes)
 		}
 		if o.journal.SnapshotDue() {
-			// A refusal is repeated at the next start.
+			// A rejected snapshot is retried at the next start.
 			_ = o.journal.Snapshot(o.state())
 		}
 		select {
@@ -182,8 +182,8 @@
 }
 
 func (o *owner) append(n, size int) {
-	at := time.Now()
-	// A refusal is counted by the journal.
+	appended := time.Now()
+	// The journal counts rejected records.
 	_ = o.journal.Append([]record.Record{o.record(n, size)}, func(err error) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -191,7 +191,7 @@
 			o.result.Failed++
 			return
 		}
-		o.result.waits = append(o.result.waits, time.Since(at))
+		o.result.waits = append(o.result.waits, time.Since(appended))
 	})
 }
 
--- a/record/measure_test.go
+++ b/record/measure_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	callTakes = 5 * time.Millisecond
-	// cellCalls is what the journals of a cell may ask of the store a second.
-	cellCalls = 100
-	epochKey  = record.Prefix + "kochi-hall/epoch"
+	callLatency = 5 * time.Millisecond
+	// maxCellCalls is the limit of store calls per second for the journals of a cell.
+	maxCellCalls = 100
+	epochKey     = record.Prefix + "kochi-hall/epoch"
 )
 
-// The store's budget has to last for the cell at each rate; the figures are printed with -v.
+// Guards against journals that exceed the cell's budget of store calls at any start rate. Prints the results with -v.
 func TestMeasureWrites(t *testing.T) {
 	t.Log(load.RowHeader)
 	for _, starts := range []float64{10, 100, 330} {
@@ -34,22 +34,23 @@
 				plan.Starts, plan.Zones = starts, zones
 				got, err := load.Run(context.Background(), plan, func() *store.Store {
 					f := &memory.Faults{}
-					f.Delay(callTakes)
+					f.Delay(callLatency)
 					return service.Client(f)
 				})
 				t.Log(got.Row(plan))
 				is.NoErr(err)
-				is.True(got.CallsPerSecond() < cellCalls)
+				is.True(got.CallsPerSecond() < maxCellCalls)
 				is.Equal(got.Refused+got.Lost+got.Failed, int64(0))
 				keys, _ := service.Size()
-				is.Equal(keys, 0) // the load removes what it wrote
+				is.Equal(keys, 0) // the load deletes its keys
 			})
 		}
 	}
 }
 
-// full opens the journal of an owner who made live records durable, over and over, with snapshots.
-func full(tb testing.TB, s *store.Store, live, times int) int64 {
+// fillJournal writes the same live records several times, with a snapshot after each time, and returns the revision of
+// the epoch.
+func fillJournal(tb testing.TB, s *store.Store, live, times int) int64 {
 	ctx := context.Background()
 	res, err := s.Txn(ctx, store.Txn{Then: []store.Op{{Key: epochKey}}})
 	if err != nil {
@@ -69,11 +70,11 @@
 				tb.Fatal(err)
 			}
 		}
-		was := j.Stats().Snapshots // a snapshot may be over before the next line
+		before := j.Stats().Snapshots // read first, since the snapshot may complete before the next statement
 		if err := j.Snapshot(state); err != nil {
 			tb.Fatal(err)
 		}
-		for j.Stats().Snapshots == was {
+		for j.Stats().Snapshots == before {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -83,7 +84,7 @@
 	return res.Revision
 }
 
-func recovered(tb testing.TB, s *store.Store, revision int64) int {
+func countRecovered(tb testing.TB, s *store.Store, revision int64) int {
 	j, err := record.Open(context.Background(), s, "kochi-hall", epochKey, revision)
 	if err != nil {
 		tb.Fatal(err)
@@ -96,31 +97,31 @@
 	return found
 }
 
-// Recovery follows what is live: the history behind it is ten times as long and leaves no trace.
+// Guards against recovery and storage that grow with the history: the journal was written ten times over.
 func TestMeasureRecovery(t *testing.T) {
 	t.Log("live records | calls  virtual ms at 5 ms a call | bytes a live record in the store")
 	for _, live := range []int{100, 1000, 10000} {
 		synctest.Test(t, func(t *testing.T) {
 			s, f := memory.New(), &memory.Faults{}
-			revision := full(t, s.Store(), live, 10)
+			revision := fillJournal(t, s.Store(), live, 10)
 			_, size := s.Size()
-			f.Delay(callTakes)
+			f.Delay(callLatency)
 			start := time.Now()
-			is.New(t).Equal(recovered(t, s.Client(f), revision), live)
+			is.New(t).Equal(countRecovered(t, s.Client(f), revision), live)
 			t.Logf("%12d | %5d %11d | %d", live, f.Calls(), time.Since(start).Milliseconds(), size/live)
 		})
 	}
 }
 
-// BenchmarkRecover tells what recovery costs beside the store's answers.
+// BenchmarkRecover measures recovery from a store without latency.
 func BenchmarkRecover(b *testing.B) {
 	for _, live := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(live), func(b *testing.B) {
 			s := memory.New().Store()
-			revision := full(b, s, live, 1)
+			revision := fillJournal(b, s, live, 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				if recovered(b, s, revision) != live {
+				if countRecovered(b, s, revision) != live {
 					b.Fatal("records are missing")
 				}
 			}
--- a/record/queue.go
+++ b/record/queue.go
@@ -6,53 +6,53 @@
 	"sync"
 )
 
-// entry is one Append, or a mark in their order.
+// entry is one Append, a Flush marker, or a snapshot request.
 type entry struct {
-	seq   uint64
-	raw   []byte
-	count int
-	done  func(error)
-	// cut is the state after all entries before this one; it never shares a group with records.
-	cut *cut
+	seq     uint64
+	encoded []byte
+	count   int
+	done    func(error)
+	// snapshot is the state after all earlier entries; it is never in the same group as records.
+	snapshot *snapshotRequest
 }
 
-// queue is the bounded ring between the owner and the journal's goroutine. What was taken counts
-// against its bounds until it is released.
+// queue is the bounded queue between the owner and the journal's goroutine. Entries that were taken count against
+// its limits until they are released.
 type queue struct {
 	maxBytes   int
 	maxRecords int
 	ready      chan struct{}
 
-	mu      sync.Mutex
-	entries []entry
-	bytes   int
-	records int
-	last    uint64 // the newest entry's seq
-	cut     uint64 // the newest cut's seq
-	ended   error
+	mu           sync.Mutex
+	entries      []entry
+	bytes        int
+	records      int
+	lastSeq      uint64 // sequence number of the newest entry
+	lastSnapshot uint64 // sequence number of the newest snapshot request
+	closedErr    error
 }
 
 func newQueue(maxBytes, maxRecords int) *queue {
 	return &queue{maxBytes: maxBytes, maxRecords: maxRecords, ready: make(chan struct{}, 1)}
 }
 
-// add takes an entry, or gives the reason why not.
+// add queues an entry and returns its sequence number, or an error if the queue is closed or full.
 func (q *queue) add(e entry) (uint64, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.ended != nil {
-		return 0, q.ended
+	if q.closedErr != nil {
+		return 0, q.closedErr
 	}
-	if e.count > 0 && (q.bytes+len(e.raw) > q.maxBytes || q.records+e.count > q.maxRecords) {
+	if e.count > 0 && (q.bytes+len(e.encoded) > q.maxBytes || q.records+e.count > q.maxRecords) {
 		return 0, ErrBusy
 	}
-	q.last++
-	e.seq = q.last
-	if e.cut != nil {
-		q.cut = e.seq
+	q.lastSeq++
+	e.seq = q.lastSeq
+	if e.snapshot != nil {
+		q.lastSnapshot = e.seq
 	}
 	q.entries = append(q.entries, e)
-	q.bytes += len(e.raw)
+	q.bytes += len(e.encoded)
 	q.records += e.count
 	select {
 	case q.ready <- struct{}{}:
@@ -61,61 +61,62 @@
 	return e.seq, nil
 }
 
-// withdraw takes an entry back that is in no group yet. One before a cut stays: the cut's state
-// already holds its effect.
-func (q *queue) withdraw(seq uint64) bool {
+// cancel removes an entry that has not been taken into a group. An entry before a snapshot request cannot be
+// canceled, because the snapshot's state already includes its effect.
+func (q *queue) cancel(seq uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	at, found := slices.BinarySearchFunc(q.entries, seq, func(e entry, n uint64) int { return cmp.Compare(e.seq, n) })
-	if !found || seq < q.cut {
+	if !found || seq < q.lastSnapshot {
 		return false
 	}
-	q.bytes -= len(q.entries[at].raw)
+	q.bytes -= len(q.entries[at].encoded)
 	q.records -= q.entries[at].count
 	q.entries = slices.Delete(q.entries, at, at+1)
 	return true
 }
 
-// take gives the entries of the next group: at most maxBytes, or one cut alone.
-func (q *queue) take(maxBytes int) []entry {
+// nextGroup removes and returns the entries of the next group: entries of at most maxBytes in total, or a single
+// snapshot request.
+func (q *queue) nextGroup(maxBytes int) []entry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n, size := 0, 0
 	for n < len(q.entries) {
 		e := q.entries[n]
-		if n > 0 && (e.cut != nil || size+len(e.raw) > maxBytes) {
+		if n > 0 && (e.snapshot != nil || size+len(e.encoded) > maxBytes) {
 			break
 		}
-		size += len(e.raw)
+		size += len(e.encoded)
 		n++
-		if e.cut != nil {
+		if e.snapshot != nil {
 			break
 		}
 	}
 	group := slices.Clone(q.entries[:n])
 	q.entries = slices.Delete(q.entries, 0, n)
 	if len(q.entries) == 0 {
-		q.entries = nil // a burst's room is given back
+		q.entries = nil // free the memory that a burst has allocated
 	}
 	return group
 }
 
-// release frees the room of a group whose outcome is known.
+// release subtracts a group whose outcome is known from the queue's totals.
 func (q *queue) release(group []entry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, e := range group {
-		q.bytes -= len(e.raw)
+		q.bytes -= len(e.encoded)
 		q.records -= e.count
 	}
 }
 
-// end refuses all further entries with err; the first reason stays.
-func (q *queue) end(err error) {
+// close makes add return err for all further entries; if it is called again, the first error remains.
+func (q *queue) close(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.ended == nil {
-		q.ended = err
+	if q.closedErr == nil {
+		q.closedErr = err
 	}
 }
 
@@ -125,19 +126,19 @@
 	return q.records, q.bytes
 }
 
-// writes reports whether the next group needs a write; marks alone need none.
-func (q *queue) writes() bool {
+// needsWrite reports whether the next group contains records; Flush markers and snapshot requests need no commit.
+func (q *queue) needsWrite() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, e := range q.entries {
-		if e.count > 0 || e.cut != nil {
-			return e.cut == nil
+		if e.count > 0 || e.snapshot != nil {
+			return e.snapshot == nil
 		}
 	}
 	return false
 }
 
-func (q *queue) empty() bool {
+func (q *queue) isEmpty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.entries) == 0
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -17,17 +17,17 @@
 
 var epochKey = Prefix + zone + "/epoch"
 
-// own makes the caller the journal's owner, as a takeover does.
-func own(t *testing.T, s *memory.Service, client *store.Store, opts ...Option) *Journal {
+// takeOwnership writes a new epoch and opens the journal, as a takeover does.
+func takeOwnership(t *testing.T, s *memory.Service, client *store.Store, opts ...Option) *Journal {
 	t.Helper()
-	j, err := tryOwn(t, s, client, opts...)
+	j, err := tryTakeOwnership(t, s, client, opts...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j
 }
 
-func tryOwn(t *testing.T, s *memory.Service, client *store.Store, opts ...Option) (*Journal, error) {
+func tryTakeOwnership(t *testing.T, s *memory.Service, client *store.Store, opts ...Option) (*Journal, error) {
 	res, err := s.Store().Txn(context.Background(), store.Txn{Then: []store.Op{{Key: epochKey}}})
 	if err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = j.Close(ctx) // a journal that a test left open ends with it
+		_ = j.Close(ctx) // stops the journal if the test has left it open
 	})
 	return j, nil
 }
@@ -48,8 +48,8 @@
 	return Record{Kind: "test", Key: fmt.Sprint(n), Data: []byte("data")}
 }
 
-// contents gives the keys of all that recovery finds.
-func contents(t *testing.T, j *Journal) []string {
+// recoveredKeys returns the keys of all recovered records.
+func recoveredKeys(t *testing.T, j *Journal) []string {
 	t.Helper()
 	var got []string
 	if err := j.Replay(func(r Record) error { got = append(got, r.Key); return nil }); err != nil {
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := memory.New()
-		j := own(t, s, s.Store(), SnapshotAfter(2, 1<<20))
+		j := takeOwnership(t, s, s.Store(), SnapshotAfter(2, 1<<20))
 		for i := range 5 {
 			is.NoErr(j.Append([]Record{record(i)}, func(err error) { is.NoErr(err) }))
 			is.NoErr(j.Flush(context.Background()))
@@ -72,8 +72,8 @@
 			}
 		}
 		is.NoErr(j.Close(context.Background()))
-		next := own(t, s, s.Store())
-		is.Equal(contents(t, next), []string{"upTo3", "4"})
+		next := takeOwnership(t, s, s.Store())
+		is.Equal(recoveredKeys(t, next), []string{"upTo3", "4"})
 		is.NoErr(next.Close(context.Background()))
 	})
 }
--- a/record/recover.go
+++ b/record/recover.go
@@ -10,8 +10,8 @@
 	"turmericgap/store/retry"
 )
 
-// recover reads head, snapshot and segments. The epoch was ours before the first read, so no older
-// owner changes anything meanwhile; a newer one may, and then what was read is no use.
+// recover reads the head, the snapshot and the segments. This owner wrote the epoch before the first read, so no older
+// owner can change the journal meanwhile. A newer owner can, so the epoch is checked again after the reads.
 func (j *Journal) recover(ctx context.Context) error {
 	if err := j.checkEpoch(ctx); err != nil {
 		return err
@@ -58,9 +58,9 @@
 }
 
 func (j *Journal) readSnapshot(ctx context.Context) error {
-	folder := j.keys.parts(j.head.Generation)
+	prefix := j.keys.parts(j.head.Generation)
 	next := uint64(0)
-	err := j.readBlocks(ctx, folder, next, func(b block, size int) error {
+	err := j.readBlocks(ctx, prefix, next, func(b block, size int) error {
 		if b.Writer != j.head.Writer || b.Number != next {
 			return fmt.Errorf("part %d of snapshot %s: %w", next, j.head.Generation, ErrCorrupt)
 		}
@@ -69,27 +69,27 @@
 		return nil
 	})
 	if err == nil && next != j.head.Parts {
-		err = fmt.Errorf("snapshot %s has %d parts of %d: %w", j.head.Generation, next, j.head.Parts, ErrCorrupt)
+		err = fmt.Errorf("snapshot %s has %d of %d parts: %w", j.head.Generation, next, j.head.Parts, ErrCorrupt)
 	}
 	return err
 }
 
 func (j *Journal) readSegments(ctx context.Context) error {
-	j.next = j.head.First
-	err := j.readBlocks(ctx, j.keys.segments(), j.next, func(b block, size int) error {
-		if b.Number != j.next {
-			return fmt.Errorf("segment %d is followed by %d: %w", j.next-1, b.Number, ErrCorrupt)
+	j.nextSegment = j.head.First
+	err := j.readBlocks(ctx, j.keys.segments(), j.nextSegment, func(b block, size int) error {
+		if b.Number != j.nextSegment {
+			return fmt.Errorf("segment %d is followed by %d: %w", j.nextSegment-1, b.Number, ErrCorrupt)
 		}
-		j.next++
+		j.nextSegment++
 		j.addSegment(size)
 		return nil
 	})
 	return err
 }
 
-// readBlocks reads the values in a folder from number first on, page by page.
-func (j *Journal) readBlocks(ctx context.Context, folder string, first uint64, each func(b block, size int) error) error {
-	r := store.Range{Key: folder + number(first), End: store.PrefixEnd(folder), Limit: pageLimit}
+// readBlocks reads the values under prefix page by page, starting at number first, and calls each for every block.
+func (j *Journal) readBlocks(ctx context.Context, prefix string, first uint64, each func(b block, size int) error) error {
+	r := store.Range{Key: prefix + number(first), End: store.PrefixEnd(prefix), Limit: pageLimit}
 	for {
 		res, err := j.read(ctx, r)
 		if err != nil {
@@ -97,7 +97,7 @@
 		}
 		for _, p := range res.Pairs {
 			b, err := decodeBlock(p.Value)
-			if n, bad := parseNumber(strings.TrimPrefix(p.Key, folder)); bad != nil || n != b.Number {
+			if n, parseErr := parseNumber(strings.TrimPrefix(p.Key, prefix)); parseErr != nil || n != b.Number {
 				err = errors.Join(err, ErrCorrupt)
 			}
 			if err == nil {
@@ -106,7 +106,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", p.Key, err)
 			}
-			j.replay = append(j.replay, b)
+			j.recovered = append(j.recovered, b)
 		}
 		if !res.More || len(res.Pairs) == 0 {
 			return nil
@@ -115,7 +115,7 @@
 	}
 }
 
-// readKey gives the pair, or one without revisions when the key is not there.
+// readKey returns the pair stored under key, or the zero Pair if the key does not exist.
 func (j *Journal) readKey(ctx context.Context, key string) (store.Pair, error) {
 	res, err := j.read(ctx, store.Range{Key: key})
 	if err != nil || len(res.Pairs) == 0 {
@@ -124,25 +124,25 @@
 	return res.Pairs[0], nil
 }
 
-// read repeats a read until it has an answer or ctx ends.
+// read retries a read until it succeeds or ctx ends.
 func (j *Journal) read(ctx context.Context, r store.Range) (store.RangeResult, error) {
 	return retry.Read(ctx, func(ctx context.Context) (store.RangeResult, error) {
-		j.count(func(s *Stats) { s.Calls++ })
+		j.updateStats(func(s *Stats) { s.Calls++ })
 		ctx, cancel := context.WithTimeout(ctx, j.callTimeout)
 		defer cancel()
 		return j.store.Range(ctx, r)
 	})
 }
 
-// Replay calls each with the records of the snapshot and then, in order, of the segments that Open
-// read, and forgets them.
+// Replay calls each with the records of the snapshot and then with those of the segments, in order, as read by Open.
+// It then releases them; a second call replays nothing.
 func (j *Journal) Replay(each func(Record) error) error {
 	j.mu.Lock()
-	blocks := j.replay
-	j.replay = nil
+	blocks := j.recovered
+	j.recovered = nil
 	j.mu.Unlock()
 	for i, b := range blocks {
-		if err := b.each(each); err != nil {
+		if err := b.forEach(each); err != nil {
 			return err
 		}
 		blocks[i] = block{}
--- a/record/schedule_test.go
+++ b/record/schedule_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The same schedules in each run, unless the command line asks for others.
+	// Every run uses the same schedules unless flags on the command line override them.
 	if err := errors.Join(flag.Set("rapid.seed", "7"), flag.Set("rapid.checks", "500"), flag.Set("rapid.nofailfile", "true")); err != nil {
 		panic(err)
 	}
@@ -26,34 +26,34 @@
 	os.Exit(m.Run())
 }
 
-// outcome is what an owner was told about a record.
+// outcome is the result reported for a record.
 type outcome struct {
 	id  int
 	err error
 }
 
-// model runs a schedule of appends, faults, deaths and takeovers, and judges what survives.
+// model runs a schedule of appends, faults, crashes and takeovers, and verifies the surviving records.
 type model struct {
-	t        *testing.T
-	service  *memory.Service
-	client   func(*memory.Faults) *store.Store
-	faults   *memory.Faults
-	clients  []*memory.Faults
-	owner    *Journal
-	state    []int // what the owner holds
-	next     int
-	outcomes chan outcome
+	t         *testing.T
+	service   *memory.Service
+	newClient func(*memory.Faults) *store.Store
+	faults    *memory.Faults
+	allFaults []*memory.Faults
+	owner     *Journal
+	state     []int // IDs of the records in the owner's state
+	next      int
+	outcomes  chan outcome
 }
 
-// step is one drawn action with its size.
-type step struct{ do, n int }
+// step is one random action of a schedule.
+type step struct{ action, size int }
 
 func (m *model) takeOver() error {
 	m.faults = &memory.Faults{}
-	m.clients = append(m.clients, m.faults)
+	m.allFaults = append(m.allFaults, m.faults)
 	m.state = nil
 	var err error
-	m.owner, err = tryOwn(m.t, m.service, m.client(m.faults), SnapshotAfter(3, 1<<20), GroupBytes(400), CallTimeout(time.Second))
+	m.owner, err = tryTakeOwnership(m.t, m.service, m.newClient(m.faults), SnapshotAfter(3, 1<<20), GroupBytes(400), CallTimeout(time.Second))
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		for _, id := range m.state {
 			state = append(state, Record{Key: fmt.Sprint(id)})
 		}
-		_ = m.owner.Snapshot(state) // refused by a journal that has ended
+		_ = m.owner.Snapshot(state) // fails if the journal has ended
 	}
 }
 
@@ -99,21 +99,21 @@
 	}
 	for _, s := range steps {
 		var err error
-		d := time.Duration(s.n) * 300 * time.Millisecond
-		switch s.do {
+		d := time.Duration(s.size) * 300 * time.Millisecond
+		switch s.action {
 		case 0, 1:
-			m.append(s.n)
-		case 2, 3: // often enough apart for a group each, so that snapshots follow one another
-			for range s.n {
+			m.append(s.size)
+		case 2, 3: // far enough apart that each is a group of its own, which causes consecutive snapshots
+			for range s.size {
 				m.append(1)
 				time.Sleep(120 * time.Millisecond)
 			}
 		case 4:
 			time.Sleep(d)
 		case 5:
-			m.faults.LoseNext(s.n)
+			m.faults.LoseNext(s.size)
 		case 6:
-			m.faults.DeferNext(s.n, 4*d)
+			m.faults.DeferNext(s.size, 4*d)
 		case 7:
 			f := m.faults
 			f.Down(true)
@@ -124,18 +124,18 @@
 			f := m.faults
 			f.LoseAnswer(true)
 			time.AfterFunc(4*d, func() { f.LoseAnswer(false) })
-		case 9: // the process dies: nothing of it leaves any more
+		case 9: // the process crashes and sends nothing more
 			m.faults.Cut(true)
 			m.owner.cancel()
 			err = m.takeOver()
-		case 10: // the process lives on and does not know that it was replaced
+		case 10: // the process continues without knowing that it was replaced
 			err = m.takeOver()
 		}
 		if err != nil {
 			return err
 		}
 	}
-	for _, f := range m.clients {
+	for _, f := range m.allFaults {
 		f.Delay(0)
 	}
 	time.Sleep(time.Minute)
@@ -143,45 +143,45 @@
 		return err
 	}
 	time.Sleep(time.Minute)
-	return m.judge()
+	return m.verify()
 }
 
-// judge compares what a last owner finds with what was told.
-func (m *model) judge() error {
+// verify compares the last owner's records with the reported outcomes.
+func (m *model) verify() error {
 	synctest.Wait()
 	if !slices.IsSorted(m.state) || len(slices.Compact(slices.Clone(m.state))) != len(m.state) {
-		return fmt.Errorf("twice or out of order: %v", m.state)
+		return fmt.Errorf("records are duplicated or out of order: %v", m.state)
 	}
-	told := 0
+	reported := 0
 	for len(m.outcomes) > 0 {
 		o := <-m.outcomes
 		_, found := slices.BinarySearch(m.state, o.id)
 		switch {
 		case o.err == nil && !found:
-			return fmt.Errorf("record %d was told durable and is lost", o.id)
+			return fmt.Errorf("record %d was reported durable but is lost", o.id)
 		case o.err != nil && !errors.Is(o.err, ErrUnknown) && found:
-			return fmt.Errorf("record %d was told %w and is there", o.id, o.err)
+			return fmt.Errorf("record %d was reported as %w but exists", o.id, o.err)
 		}
-		told++
+		reported++
 	}
-	if told != m.next {
-		return fmt.Errorf("%d outcomes of %d records", told, m.next)
+	if reported != m.next {
+		return fmt.Errorf("%d outcomes were reported for %d records", reported, m.next)
 	}
 	return nil
 }
 
 const maxRecords = 1000
 
-func schedule(t *testing.T, rt *rapid.T, plant func(*store.Store)) error {
+func runSchedule(t *testing.T, rt *rapid.T, injectFault func(*store.Store)) error {
 	steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
 		return step{rapid.IntRange(0, 11).Draw(rt, "do"), rapid.IntRange(1, 8).Draw(rt, "n")}
 	}), 10, 60).Draw(rt, "steps")
 	var err error
 	synctest.Test(t, func(t *testing.T) {
 		m := &model{t: t, service: memory.New(), outcomes: make(chan outcome, maxRecords)}
-		m.client = func(f *memory.Faults) *store.Store {
+		m.newClient = func(f *memory.Faults) *store.Store {
 			c := m.service.Client(f)
-			plant(c)
+			injectFault(c)
 			return c
 		}
 		err = m.run(steps)
@@ -189,27 +189,27 @@
 	return err
 }
 
-// Whatever happens, a successor finds each record that was told durable, once and in order, and
-// none that was told not written.
+// Guards against losing, duplicating or reordering records that were reported durable, and against finding records
+// that were reported as not written.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if err := schedule(t, rt, func(*store.Store) {}); err != nil {
+		if err := runSchedule(t, rt, func(*store.Store) {}); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-// The judge has to see what it is there for: each planted fault must be caught by some schedule.
+// Guards against a verify function that misses faults: some schedule must detect each injected fault.
 func TestSchedulesCatch(t *testing.T) {
 	cases := map[string]func(*store.Store){
-		"told durable before it is": func(c *store.Store) {
+		"reported durable before the write": func(c *store.Store) {
 			txn := c.Txn
 			c.Txn = func(ctx context.Context, x store.Txn) (store.TxnResult, error) {
 				go func() { _, _ = txn(ctx, x) }()
 				return store.TxnResult{Succeeded: true}, nil
 			}
 		},
-		"a lost answer taken for a failed write": func(c *store.Store) {
+		"lost answer treated as a failed write": func(c *store.Store) {
 			txn := c.Txn
 			c.Txn = func(ctx context.Context, x store.Txn) (store.TxnResult, error) {
 				res, err := txn(ctx, x)
@@ -227,12 +227,12 @@
 			}
 		},
 	}
-	for name, plant := range cases {
+	for name, injectFault := range cases {
 		t.Run(name, func(t *testing.T) {
 			caught := false
-			rapid.Check(t, func(rt *rapid.T) { caught = schedule(t, rt, plant) != nil || caught })
+			rapid.Check(t, func(rt *rapid.T) { caught = runSchedule(t, rt, injectFault) != nil || caught })
 			if !caught {
-				t.Fatal("not caught")
+				t.Fatal("no schedule detected the fault")
 			}
 		})
 	}
--- a/record/snapshot.go
+++ b/record/snapshot.go
@@ -10,85 +10,85 @@
 	"turmericgap/store/retry"
 )
 
-// cut is a state that the owner handed over.
-type cut struct{ records []Record }
+// snapshotRequest holds the state that the owner passed to Snapshot.
+type snapshotRequest struct{ records []Record }
 
-// snapshot is one that is being written. Its folder bears the writer's identity: a part that the
-// network delivers late can never land in the snapshot of another.
+// snapshot is a snapshot that is being written. Its key prefix contains the writer's identity, so that a delayed
+// request can never write a part into another writer's snapshot.
 type snapshot struct {
-	records    []Record
-	first      uint64 // the first segment that it does not cover
-	generation string
-	parts      uint64
-	bytes      int
-	part       []byte // encoded and not yet durable
-	taken      int    // of records, by part
-	notBefore  time.Time
-	backoff    *retry.Backoff
+	records      []Record
+	firstSegment uint64 // the first segment that the snapshot does not cover
+	generation   string
+	parts        uint64
+	bytes        int
+	encodedPart  []byte // the part that is not yet durable
+	partRecords  int    // number of records in encodedPart
+	notBefore    time.Time
+	backoff      *retry.Backoff
 }
 
-// SnapshotDue reports whether the owner should hand over its state with Snapshot.
+// SnapshotDue reports whether the owner should call Snapshot.
 func (j *Journal) SnapshotDue() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.due && !j.cutting
+	return j.snapshotDue && !j.snapshotPending
 }
 
-// Snapshot takes the owner's state as the effect of exactly the records that were appended so far,
-// accepted ones all, refused ones none. The goroutine that appends calls it between two Appends;
-// the records must not be changed after. The journal writes them in the background and then removes
-// what they replace.
+// Snapshot requests a snapshot with the given state, which must reflect exactly the records accepted so far: all
+// accepted records and no rejected ones. It must be called on the goroutine that calls Append, and the records must
+// not be modified afterwards. The journal writes the snapshot in the background and then deletes the segments and the
+// snapshot that it replaces.
 func (j *Journal) Snapshot(records []Record) error {
 	for i := range records {
-		if n := recordSize(&records[i]); n > j.groupBytes-blockBytes {
+		if n := recordSize(&records[i]); n > j.groupBytes-blockOverheadBytes {
 			return fmt.Errorf("record %q of %d bytes: %w", records[i].Key, n, ErrTooLarge)
 		}
 	}
 	j.mu.Lock()
-	busy := j.cutting
-	j.cutting = true
+	busy := j.snapshotPending
+	j.snapshotPending = true
 	j.mu.Unlock()
 	if busy {
 		return ErrBusy
 	}
-	_, err := j.queue.add(entry{cut: &cut{records}, done: func(error) {}})
+	_, err := j.queue.add(entry{snapshot: &snapshotRequest{records}, done: func(error) {}})
 	if err != nil {
-		j.setCutting(false)
+		j.setSnapshotPending(false)
 	}
 	return err
 }
 
-func recordSize(r *Record) int { return len(r.Kind) + len(r.Key) + len(r.Data) + recordBytes }
+func recordSize(r *Record) int { return len(r.Kind) + len(r.Key) + len(r.Data) + recordOverheadBytes }
 
-func (j *Journal) setCutting(on bool) {
+func (j *Journal) setSnapshotPending(on bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.cutting = on
+	j.snapshotPending = on
 }
 
-// startSnapshot runs when all entries before the cut are durable and none after it was sent, so
-// that the next segment is the first that the state does not hold.
-func (j *Journal) startSnapshot(c *cut) {
+// startSnapshot is called when all entries before the request are durable and none after it has been sent, so the
+// next segment is the first one that the snapshot does not cover.
+func (j *Journal) startSnapshot(c *snapshotRequest) {
 	j.snap = &snapshot{
-		records:    c.records,
-		first:      j.next,
-		generation: number(j.head.Number+1) + "-" + j.writer,
-		backoff:    retry.New(),
+		records:      c.records,
+		firstSegment: j.nextSegment,
+		generation:   number(j.head.Number+1) + "-" + j.writer,
+		backoff:      retry.New(),
 	}
 	j.snap.notBefore = time.Now().Add(j.snapLimiter.Reserve().Delay())
 }
 
-// snapshotStep makes one write: a part, or the head when all parts are durable.
+// snapshotStep performs one write: the next part, or the head if all parts are durable.
 func (j *Journal) snapshotStep() error {
 	s := j.snap
-	if s.part == nil && (len(s.records) > 0 || s.parts == 0) {
+	if s.encodedPart == nil && (len(s.records) > 0 || s.parts == 0) {
 		if err := j.encodePart(s); err != nil {
 			return err
 		}
 	}
 	var done bool
 	var err error
-	if s.part != nil {
+	if s.encodedPart != nil {
 		done, err = j.writePart(s)
 	} else {
 		done, err = j.writeHead(s)
@@ -109,27 +109,27 @@
 
 func (j *Journal) encodePart(s *snapshot) error {
 	size := 0
-	s.taken = 0
-	for s.taken < len(s.records) {
-		size += recordSize(&s.records[s.taken])
-		if size > j.groupBytes-blockBytes {
+	s.partRecords = 0
+	for s.partRecords < len(s.records) {
+		size += recordSize(&s.records[s.partRecords])
+		if size > j.groupBytes-blockOverheadBytes {
 			break
 		}
-		s.taken++
+		s.partRecords++
 	}
-	raw, err := encodeRecords(s.records[:s.taken])
+	raw, err := encodeRecords(s.records[:s.partRecords])
 	if err != nil {
 		return err
 	}
-	s.part, err = encodeBlock(blockHeader{Writer: j.writer, Number: s.parts, Count: s.taken}, raw)
+	s.encodedPart, err = encodeBlock(blockHeader{Writer: j.writer, Number: s.parts, Count: s.partRecords}, raw)
 	return err
 }
 
-// writePart may send the same part again without looking: only this writer uses the folder.
+// writePart writes the encoded part. Repeating the write is safe, because only this writer uses the key prefix.
 func (j *Journal) writePart(s *snapshot) (bool, error) {
 	res, err := j.txn(store.Txn{
 		Compares: []store.Compare{{Key: j.epochKey, Target: store.ModRevision, Revision: j.epochRevision}},
-		Then:     []store.Op{{Key: j.keys.part(s.generation, s.parts), Value: s.part}},
+		Then:     []store.Op{{Key: j.keys.part(s.generation, s.parts), Value: s.encodedPart}},
 	})
 	if err != nil {
 		return false, nil
@@ -138,22 +138,22 @@
 		return false, ErrFenced
 	}
 	s.parts++
-	s.bytes += len(s.part)
-	s.records = s.records[s.taken:]
-	s.part = nil
+	s.bytes += len(s.encodedPart)
+	s.records = s.records[s.partRecords:]
+	s.encodedPart = nil
 	return true, nil
 }
 
-// writeHead makes the snapshot the newest and removes, in the same transaction, all that it
-// replaces. The comparison with the head's revision keeps a copy that the network delivers late
-// from bringing back an older head, whose snapshot and segments are gone.
+// writeHead makes the snapshot the current one and deletes, in the same transaction, the segments and snapshots that
+// it replaces. The compare on the head's revision prevents a delayed duplicate request from restoring an older head,
+// whose snapshot and segments no longer exist.
 func (j *Journal) writeHead(s *snapshot) (bool, error) {
-	next := head{Writer: j.writer, Generation: s.generation, Number: j.head.Number + 1, Parts: s.parts, First: s.first}
+	next := head{Writer: j.writer, Generation: s.generation, Number: j.head.Number + 1, Parts: s.parts, First: s.firstSegment}
 	value, err := encodeHead(next)
 	if err != nil {
 		return false, err
 	}
-	folder := j.keys.parts(s.generation)
+	prefix := j.keys.parts(s.generation)
 	res, err := j.txn(store.Txn{
 		Compares: []store.Compare{
 			{Key: j.epochKey, Target: store.ModRevision, Revision: j.epochRevision},
@@ -161,9 +161,9 @@
 		},
 		Then: []store.Op{
 			{Key: j.keys.head(), Value: value},
-			remove(j.keys.segments(), j.keys.segment(s.first)),
-			remove(j.keys.snapshots(), folder),
-			remove(store.PrefixEnd(folder), store.PrefixEnd(j.keys.snapshots())),
+			deleteRange(j.keys.segments(), j.keys.segment(s.firstSegment)),
+			deleteRange(j.keys.snapshots(), prefix),
+			deleteRange(store.PrefixEnd(prefix), store.PrefixEnd(j.keys.snapshots())),
 		},
 	})
 	if err == nil && res.Succeeded {
@@ -173,11 +173,11 @@
 	if store.NotApplied(err) {
 		return false, nil
 	}
-	return j.findHead(s, next)
+	return j.confirmHead(s, next)
 }
 
-// findHead looks whether a head whose answer was lost, or whose comparison failed, is in force.
-func (j *Journal) findHead(s *snapshot, want head) (bool, error) {
+// confirmHead checks whether a head write whose response was lost, or whose compare failed, has taken effect.
+func (j *Journal) confirmHead(s *snapshot, want head) (bool, error) {
 	epoch, err := j.readKey(j.ctx, j.epochKey)
 	if err != nil {
 		return false, ErrClosed
@@ -199,12 +199,12 @@
 }
 
 func (j *Journal) finishSnapshot(s *snapshot, h head, revision int64) {
-	covered := int(s.first - j.head.First)
+	covered := int(s.firstSegment - j.head.First)
 	removed := 0
-	for _, n := range j.sizes[:covered] {
+	for _, n := range j.segmentSizes[:covered] {
 		removed += n
 	}
-	j.sizes = append([]int(nil), j.sizes[covered:]...)
+	j.segmentSizes = append([]int(nil), j.segmentSizes[covered:]...)
 	j.head, j.headRevision, j.snap = h, revision, nil
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -212,7 +212,7 @@
 	j.stats.SnapshotBytes = s.bytes
 	j.stats.Segments -= covered
 	j.stats.SegmentBytes -= removed
-	j.measureSegments()
-	j.cutting = false
+	j.updateSegmentMetrics()
+	j.snapshotPending = false
 	j.metrics.Counter(metricSnapshots).Inc(1)
 }
