--- a/store/contract/contract.go
+++ b/store/contract/contract.go
@@ -13,31 +13,31 @@
 	"turmericgap/store"
 )
 
-// within bounds a case that hangs; it decides nothing else.
-const within = 30 * time.Second
+// caseTimeout ends a case that hangs; no result depends on it.
+const caseTimeout = 30 * time.Second
 
-// Run runs the table; open gives a store without keys for each case.
+// Run runs all test cases; open returns an empty store for each of them.
 func Run(t *testing.T, open func(t *testing.T) *store.Store) {
 	cases := map[string]func(ctx context.Context, is *is.I, s *store.Store){
-		"a put is read back with its revisions":                    readBack,
-		"a failed compare applies nothing":                         failedCompare,
-		"a compare with zero holds for an absent key alone":        compareAbsent,
-		"a delete takes the range up to but without its end":       deleteRange,
-		"a limit cuts the list and says so":                        limit,
-		"a value that is too large is refused, and nothing is set": tooLarge,
-		"a key twice in one transaction is refused":                twice,
-		"a renewal of a lease that is gone says so":                renewGone,
-		"a revoked lease takes its keys along":                     revoke,
-		"a put under a lease that is gone applies nothing":         putGone,
-		"a key written anew without a lease outlives it":           unbind,
-		"a watch resumes without a gap and in order":               watch,
-		"a watch tells a delete, and one transaction as one batch": watchDelete,
+		"a put is read back with its revisions":                   readBack,
+		"a failed compare applies nothing":                        failedCompare,
+		"a compare with zero succeeds only for a missing key":     compareMissing,
+		"a range delete excludes its end":                         deleteRange,
+		"a limit truncates the result and sets More":              limit,
+		"a value that is too large is rejected without effect":    tooLarge,
+		"a duplicate key in one transaction is rejected":          duplicateKey,
+		"a renewal of a revoked lease fails with ErrLeaseGone":    renewRevoked,
+		"revoking a lease deletes its keys":                       revoke,
+		"a put with a missing lease applies nothing":              putMissingLease,
+		"a key rewritten without a lease outlives the lease":      detachLease,
+		"a watch resumes in order and without a gap":              watch,
+		"a watch reports deletes, and one transaction as a batch": watchDelete,
 	}
-	for name, do := range cases {
+	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(context.Background(), within)
+			ctx, cancel := context.WithTimeout(context.Background(), caseTimeout)
 			defer cancel()
-			do(ctx, is.New(t), open(t))
+			run(ctx, is.New(t), open(t))
 		})
 	}
 }
@@ -69,7 +69,8 @@
 	is.True(second > first)
 	res, err := s.Range(ctx, store.Range{Key: "a"})
 	is.NoErr(err)
-	is.Equal(res.Pairs, []store.Pair{{Key: "a", Value: []byte("2"), CreateRevision: first, ModRevision: second, Version: 2}})
+	is.Equal(res.Pairs,
+		[]store.Pair{{Key: "a", Value: []byte("2"), CreateRevision: first, ModRevision: second, Version: 2}})
 	is.Equal(res.Revision, second)
 }
 
@@ -85,7 +86,7 @@
 	is.Equal(keysOf(ctx, is, s, "b"), []string{})
 }
 
-func compareAbsent(ctx context.Context, is *is.I, s *store.Store) {
+func compareMissing(ctx context.Context, is *is.I, s *store.Store) {
 	t := store.Txn{Compares: []store.Compare{{Key: "a", Target: store.CreateRevision}}, Then: []store.Op{put("a", "1")}}
 	for _, want := range []bool{true, false} {
 		res, err := s.Txn(ctx, t)
@@ -119,14 +120,14 @@
 	is.Equal(keysOf(ctx, is, s, ""), []string{})
 }
 
-func twice(ctx context.Context, is *is.I, s *store.Store) {
+func duplicateKey(ctx context.Context, is *is.I, s *store.Store) {
 	for _, second := range []store.Op{put("a", "2"), {Delete: true, Key: "a"}, {Delete: true, Key: "A", End: "b"}} {
 		_, err := s.Txn(ctx, store.Txn{Then: []store.Op{put("a", "1"), second}})
 		is.True(errors.Is(err, store.ErrInvalid))
 	}
 }
 
-func renewGone(ctx context.Context, is *is.I, s *store.Store) {
+func renewRevoked(ctx context.Context, is *is.I, s *store.Store) {
 	lease, err := s.Grant(ctx, time.Minute)
 	is.NoErr(err)
 	ttl, err := s.KeepAlive(ctx, lease)
@@ -146,13 +147,13 @@
 	is.Equal(keysOf(ctx, is, s, ""), []string{"b"})
 }
 
-func putGone(ctx context.Context, is *is.I, s *store.Store) {
+func putMissingLease(ctx context.Context, is *is.I, s *store.Store) {
 	_, err := s.Txn(ctx, store.Txn{Then: []store.Op{put("a", ""), {Key: "b", Lease: 99}}})
 	is.True(errors.Is(err, store.ErrLeaseGone))
 	is.Equal(keysOf(ctx, is, s, ""), []string{})
 }
 
-func unbind(ctx context.Context, is *is.I, s *store.Store) {
+func detachLease(ctx context.Context, is *is.I, s *store.Store) {
 	lease, err := s.Grant(ctx, time.Minute)
 	is.NoErr(err)
 	write(ctx, is, s, store.Op{Key: "a", Lease: lease})
@@ -161,13 +162,13 @@
 	is.Equal(keysOf(ctx, is, s, ""), []string{"a"})
 }
 
-// collect watches until n events came.
+// collect watches until it has received n events. It returns the batches and the number of events.
 func collect(ctx context.Context, s *store.Store, prefix string, from int64, n int) ([]store.Batch, int) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var got []store.Batch
 	events := 0
-	// The watch ends by the cancel; what it got is judged by the caller.
+	// The watch ends with an error because of the cancel; the caller checks the collected batches.
 	_ = s.Watch(ctx, prefix, from, func(b store.Batch) {
 		got = append(got, b)
 		if events += len(b.Events); events >= n {
@@ -192,7 +193,7 @@
 	want := 0
 	for _, b := range append(first, second...) {
 		for _, e := range b.Events {
-			is.Equal(string(e.Pair.Value), strconv.Itoa(want)) // no gap, no repeat, in order
+			is.Equal(string(e.Pair.Value), strconv.Itoa(want)) // no gaps, no duplicates, in order
 			want++
 		}
 	}
--- a/store/contract/doc.go
+++ b/store/contract/doc.go
@@ -1,3 +1,2 @@
-// Package contract is the one table of what every plug-in of the store has to keep; the tests of
-// each plug-in run it.
+// Package contract is the test suite that every store plug-in must pass. The tests of each plug-in run it.
 package contract
--- a/store/doc.go
+++ b/store/doc.go
@@ -1,3 +1,3 @@
-// Package store is the client of the platform's key-value service: compare-and-swap, leases and
-// watches. A plug-in in a subfolder speaks one protocol and fills in a Store's function fields.
+// Package store is the client interface of the platform's key-value service, with compare-and-swap, leases and
+// watches. Each plug-in in a subfolder implements one protocol by setting the function fields of a Store.
 package store
--- a/store/etcd/doc.go
+++ b/store/etcd/doc.go
@@ -1,2 +1,2 @@
-// Package etcd speaks the etcd v3 JSON gateway over HTTP, and registers itself as "etcd".
+// Package etcd implements a store.Store over the JSON gateway of etcd v3. It registers itself as "etcd".
 package etcd
--- a/store/etcd/etcd.go
+++ b/store/etcd/etcd.go
@@ -19,22 +19,22 @@
 	"turmericgap/store/etcd/wire"
 )
 
-// Name chooses this plug-in in the settings.
+// Name is the name of this plug-in in the settings.
 const Name = "etcd"
 
-// Defaults.
+// Default settings of a client.
 const (
 	DefaultTimeout  = 5 * time.Second
 	DefaultMaxConns = 4
-	// DefaultMaxResponseBytes holds the largest page that the cell asks for, in base64.
+	// DefaultMaxResponseBytes is enough for the largest page that the cell requests, encoded in base64.
 	DefaultMaxResponseBytes = 16 << 20
 	dialTimeout             = time.Second
 	idleTimeout             = 30 * time.Second
 	maxErrorBytes           = 4 << 10
 )
 
-// probes end a watch whose network was cut without a word; it would hear nothing for ever.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 5 * time.Second, Count: 3}
+// keepAliveConfig makes a watch fail if the network drops its connection silently; it would wait forever otherwise.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 5 * time.Second, Count: 3}
 
 func init() {
 	store.Register(Name, func(endpoint string) (*store.Store, error) { return New(endpoint), nil })
@@ -55,7 +55,7 @@
 	if !strings.Contains(endpoint, "://") {
 		endpoint = "http://" + endpoint
 	}
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: probes}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAliveConfig}
 	c := &client{
 		endpoint: strings.TrimSuffix(endpoint, "/"),
 		timeout:  DefaultTimeout,
@@ -79,37 +79,38 @@
 	}
 }
 
-// post sends one request. Until a connection is there no byte can have left, and the error is
-// ErrNotSent; after that the request may have arrived, whatever went wrong.
+// post sends one request. If it fails before a connection is available, no byte can have been sent and the error is
+// ErrNotSent. After that the request may have arrived, whatever the error.
 func (c *client) post(ctx context.Context, h *http.Client, path string, body any) (*http.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return nil, errors.Join(store.ErrNotSent, err)
 	}
-	var sent atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.endpoint+path, bytes.NewReader(raw))
+	var connected atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost,
+		c.endpoint+path, bytes.NewReader(raw))
 	if err != nil {
 		return nil, errors.Join(store.ErrNotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := h.Do(req)
 	if err != nil {
-		if !sent.Load() {
+		if !connected.Load() {
 			return nil, errors.Join(store.ErrNotSent, err)
 		}
-		return nil, eris.Wrap(err, "store answer lost")
+		return nil, eris.Wrap(err, "store response lost")
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, fault(resp)
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-// fault tells the definite refusals apart. "Unavailable" is not one of them: a service says it also
-// of a write that its leader took before it was lost.
-func fault(resp *http.Response) error {
+// responseError converts an error response and detects definite rejections. "Unavailable" is not definite: the service
+// also returns it for a write that its leader accepted before the leader failed.
+func responseError(resp *http.Response) error {
 	var e wire.Error
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	if err == nil {
@@ -136,16 +137,16 @@
 		return out, err
 	}
 	defer resp.Body.Close()
-	// Decode reads the first message alone; a renewal's stream may stay open after it.
+	// Decode reads only the first message; the stream of a lease renewal may stay open after it.
 	limited := &io.LimitedReader{R: resp.Body, N: c.maxBytes}
 	if err := json.NewDecoder(limited).Decode(&out); err != nil {
 		if limited.N <= 0 {
-			return out, eris.Errorf("store answer is longer than %d bytes", c.maxBytes)
+			return out, eris.Errorf("store response exceeds %d bytes", c.maxBytes)
 		}
-		return out, eris.Wrap(err, "store answer broken")
+		return out, eris.Wrap(err, "decode store response")
 	}
 	if path != wire.PathKeepAlive {
-		// What is left is drained, so that the connection can be used again.
+		// Drain the body so that the connection can be reused.
 		_, _ = io.CopyN(io.Discard, limited, maxErrorBytes)
 	}
 	return out, nil
@@ -155,28 +156,28 @@
 	req := wire.RangeRequest{Key: []byte(r.Key), RangeEnd: []byte(r.End), Limit: r.Limit}
 	resp, err := roundTrip[wire.RangeResponse](ctx, c, wire.PathRange, req)
 	if err == nil {
-		err = genuine(resp.Header)
+		err = checkHeader(resp.Header)
 	}
 	if err != nil {
 		return store.RangeResult{}, err
 	}
 	out := store.RangeResult{Revision: resp.Header.Revision, More: resp.More}
 	for _, kv := range resp.KVs {
-		out.Pairs = append(out.Pairs, pair(kv))
+		out.Pairs = append(out.Pairs, toPair(kv))
 	}
 	return out, nil
 }
 
-// genuine refuses an answer that bears no revision: an empty one, of whatever stands in between,
-// would else say that a key is missing or that a comparison failed.
-func genuine(h wire.Header) error {
+// checkHeader rejects a response without a revision. An empty response, for example from a proxy, would otherwise mean
+// that a key is missing or that a compare failed.
+func checkHeader(h wire.Header) error {
 	if h.Revision <= 0 {
-		return eris.New("store answer has no revision")
+		return eris.New("store response has no revision")
 	}
 	return nil
 }
 
-func pair(kv wire.KeyValue) store.Pair {
+func toPair(kv wire.KeyValue) store.Pair {
 	return store.Pair{
 		Key: string(kv.Key), Value: kv.Value, CreateRevision: kv.CreateRevision,
 		ModRevision: kv.ModRevision, Version: kv.Version, Lease: kv.Lease,
@@ -184,9 +185,9 @@
 }
 
 func (c *client) txn(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-	resp, err := roundTrip[wire.TxnResponse](ctx, c, wire.PathTxn, request(t))
+	resp, err := roundTrip[wire.TxnResponse](ctx, c, wire.PathTxn, txnRequest(t))
 	if err == nil {
-		err = genuine(resp.Header)
+		err = checkHeader(resp.Header)
 	}
 	if err != nil {
 		return store.TxnResult{}, err
@@ -194,7 +195,7 @@
 	return store.TxnResult{Succeeded: resp.Succeeded, Revision: resp.Header.Revision}, nil
 }
 
-func request(t store.Txn) wire.TxnRequest {
+func txnRequest(t store.Txn) wire.TxnRequest {
 	var req wire.TxnRequest
 	for _, c := range t.Compares {
 		w := wire.Compare{Key: []byte(c.Key), Target: string(c.Target), Result: wire.ResultEqual}
@@ -207,10 +208,12 @@
 	}
 	for _, op := range t.Then {
 		if op.Delete {
-			req.Success = append(req.Success, wire.RequestOp{DeleteRange: &wire.DeleteRangeRequest{Key: []byte(op.Key), RangeEnd: []byte(op.End)}})
+			req.Success = append(req.Success,
+				wire.RequestOp{DeleteRange: &wire.DeleteRangeRequest{Key: []byte(op.Key), RangeEnd: []byte(op.End)}})
 			continue
 		}
-		req.Success = append(req.Success, wire.RequestOp{Put: &wire.PutRequest{Key: []byte(op.Key), Value: op.Value, Lease: op.Lease}})
+		req.Success = append(req.Success,
+			wire.RequestOp{Put: &wire.PutRequest{Key: []byte(op.Key), Value: op.Value, Lease: op.Lease}})
 	}
 	return req
 }
@@ -219,7 +222,7 @@
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	resp, err := roundTrip[wire.LeaseResponse](ctx, c, wire.PathGrant, wire.LeaseRequest{TTL: seconds})
 	if err == nil && resp.ID == 0 {
-		err = eris.New("store granted no lease")
+		err = eris.New("store response to a lease grant has no lease ID")
 	}
 	return resp.ID, err
 }
@@ -230,9 +233,9 @@
 	case err != nil:
 		return 0, err
 	case resp.Error != nil:
-		return 0, eris.Errorf("store renewal failed: %s", resp.Error.Message)
+		return 0, eris.Errorf("store lease renewal failed: %s", resp.Error.Message)
 	case resp.Result.ID != lease:
-		return 0, eris.New("store renewal answered for another lease")
+		return 0, eris.New("store lease renewal returned another lease ID")
 	case resp.Result.TTL <= 0:
 		return 0, store.ErrLeaseGone
 	default:
@@ -255,10 +258,10 @@
 	limited := &io.LimitedReader{R: resp.Body}
 	dec := json.NewDecoder(limited)
 	for {
-		limited.N = c.maxBytes // for each message
+		limited.N = c.maxBytes // the limit applies per message
 		var m wire.StreamMessage[wire.WatchResponse]
 		if err := dec.Decode(&m); err != nil {
-			return eris.Wrap(err, "store watch broken")
+			return eris.Wrap(err, "decode store watch message")
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -272,18 +275,18 @@
 			return eris.New("store watch cancelled")
 		}
 		if len(m.Result.Events) > 0 {
-			each(batch(m.Result))
+			each(toBatch(m.Result))
 		}
 	}
 }
 
-// batch takes the revision from the last event: the header may be ahead of what was delivered, and
-// a watch that resumed from there would miss changes.
-func batch(m wire.WatchResponse) store.Batch {
+// toBatch takes the revision from the last event. The header's revision may be ahead of the delivered events, and a
+// watch that resumed from it would miss changes.
+func toBatch(m wire.WatchResponse) store.Batch {
 	var b store.Batch
 	for _, e := range m.Events {
 		b.Revision = e.KV.ModRevision
-		b.Events = append(b.Events, store.Event{Deleted: e.Type == wire.EventDelete, Pair: pair(e.KV)})
+		b.Events = append(b.Events, store.Event{Deleted: e.Type == wire.EventDelete, Pair: toPair(e.KV)})
 	}
 	return b
 }
--- a/store/etcd/etcd_test.go
+++ b/store/etcd/etcd_test.go
@@ -37,11 +37,10 @@
 	return err
 }
 
-// A caller may take a write for not done only when it surely was not.
-// The service is the stand-in behind a fault; what the caller concludes is compared with what the
-// stand-in holds.
+// Guards against a write that is reported as not applied although it was applied.
+// The client's error is compared with the keys of the stand-in, whose responses are replaced by a fault.
 func TestOutcome(t *testing.T) {
-	answer := func(status int, body string) func(http.Handler) http.Handler {
+	respond := func(status int, body string) func(http.Handler) http.Handler {
 		return func(http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(status)
@@ -49,7 +48,7 @@
 			})
 		}
 	}
-	after := func(then func(w http.ResponseWriter)) func(http.Handler) http.Handler {
+	afterApply := func(then func(w http.ResponseWriter)) func(http.Handler) http.Handler {
 		return func(h http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				h.ServeHTTP(httptest.NewRecorder(), r)
@@ -57,25 +56,25 @@
 			})
 		}
 	}
-	var giveUp context.CancelFunc
+	var cancel context.CancelFunc
 	cases := []struct {
 		name     string
-		behind   func(http.Handler) http.Handler
+		wrap     func(http.Handler) http.Handler
 		opts     []etcd.Option
 		definite bool
 	}{
-		{"answer cut", after(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }), nil, false},
-		{"answer broken", after(func(w http.ResponseWriter) { fmt.Fprint(w, `{"header":{"rev`) }), nil, false},
-		{"answer of another type", after(func(w http.ResponseWriter) { fmt.Fprint(w, `{"header":7}`) }), nil, false},
-		{"answer too long", after(func(w http.ResponseWriter) {
+		{"response cut", afterApply(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }), nil, false},
+		{"response truncated", afterApply(func(w http.ResponseWriter) { fmt.Fprint(w, `{"header":{"rev`) }), nil, false},
+		{"response of another type", afterApply(func(w http.ResponseWriter) { fmt.Fprint(w, `{"header":7}`) }), nil, false},
+		{"response too long", afterApply(func(w http.ResponseWriter) {
 			fmt.Fprintf(w, `{"header":{"revision":"2"},"succeeded":true,"x":%q}`, strings.Repeat("x", 9000))
 		}), []etcd.Option{etcd.MaxResponseBytes(4096)}, false},
-		{"given up before the answer", after(func(http.ResponseWriter) { giveUp() }), nil, false},
-		{"unavailable", answer(503, `{"code":14,"message":"no leader"}`), nil, false},
-		{"an answer without content", answer(200, `{}`), nil, false},
-		{"an answer of some proxy", answer(502, `<html>`), nil, false},
-		{"invalid", answer(400, `{"code":3,"message":"too large"}`), nil, true},
-		{"lease gone", answer(404, `{"code":5,"message":"lease not found"}`), nil, true},
+		{"canceled before the response", afterApply(func(http.ResponseWriter) { cancel() }), nil, false},
+		{"unavailable", respond(503, `{"code":14,"message":"no leader"}`), nil, false},
+		{"empty response", respond(200, `{}`), nil, false},
+		{"response of a proxy", respond(502, `<html>`), nil, false},
+		{"invalid", respond(400, `{"code":3,"message":"too large"}`), nil, true},
+		{"lease gone", respond(404, `{"code":5,"message":"lease not found"}`), nil, true},
 		{"dial refused", nil, []etcd.Option{etcd.Dial(func(context.Context, string, string) (net.Conn, error) {
 			return nil, errors.New("refused")
 		})}, true},
@@ -84,12 +83,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var ctx context.Context
-			ctx, giveUp = context.WithCancel(context.Background())
-			defer giveUp()
+			ctx, cancel = context.WithCancel(context.Background())
+			defer cancel()
 			service := memory.New()
 			var handler http.Handler = standin.New(service)
-			if c.behind != nil {
-				handler = c.behind(handler)
+			if c.wrap != nil {
+				handler = c.wrap(handler)
 			}
 			server := httptest.NewServer(handler)
 			defer server.Close()
@@ -97,14 +96,14 @@
 			is.True(err != nil)
 			is.Equal(store.NotApplied(err), c.definite)
 			if keys, _ := service.Size(); keys > 0 {
-				is.True(!c.definite) // it was applied after all
+				is.True(!c.definite) // the write was applied
 			}
 		})
 	}
 }
 
-// An empty answer of something that is not the service must not pass for "the key is not there" or
-// "the lease has lapsed".
+// Guards against taking an empty response, for example from a proxy, for "the key is missing" or "the lease has
+// expired".
 func TestEmptyAnswers(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }))
@@ -118,8 +117,8 @@
 	is.True(err != nil)
 }
 
-// A call that waits for a connection until its time is over was not sent, and its caller may say so.
-// One connection is allowed, and a slow call holds it.
+// Guards against an unknown outcome for a call that was never sent.
+// The only allowed connection is held by a slow call, and a second call times out while it waits for it.
 func TestNoConnectionLeft(t *testing.T) {
 	is := is.New(t)
 	service := memory.New()
@@ -142,7 +141,7 @@
 	is.NoErr(<-first)
 }
 
-// A test sets the stand-in's faults over HTTP; a lost answer leaves a write that took effect.
+// Guards against a stand-in whose faults cannot be set over HTTP, or whose lost responses undo the write.
 func TestFaultPage(t *testing.T) {
 	is := is.New(t)
 	service := memory.New()
--- a/store/etcd/options.go
+++ b/store/etcd/options.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Option sets up a client.
+// Option configures a client.
 type Option func(*client)
 
-// Timeout bounds a call whose context has no earlier deadline.
+// Timeout limits the duration of a call; an earlier deadline of the context takes precedence.
 func Timeout(d time.Duration) Option { return func(c *client) { c.timeout = d } }
 
-// MaxConns bounds the connections for calls; each watch has one more of its own.
+// MaxConns limits the connections for calls. Each watch uses an additional connection.
 func MaxConns(n int) Option { return func(c *client) { c.maxConns = n } }
 
-// MaxResponseBytes bounds the body of one answer.
+// MaxResponseBytes limits the size of a response body and of a watch message.
 func MaxResponseBytes(n int64) Option { return func(c *client) { c.maxBytes = n } }
 
-// Dial sets how connections are opened; the default is TCP.
+// Dial sets the function that opens connections; the default uses TCP.
 func Dial(dial func(ctx context.Context, network, address string) (net.Conn, error)) Option {
 	return func(c *client) { c.dial = dial }
 }
--- a/store/etcd/wire/wire.go
+++ b/store/etcd/wire/wire.go
@@ -11,14 +11,14 @@
 	PathWatch     = "/v3/watch"
 )
 
-// Codes of Error, as gRPC numbers them.
+// gRPC status codes in Error.
 const (
 	CodeInvalidArgument = 3
 	CodeNotFound        = 5
 	CodeUnavailable     = 14
 )
 
-// Names of enumerated values.
+// Names of enum values.
 const (
 	ResultEqual  = "EQUAL"
 	TargetCreate = "CREATE"
@@ -26,19 +26,19 @@
 	EventDelete  = "DELETE"
 )
 
-// Error is the body of an answer that is not a success.
+// Error is the body of an error response.
 type Error struct {
 	Error   string `json:"error"`
 	Message string `json:"message"`
 	Code    int    `json:"code"`
 }
 
-// Header stands in each answer.
+// Header is part of each response.
 type Header struct {
 	Revision int64 `json:"revision,string,omitempty"`
 }
 
-// KeyValue is a pair.
+// KeyValue is a key with its value, revisions and lease.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	Value          []byte `json:"value,omitempty"`
@@ -48,14 +48,14 @@
 	Lease          int64  `json:"lease,string,omitempty"`
 }
 
-// RangeRequest asks for pairs.
+// RangeRequest reads a key or a range of keys.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,string,omitempty"`
 }
 
-// RangeResponse gives pairs.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -72,69 +72,69 @@
 	ModRevision    int64  `json:"mod_revision,string,omitempty"`
 }
 
-// PutRequest sets a key.
+// PutRequest writes a key.
 type PutRequest struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value,omitempty"`
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// DeleteRangeRequest deletes keys.
+// DeleteRangeRequest deletes a key or a range of keys.
 type DeleteRangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// RequestOp is one of its fields.
+// RequestOp is one operation of a TxnRequest; exactly one field is set.
 type RequestOp struct {
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest applies Success when every Compare holds.
+// TxnRequest applies the operations in Success if every Compare succeeds.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 }
 
-// TxnResponse tells whether Success was applied.
+// TxnResponse reports whether the operations in Success were applied.
 type TxnResponse struct {
 	Header    Header `json:"header"`
 	Succeeded bool   `json:"succeeded,omitempty"`
 }
 
-// LeaseRequest grants, renews or revokes; TTL is in seconds.
+// LeaseRequest grants, renews or revokes a lease; TTL is in seconds.
 type LeaseRequest struct {
 	ID  int64 `json:"ID,string,omitempty"`
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest; a renewal of a lapsed lease has no TTL.
+// LeaseResponse is the response to a LeaseRequest. TTL is zero if an expired lease was to be renewed.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string,omitempty"`
 	TTL    int64  `json:"TTL,string,omitempty"`
 }
 
-// StreamMessage is one message of a streamed answer.
+// StreamMessage is one message of a streamed response.
 type StreamMessage[T any] struct {
 	Result T      `json:"result"`
 	Error  *Error `json:"error,omitempty"`
 }
 
-// WatchCreate starts a watch.
+// WatchCreate holds the parameters of a watch.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
 	StartRevision int64  `json:"start_revision,string,omitempty"`
 }
 
-// WatchRequest is the one message that a watch sends.
+// WatchRequest is the only message that the client sends on a watch.
 type WatchRequest struct {
 	Create *WatchCreate `json:"create_request,omitempty"`
 }
 
-// Event is one change; an empty Type is a put.
+// Event is a change of a key; an empty Type means a put.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
@@ -149,13 +149,13 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// PathFault is the stand-in's own page for the faults of a test.
+// PathFault is the stand-in's path that sets faults for tests. etcd does not have it.
 const PathFault = "/fault"
 
-// Fault is what the stand-in does wrong from now on.
+// Fault describes the faults that the stand-in injects from now on.
 type Fault struct {
 	Down        bool  `json:"down"`
 	DelayMillis int64 `json:"delayMillis"`
-	// LoseAnswers is how many writes from now on take effect and lose their answers.
+	// LoseAnswers is the number of following writes that take effect without a response.
 	LoseAnswers int `json:"loseAnswers"`
 }
--- a/store/follow/follow.go
+++ b/store/follow/follow.go
@@ -10,51 +10,51 @@
 	"turmericgap/store/retry"
 )
 
-// Defaults.
+// Timeouts and delays of a Follower.
 const (
-	// DefaultListTimeout bounds one reading of all keys, of several pages.
+	// DefaultListTimeout limits the time for reading all keys, which may take several pages.
 	DefaultListTimeout = 5 * time.Second
-	// againMin and againMax bound the pauses after a failure; the longest is well below the two
-	// seconds in which new configuration must be in force.
-	againMin = 20 * time.Millisecond
-	againMax = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the delays after a failure. The maximum is well below the two seconds in which
+	// a new configuration must take effect.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
-// Follower follows the keys under Prefix. Its functions run on the goroutine of Run, one at a time.
+// Follower watches the keys under Prefix. Its callbacks run one at a time on the goroutine of Run.
 type Follower struct {
 	Store  *store.Store
 	Prefix string
-	// OnReset gets all keys as they were at a revision; what it does not name is gone. A reading that
-	// is older than what was heard already is left out, so that nothing goes back.
+	// OnReset receives all keys at a revision; keys that are not included do not exist. It is not called for a read
+	// that is older than the changes already received, so state never goes backwards.
 	OnReset func(pairs []store.Pair, revision int64)
-	// OnChange gets what changed since.
+	// OnChange receives the changes since the last callback.
 	OnChange func(events []store.Event, revision int64)
-	// OnContact, if set, is told after each answer of the store and after each failure.
+	// OnContact, if set, is called after each response of the store with nil, and after each failure with its error.
 	OnContact func(err error)
-	// MinInterval is kept between two answers of the watch, so that a busy prefix costs few calls.
+	// MinInterval is the minimum time between two batches of the watch; it reduces the calls for a busy prefix.
 	MinInterval time.Duration
 	Logger      *zap.Logger
 }
 
-// Run follows until ctx ends.
+// Run watches the keys until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	log := f.Logger
 	if log == nil {
 		log = zap.NewNop()
 	}
-	b := retry.New(retry.Bounds(againMin, againMax))
-	var at int64
+	b := retry.New(retry.Bounds(minBackoff, maxBackoff))
+	var revision int64
 	for ctx.Err() == nil {
-		next, err := f.list(ctx, at)
+		listed, err := f.list(ctx, revision)
 		if err == nil {
-			at = next
-			err = f.Store.Watch(ctx, f.Prefix, at+1, func(batch store.Batch) {
+			revision = listed
+			err = f.Store.Watch(ctx, f.Prefix, revision+1, func(batch store.Batch) {
 				b.Reset()
-				f.alive(nil)
+				f.reportContact(nil)
 				if len(batch.Events) > 0 {
 					f.OnChange(batch.Events, batch.Revision)
 				}
-				at = max(at, batch.Revision)
+				revision = max(revision, batch.Revision)
 				if len(batch.Events) > 0 && f.MinInterval > 0 {
 					retry.Sleep(ctx, f.MinInterval)
 				}
@@ -63,34 +63,36 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.alive(err)
-		log.Debug("follow: reading anew", zap.String("prefix", f.Prefix), zap.Int64("revision", at), zap.Error(err))
+		f.reportContact(err)
+		log.Debug("follow: watch ended; reading all keys again",
+			zap.String("prefix", f.Prefix), zap.Int64("revision", revision), zap.Error(err))
 		retry.Sleep(ctx, b.Next())
 	}
 }
 
-func (f *Follower) alive(err error) {
+func (f *Follower) reportContact(err error) {
 	if f.OnContact != nil {
 		f.OnContact(err)
 	}
 }
 
-func (f *Follower) list(ctx context.Context, heard int64) (int64, error) {
-	within, cancel := context.WithTimeout(ctx, DefaultListTimeout)
+// list reads all keys and returns the revision reached, which is never less than known.
+func (f *Follower) list(ctx context.Context, known int64) (int64, error) {
+	listCtx, cancel := context.WithTimeout(ctx, DefaultListTimeout)
 	defer cancel()
-	res, err := f.Store.Range(within, store.Range{Key: f.Prefix, End: store.PrefixEnd(f.Prefix)})
+	res, err := f.Store.Range(listCtx, store.Range{Key: f.Prefix, End: store.PrefixEnd(f.Prefix)})
 	if err != nil {
 		return 0, err
 	}
-	f.alive(nil)
-	if res.Revision < heard {
-		return heard, nil
+	f.reportContact(nil)
+	if res.Revision < known {
+		return known, nil
 	}
 	f.OnReset(res.Pairs, res.Revision)
 	return res.Revision, nil
 }
 
-// Puts gives the keys that were written by some changes, without those that were deleted.
+// Puts returns the pairs written by the events, without the deleted ones.
 func Puts(events []store.Event) []store.Pair {
 	var out []store.Pair
 	for i := range events {
--- a/store/health/doc.go
+++ b/store/health/doc.go
@@ -1,6 +1,6 @@
-// Package health tells whether the store answers this process.
+// Package health detects whether the store responds to this process.
 //
-// What is sent to a store that does not answer has an open outcome: it may be carried out later, so that
-// its caller can be told neither yes nor no. A Monitor sees each call of the process, and knows of an
-// outage from the calls that are made anyway, before more is sent into it.
+// A write sent to a store that does not respond has an unknown outcome: it may take effect later, so it can be reported
+// neither as done nor as failed. A Monitor observes every store call of the process and detects an outage from them,
+// without calls of its own, before more writes are sent.
 package health
--- a/store/health/health.go
+++ b/store/health/health.go
@@ -10,122 +10,123 @@
 )
 
 const (
-	// failuresMost is how many calls in a row end without use before the store counts as failing. One is
-	// a lost answer, or a watch that the store has cut.
-	failuresMost = 2
-	// silenceTimes is how many times the usual answer a call may take before the store counts as silent.
-	silenceTimes = 6
-	// silenceLeast is twenty times the answer of a store at its usual 4 ms, and covers a process that was
-	// not scheduled for a while. silenceMost is twice the answer of a store that is slow.
-	silenceLeast = 80 * time.Millisecond
-	silenceMost  = 700 * time.Millisecond
-	// usualWeight is the weight of the newest answer in the usual one.
-	usualWeight = 0.2
+	// maxFailures is the number of consecutive failed calls after which the store counts as failing. A single failure
+	// can be a lost response, or a watch that the store has closed.
+	maxFailures = 2
+	// silenceFactor is the multiple of the mean latency after which a pending call makes the store count as silent.
+	silenceFactor = 6
+	// minSilence is twenty times the usual latency of 4 ms, which also covers a process that was not scheduled for a
+	// while. maxSilence is twice the latency of a slow store.
+	minSilence = 80 * time.Millisecond
+	maxSilence = 700 * time.Millisecond
+	// latencyWeight is the weight of the newest call in the moving average of the latency.
+	latencyWeight = 0.2
 )
 
-// Monitor knows how the store has answered this process.
+// Monitor tracks the store's responses to this process.
 type Monitor struct {
-	mu       sync.Mutex
-	answered time.Time
-	// usual is how long an answer usually takes; watches, which wait at the store, do not count.
-	usual time.Duration
-	// failures are the calls that ended without use since the last answer, open those among them whose
-	// outcome is open.
-	failures, open streak
-	// pending holds when each call that has no answer yet was sent.
+	mu         sync.Mutex
+	lastAnswer time.Time
+	// meanLatency is the moving average of the latency of answered calls. Watches are excluded, since they wait for
+	// changes.
+	meanLatency time.Duration
+	// failures counts the failed calls since the last response; unknown counts those with an unknown outcome.
+	failures, unknown streak
+	// pending holds the send time of each call without a response.
 	pending map[int64]time.Time
 	calls   int64
 }
 
-// New returns a monitor, and the store whose calls it sees.
+// New returns a Monitor and a store that passes calls to s and reports them to the Monitor.
 func New(s *store.Store) (*Monitor, *store.Store) {
-	m := &Monitor{answered: time.Now(), pending: make(map[int64]time.Time)}
+	m := &Monitor{lastAnswer: time.Now(), pending: make(map[int64]time.Time)}
 	return m, &store.Store{
 		Range: func(ctx context.Context, r store.Range) (store.RangeResult, error) {
-			return see(ctx, m, func() (store.RangeResult, error) { return s.Range(ctx, r) })
+			return observe(ctx, m, func() (store.RangeResult, error) { return s.Range(ctx, r) })
 		},
 		Txn: func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-			return see(ctx, m, func() (store.TxnResult, error) { return s.Txn(ctx, t) })
+			return observe(ctx, m, func() (store.TxnResult, error) { return s.Txn(ctx, t) })
 		},
 		Grant: func(ctx context.Context, ttl time.Duration) (int64, error) {
-			return see(ctx, m, func() (int64, error) { return s.Grant(ctx, ttl) })
+			return observe(ctx, m, func() (int64, error) { return s.Grant(ctx, ttl) })
 		},
 		KeepAlive: func(ctx context.Context, lease int64) (time.Duration, error) {
-			return see(ctx, m, func() (time.Duration, error) { return s.KeepAlive(ctx, lease) })
+			return observe(ctx, m, func() (time.Duration, error) { return s.KeepAlive(ctx, lease) })
 		},
 		Revoke: func(ctx context.Context, lease int64) error {
-			_, err := see(ctx, m, func() (struct{}, error) { return struct{}{}, s.Revoke(ctx, lease) })
+			_, err := observe(ctx, m, func() (struct{}, error) { return struct{}{}, s.Revoke(ctx, lease) })
 			return err
 		},
 		Watch: func(ctx context.Context, prefix string, from int64, each func(store.Batch)) error {
 			err := s.Watch(ctx, prefix, from, func(b store.Batch) {
-				m.note(nil)
+				m.recordResult(nil)
 				each(b)
 			})
 			if ctx.Err() == nil {
-				m.note(err)
+				m.recordResult(err)
 			}
 			return err
 		},
 	}
 }
 
-// LastAnswer gives when the store last answered.
+// LastAnswer returns the time of the store's last response.
 func (m *Monitor) LastAnswer() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.answered
+	return m.lastAnswer
 }
 
-// Failing gives since when the store gives no answers that are of use, and whether it does so now: calls
-// in a row ended without one, or calls wait for longer than answers usually take and none has come since.
+// Failing reports whether the store is failing, and since when. It is failing if consecutive calls have failed, or if
+// a call has been pending for much longer than the mean latency and no response has arrived since it was sent.
 func (m *Monitor) Failing() (since time.Time, failing bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.failures.count >= failuresMost {
+	if m.failures.count >= maxFailures {
 		return m.failures.since, true
 	}
-	return m.waits()
+	return m.overdue()
 }
 
-// Silent is like Failing, and leaves out calls that the store surely did not carry out: one that declines
-// may be asked, since its answers are definite.
+// Silent is like Failing but ignores failed calls that did not take effect: a store that rejects calls can still be
+// called, since the outcome of each call is known.
 func (m *Monitor) Silent() (since time.Time, silent bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.open.count >= failuresMost {
-		return m.open.since, true
+	if m.unknown.count >= maxFailures {
+		return m.unknown.since, true
 	}
-	return m.waits()
+	return m.overdue()
 }
 
-// waits tells whether calls have waited for too long.
-func (m *Monitor) waits() (since time.Time, waits bool) {
-	oldest := m.oldest()
-	if oldest.IsZero() || time.Since(oldest) < m.silence() {
+// overdue reports whether a call has been pending for too long, and since when.
+func (m *Monitor) overdue() (since time.Time, isOverdue bool) {
+	oldest := m.oldestPending()
+	if oldest.IsZero() || time.Since(oldest) < m.silenceLimit() {
 		return time.Time{}, false
 	}
 	return oldest, true
 }
 
-// oldest is when the first call without an answer that was sent after the last answer was sent, zero if
-// there is none.
-func (m *Monitor) oldest() time.Time {
+// oldestPending returns the earliest send time of the pending calls that were sent after the last response, or zero
+// if there are none.
+func (m *Monitor) oldestPending() time.Time {
 	var oldest time.Time
 	for _, at := range m.pending {
-		if at.After(m.answered) && (oldest.IsZero() || at.Before(oldest)) {
+		if at.After(m.lastAnswer) && (oldest.IsZero() || at.Before(oldest)) {
 			oldest = at
 		}
 	}
 	return oldest
 }
 
-func (m *Monitor) silence() time.Duration {
-	return min(max(silenceTimes*m.usual, silenceLeast), silenceMost)
+func (m *Monitor) silenceLimit() time.Duration {
+	return min(max(silenceFactor*m.meanLatency, minSilence), maxSilence)
 }
 
-// see makes a call and notes how it ended. One that its caller gave up says nothing of the store.
-func see[T any](ctx context.Context, m *Monitor, call func() (T, error)) (T, error) {
+// observe makes a call and records its result. A call that was canceled by its caller is ignored, since it says nothing
+// about the store.
+func observe[T any](ctx context.Context, m *Monitor, call func() (T, error)) (T, error) {
 	sent := time.Now()
 	id := m.begin(sent)
 	res, err := call()
@@ -133,8 +134,8 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return res, err
 	}
-	if m.note(err) {
-		m.learn(time.Since(sent))
+	if m.recordResult(err) {
+		m.updateLatency(time.Since(sent))
 	}
 	return res, err
 }
@@ -153,22 +154,22 @@
 	delete(m.pending, id)
 }
 
-// note takes in how a call ended, and reports whether the store answered it.
-func (m *Monitor) note(err error) bool {
+// recordResult records the result of a call and reports whether the store responded.
+func (m *Monitor) recordResult(err error) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err != nil && !errors.Is(err, store.ErrLeaseGone) && !errors.Is(err, store.ErrCompacted) {
 		m.failures.add()
 		if !store.NotApplied(err) {
-			m.open.add()
+			m.unknown.add()
 		}
 		return false
 	}
-	m.answered, m.failures, m.open = time.Now(), streak{}, streak{}
+	m.lastAnswer, m.failures, m.unknown = time.Now(), streak{}, streak{}
 	return true
 }
 
-// streak is a number of calls in a row, since the first of them.
+// streak counts consecutive failed calls and holds the time of the first one.
 type streak struct {
 	count int
 	since time.Time
@@ -180,8 +181,8 @@
 	}
 }
 
-func (m *Monitor) learn(took time.Duration) {
+func (m *Monitor) updateLatency(took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.usual += time.Duration(usualWeight * float64(took-m.usual))
+	m.meanLatency += time.Duration(latencyWeight * float64(took-m.meanLatency))
 }
--- a/store/health/health_test.go
+++ b/store/health/health_test.go
@@ -11,21 +11,21 @@
 	"turmericgap/store/memory"
 )
 
-// A process that makes a call every 20 ms must know of an outage before it has sent much into it, and not
-// take a lost answer or a slow store for one.
+// Guards against late detection of an outage, and against detecting one when a response is lost or the store is slow.
+// The process makes a call every 20 ms.
 func TestFailing(t *testing.T) {
 	const never = time.Duration(-1)
 	for name, c := range map[string]struct {
 		fault func(f *memory.Faults)
-		// within is how long after the fault the store must count as failing, never if it must not.
+		// within is the maximum time until the fault is detected, or never if it must not be detected.
 		within time.Duration
 	}{
-		"silent":             {func(f *memory.Faults) { f.Cut(true) }, 110 * time.Millisecond},
-		"declines":           {func(f *memory.Faults) { f.Down(true) }, 45 * time.Millisecond},
-		"one answer lost":    {func(f *memory.Faults) { f.LoseNext(1) }, never},
-		"a little slower":    {func(f *memory.Faults) { f.Delay(30 * time.Millisecond) }, never},
-		"all answers lost":   {func(f *memory.Faults) { f.LoseAnswer(true) }, 45 * time.Millisecond},
-		"everything is well": {func(*memory.Faults) {}, never},
+		"silent":           {func(f *memory.Faults) { f.Cut(true) }, 110 * time.Millisecond},
+		"rejects calls":    {func(f *memory.Faults) { f.Down(true) }, 45 * time.Millisecond},
+		"one answer lost":  {func(f *memory.Faults) { f.LoseNext(1) }, never},
+		"a little slower":  {func(f *memory.Faults) { f.Delay(30 * time.Millisecond) }, never},
+		"all answers lost": {func(f *memory.Faults) { f.LoseAnswer(true) }, 45 * time.Millisecond},
+		"no fault":         {func(*memory.Faults) {}, never},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,16 +42,16 @@
 				}
 				_, failing := m.Failing()
 				is.True(!failing)
-				began := time.Now()
+				start := time.Now()
 				c.fault(faults)
-				noticed := never
-				for time.Since(began) < 600*time.Millisecond {
+				detected := never
+				for time.Since(start) < 600*time.Millisecond {
 					step()
-					if _, failing := m.Failing(); failing && noticed == never {
-						noticed = time.Since(began)
+					if _, failing := m.Failing(); failing && detected == never {
+						detected = time.Since(start)
 					}
 				}
-				is.True(noticed <= c.within && (noticed == never) == (c.within == never))
+				is.True(detected <= c.within && (detected == never) == (c.within == never))
 				faults.Down(false)
 				faults.Cut(false)
 				faults.LoseAnswer(false)
@@ -66,7 +66,7 @@
 	}
 }
 
-// A store that has become slow counts as failing until its first answer has come, and not afterwards.
+// Guards against a slow store that counts as failing after its first slow response.
 func TestSlowStoreIsNotFailing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -77,7 +77,7 @@
 		for range 200 {
 			go func() { _, _ = s.Txn(t.Context(), store.Txn{Then: []store.Op{{Key: "k"}}}) }()
 			time.Sleep(20 * time.Millisecond)
-			if _, is := m.Failing(); is {
+			if _, isFailing := m.Failing(); isFailing {
 				failing++
 			}
 		}
--- a/store/memory/doc.go
+++ b/store/memory/doc.go
@@ -1,3 +1,3 @@
-// Package memory is the platform's key-value service held in memory, on the runtime's clock. It is
-// the core of the stand-in server and, with faults put into single clients, the service of tests.
+// Package memory implements the platform's key-value service in memory, using the runtime's clock. The stand-in server
+// is based on it, and tests use it with faults injected into individual clients.
 package memory
--- a/store/memory/faults.go
+++ b/store/memory/faults.go
@@ -9,26 +9,26 @@
 	"turmericgap/store"
 )
 
-// DefaultCallTimeout bounds a call that a cut network leaves without an answer.
+// DefaultCallTimeout is the time after which a call without a response fails during a network cut.
 const DefaultCallTimeout = 5 * time.Second
 
-// Faults is what goes wrong between one client and the service; all of it may be changed at any time.
+// Faults controls the faults injected between one client and the service. It is safe for concurrent use.
 type Faults struct {
 	mu       sync.Mutex
 	down     bool
 	reset    bool
 	cut      bool
 	delay    time.Duration
-	lose     int
+	loseN    int
 	loseAll  bool
-	late     int
-	lateBy   time.Duration
+	deferN   int
+	deferBy  time.Duration
 	calls    int64
 	watching int
-	changed  chan struct{}
+	changed  chan struct{} // closed at the next update
 }
 
-func (f *Faults) set(change func()) {
+func (f *Faults) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -38,47 +38,46 @@
 	f.changed = make(chan struct{})
 }
 
-// Down makes every call fail at once with store.ErrNotSent and ends the watches.
-func (f *Faults) Down(on bool) { f.set(func() { f.down = on }) }
+// Down makes every call fail immediately with store.ErrNotSent and ends the watches.
+func (f *Faults) Down(on bool) { f.update(func() { f.down = on }) }
 
-// Reset is like Down, but calls do not tell that they were not carried out, as when connections are reset.
-func (f *Faults) Reset(on bool) { f.set(func() { f.down, f.reset = on, on }) }
+// Reset is like Down, but the outcome of the calls is unknown, as after a connection reset.
+func (f *Faults) Reset(on bool) { f.update(func() { f.down, f.reset = on, on }) }
 
-// IsDown reports whether calls fail at once.
+// IsDown reports whether calls fail immediately.
 func (f *Faults) IsDown() bool { return f.state().down }
 
-// Cut drops every message in both directions: calls wait, then fail without telling what became of
-// them, and watches hear nothing until they fail.
-func (f *Faults) Cut(on bool) { f.set(func() { f.cut = on }) }
+// Cut drops every message in both directions: calls time out with an unknown outcome, and watches receive nothing until
+// they fail.
+func (f *Faults) Cut(on bool) { f.update(func() { f.cut = on }) }
 
-// Delay makes each call take d, half of it before the service acts.
-func (f *Faults) Delay(d time.Duration) { f.set(func() { f.delay = d }) }
+// Delay makes each call take d, one half before and one half after the service executes it.
+func (f *Faults) Delay(d time.Duration) { f.update(func() { f.delay = d }) }
 
-// LoseAnswer makes calls take effect and then fail.
-func (f *Faults) LoseAnswer(on bool) { f.set(func() { f.loseAll = on }) }
+// LoseAnswer makes all calls take effect and then fail.
+func (f *Faults) LoseAnswer(on bool) { f.update(func() { f.loseAll = on }) }
 
-// LoseNext makes the next n calls that are not reads take effect and then fail.
-func (f *Faults) LoseNext(n int) { f.set(func() { f.lose = n }) }
+// LoseNext makes the next n calls other than reads take effect and then fail.
+func (f *Faults) LoseNext(n int) { f.update(func() { f.loseN = n }) }
 
-// DeferNext makes the next n writes fail at once and take effect after d, as messages do that the
-// network held back.
-func (f *Faults) DeferNext(n int, d time.Duration) { f.set(func() { f.late, f.lateBy = n, d }) }
+// DeferNext makes the next n writes fail immediately and take effect after d, as if the network delayed them.
+func (f *Faults) DeferNext(n int, d time.Duration) { f.update(func() { f.deferN, f.deferBy = n, d }) }
 
-// Calls counts the calls so far; a watch counts as one.
+// Calls returns the number of calls so far; a watch counts as one.
 func (f *Faults) Calls() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// WatchCount counts the watches that wait now.
+// WatchCount returns the number of active watches.
 func (f *Faults) WatchCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watching
 }
 
-// faultState is one reading of the faults.
+// faultState is a snapshot of the faults; changed is closed at the next update.
 type faultState struct {
 	down, reset, cut bool
 	delay            time.Duration
@@ -94,37 +93,37 @@
 	return faultState{f.down, f.reset, f.cut, f.delay, f.changed}
 }
 
-// before is the way of a call to the service.
-func (f *Faults) before(ctx context.Context) error {
+// beforeCall simulates sending a request to the service.
+func (f *Faults) beforeCall(ctx context.Context) error {
 	f.mu.Lock()
 	f.calls++
 	f.mu.Unlock()
 	if st := f.state(); st.down {
 		if st.reset {
-			return errLost
+			return errConnectionLost
 		}
-		return errors.Join(store.ErrNotSent, errLost)
+		return errors.Join(store.ErrNotSent, errConnectionLost)
 	}
-	return f.travel(ctx)
+	return f.transmit(ctx)
 }
 
-// after is the way of an answer back.
-func (f *Faults) after(ctx context.Context, write bool) error {
+// afterCall simulates receiving the response.
+func (f *Faults) afterCall(ctx context.Context, write bool) error {
 	f.mu.Lock()
 	lost := f.loseAll
-	if write && f.lose > 0 {
-		f.lose--
+	if write && f.loseN > 0 {
+		f.loseN--
 		lost = true
 	}
 	f.mu.Unlock()
 	if lost {
-		return errLost
+		return errConnectionLost
 	}
-	return f.travel(ctx)
+	return f.transmit(ctx)
 }
 
-// travel takes half of the delay; a message that meets a cut is lost.
-func (f *Faults) travel(ctx context.Context) error {
+// transmit delays a message by half of the configured delay. A message sent during a cut is lost after a timeout.
+func (f *Faults) transmit(ctx context.Context) error {
 	st := f.state()
 	if st.delay > 0 && !st.cut {
 		if err := wait(ctx, st.delay/2, nil); err != nil {
@@ -134,29 +133,30 @@
 	}
 	if !st.cut {
 		if st.down {
-			return errLost
+			return errConnectionLost
 		}
 		return nil
 	}
 	if err := wait(ctx, DefaultCallTimeout, st.changed); err != nil {
 		return err
 	}
-	return errLost
+	return errConnectionLost
 }
 
-func wait(ctx context.Context, d time.Duration, early <-chan struct{}) error {
+// wait returns nil after d or when wake is closed, and an error if ctx ends first.
+func wait(ctx context.Context, d time.Duration, wake <-chan struct{}) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return errors.Join(errLost, ctx.Err())
+		return errors.Join(errConnectionLost, ctx.Err())
 	case <-t.C:
-	case <-early:
+	case <-wake:
 	}
 	return nil
 }
 
-// Client gives a client whose calls go through f.
+// Client returns a client that is subject to the faults f.
 func (s *Service) Client(f *Faults) *store.Store {
 	return &store.Store{
 		Range: func(ctx context.Context, r store.Range) (store.RangeResult, error) {
@@ -176,39 +176,39 @@
 			return err
 		},
 		Watch: func(ctx context.Context, prefix string, from int64, each func(store.Batch)) error {
-			return s.watchThrough(ctx, f, prefix, from, each)
+			return s.watchWithFaults(ctx, f, prefix, from, each)
 		},
 	}
 }
 
-func (f *Faults) takeLate(write bool) (time.Duration, bool) {
+func (f *Faults) takeDeferred(write bool) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !write || f.late == 0 {
+	if !write || f.deferN == 0 {
 		return 0, false
 	}
-	f.late--
-	return f.lateBy, true
+	f.deferN--
+	return f.deferBy, true
 }
 
 func call[T any](ctx context.Context, f *Faults, write bool, do func() (T, error)) (T, error) {
 	var zero T
-	if err := f.before(ctx); err != nil {
+	if err := f.beforeCall(ctx); err != nil {
 		return zero, err
 	}
-	if d, late := f.takeLate(write); late {
-		time.AfterFunc(d, func() { _, _ = do() }) // nobody waits for its answer any more
-		return zero, errLost
+	if d, late := f.takeDeferred(write); late {
+		time.AfterFunc(d, func() { _, _ = do() }) // the caller has already received an error
+		return zero, errConnectionLost
 	}
 	res, err := do()
-	if lost := f.after(ctx, write); lost != nil {
+	if lost := f.afterCall(ctx, write); lost != nil {
 		return zero, lost
 	}
 	return res, err
 }
 
-func (s *Service) watchThrough(ctx context.Context, f *Faults, prefix string, from int64, each func(store.Batch)) error {
-	if err := f.before(ctx); err != nil {
+func (s *Service) watchWithFaults(ctx context.Context, f *Faults, prefix string, from int64, each func(store.Batch)) error {
+	if err := f.beforeCall(ctx); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -221,10 +221,10 @@
 		f.watching--
 		f.mu.Unlock()
 	}()
-	go f.breakWatch(ctx, cancel)
+	go f.cancelOnFault(ctx, cancel)
 	err := s.watch(ctx, prefix, from, func(b store.Batch) {
-		if f.travel(ctx) != nil {
-			cancel(errLost)
+		if f.transmit(ctx) != nil {
+			cancel(errConnectionLost)
 		}
 		if ctx.Err() == nil {
 			each(b)
@@ -236,16 +236,17 @@
 	return err
 }
 
-// breakWatch ends a watch whose network stays cut or whose service goes down.
-func (f *Faults) breakWatch(ctx context.Context, cancel context.CancelCauseFunc) {
+// cancelOnFault cancels a watch when the service goes down, or when a network cut ends or has lasted for
+// DefaultCallTimeout.
+func (f *Faults) cancelOnFault(ctx context.Context, cancel context.CancelCauseFunc) {
 	for ctx.Err() == nil {
 		st := f.state()
 		switch {
 		case st.down:
-			cancel(errLost)
+			cancel(errConnectionLost)
 		case st.cut:
 			_ = wait(ctx, DefaultCallTimeout, st.changed)
-			cancel(errLost)
+			cancel(errConnectionLost)
 		default:
 			select {
 			case <-ctx.Done():
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -13,15 +13,15 @@
 	"turmericgap/store"
 )
 
-// Defaults.
+// Default limits of the history.
 const (
-	// DefaultHistory is how many changes a watch can resume over.
+	// DefaultHistory is the number of revisions that are kept for watches to resume from.
 	DefaultHistory = 4096
-	// DefaultHistoryBytes bounds the values that the history keeps alive.
+	// DefaultHistoryBytes limits the size of the keys and values in the history.
 	DefaultHistoryBytes = 64 << 20
 )
 
-// Service holds keys, leases and a bounded history of changes.
+// Service is a key-value service with leases and a bounded history of changes.
 type Service struct {
 	maxHistory      int
 	maxHistoryBytes int
@@ -30,16 +30,16 @@
 	revision     int64
 	pairs        map[string]store.Pair
 	keys         []string // sorted
-	leases       map[int64]*grant
+	leases       map[int64]*lease
 	lastLease    int64
 	history      []store.Batch // one per revision
 	historyBytes int
-	compacted    int64 // the newest revision that is no longer in the history
-	changed      chan struct{}
+	compacted    int64         // the newest revision that is no longer in the history
+	changed      chan struct{} // closed at the next change
 }
 
-// grant is one lease; its timer ends it.
-type grant struct {
+// lease is a lease with the timer that expires it.
+type lease struct {
 	ttl      time.Duration
 	deadline time.Time
 	timer    *time.Timer
@@ -53,7 +53,7 @@
 		maxHistoryBytes: DefaultHistoryBytes,
 		revision:        1,
 		pairs:           make(map[string]store.Pair),
-		leases:          make(map[int64]*grant),
+		leases:          make(map[int64]*lease),
 		changed:         make(chan struct{}),
 	}
 	for _, o := range opts {
@@ -62,7 +62,7 @@
 	return s
 }
 
-// Store gives a client without faults.
+// Store returns a client without faults.
 func (s *Service) Store() *store.Store {
 	return &store.Store{
 		Range:     s.rangeKeys,
@@ -74,14 +74,14 @@
 	}
 }
 
-// Revision gives the newest revision.
+// Revision returns the current revision.
 func (s *Service) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Size gives how many keys there are and the bytes of their values.
+// Size returns the number of keys and the total size of their values.
 func (s *Service) Size() (keys, valueBytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	return len(s.pairs), valueBytes
 }
 
-// Compact forgets all history, as the service may do at any time.
+// Compact discards the history, as the real service may do at any time.
 func (s *Service) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	res := store.RangeResult{Revision: s.revision}
-	for _, key := range s.between(r.Key, r.End) {
+	for _, key := range s.keysInRange(r.Key, r.End) {
 		if r.Limit > 0 && int64(len(res.Pairs)) == r.Limit {
 			res.More = true
 			break
@@ -112,8 +112,8 @@
 	return res, nil
 }
 
-// between gives the present keys from key up to, but without, end; only key when end is empty.
-func (s *Service) between(key, end string) []string {
+// keysInRange returns the existing keys in [key, end), or only key if end is empty.
+func (s *Service) keysInRange(key, end string) []string {
 	from, found := slices.BinarySearch(s.keys, key)
 	if end == "" {
 		if !found {
@@ -128,18 +128,18 @@
 	return s.keys[from:max(from, to)]
 }
 
-// allKeys as the end of a range stands for no end.
+// allKeys as the end of a range means that the range has no end.
 const allKeys = "\x00"
 
 func (s *Service) txn(_ context.Context, t store.Txn) (store.TxnResult, error) {
-	if err := check(t); err != nil {
+	if err := validate(t); err != nil {
 		return store.TxnResult{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range t.Compares {
 		if s.revisionOf(c) != c.Revision {
-			return store.TxnResult{Revision: s.revision, Existing: s.found(t.Compares)}, nil
+			return store.TxnResult{Revision: s.revision, Existing: s.existing(t.Compares)}, nil
 		}
 	}
 	for _, op := range t.Then {
@@ -150,7 +150,7 @@
 	next := store.Batch{Revision: s.revision + 1}
 	for _, op := range t.Then {
 		if op.Delete {
-			s.remove(&next, slices.Clone(s.between(op.Key, op.End)))
+			s.remove(&next, slices.Clone(s.keysInRange(op.Key, op.End)))
 		} else {
 			s.put(&next, op)
 		}
@@ -159,8 +159,8 @@
 	return store.TxnResult{Succeeded: true, Revision: s.revision}, nil
 }
 
-// found gives the compared keys that exist.
-func (s *Service) found(compares []store.Compare) []store.Pair {
+// existing returns the compared keys that exist.
+func (s *Service) existing(compares []store.Compare) []store.Pair {
 	var out []store.Pair
 	for _, c := range compares {
 		if p, ok := s.pairs[c.Key]; ok {
@@ -170,9 +170,9 @@
 	return out
 }
 
-func check(t store.Txn) error {
+func validate(t store.Txn) error {
 	if len(t.Then) > store.MaxTxnOps || len(t.Compares) > store.MaxTxnOps {
-		return fmt.Errorf("too many operations: %w", store.ErrInvalid)
+		return fmt.Errorf("too many operations or compares: %w", store.ErrInvalid)
 	}
 	for i, op := range t.Then {
 		if op.Key == "" {
@@ -183,14 +183,14 @@
 		}
 		for _, other := range t.Then[:i] {
 			if overlap(op, other) {
-				return fmt.Errorf("key %q twice in one transaction: %w", op.Key, store.ErrInvalid)
+				return fmt.Errorf("duplicate key %q in one transaction: %w", op.Key, store.ErrInvalid)
 			}
 		}
 	}
 	return nil
 }
 
-// overlap reports whether a put's key meets another operation; two deletes may overlap.
+// overlap reports whether two operations affect the same key; two deletes are allowed to.
 func overlap(a, b store.Op) bool {
 	if a.Delete && b.Delete {
 		return false
@@ -220,7 +220,7 @@
 	}
 	if ok {
 		p.CreateRevision = old.CreateRevision
-		s.unbind(old)
+		s.detachLease(old)
 	} else {
 		at, _ := slices.BinarySearch(s.keys, op.Key)
 		s.keys = slices.Insert(s.keys, at, op.Key)
@@ -232,7 +232,7 @@
 	b.Events = append(b.Events, store.Event{Pair: p})
 }
 
-func (s *Service) unbind(p store.Pair) {
+func (s *Service) detachLease(p store.Pair) {
 	if g, ok := s.leases[p.Lease]; ok {
 		delete(g.keys, p.Key)
 	}
@@ -240,7 +240,7 @@
 
 func (s *Service) remove(b *store.Batch, keys []string) {
 	for _, key := range keys {
-		s.unbind(s.pairs[key])
+		s.detachLease(s.pairs[key])
 		delete(s.pairs, key)
 		at, _ := slices.BinarySearch(s.keys, key)
 		s.keys = slices.Delete(s.keys, at, at+1)
@@ -248,7 +248,7 @@
 	}
 }
 
-// publish makes a revision with changes the newest one and wakes the watches.
+// publish makes b the current revision, adds it to the history and wakes the watches. It ignores an empty batch.
 func (s *Service) publish(b store.Batch) {
 	if len(b.Events) == 0 {
 		return
@@ -275,20 +275,20 @@
 
 func (s *Service) grant(_ context.Context, ttl time.Duration) (int64, error) {
 	if ttl <= 0 {
-		return 0, fmt.Errorf("lease without a time to live: %w", store.ErrInvalid)
+		return 0, fmt.Errorf("lease TTL is not positive: %w", store.ErrInvalid)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastLease++
 	id := s.lastLease
-	g := &grant{ttl: ttl, deadline: time.Now().Add(ttl), keys: make(map[string]struct{})}
-	g.timer = time.AfterFunc(ttl, func() { s.lapse(id) })
+	g := &lease{ttl: ttl, deadline: time.Now().Add(ttl), keys: make(map[string]struct{})}
+	g.timer = time.AfterFunc(ttl, func() { s.expire(id) })
 	s.leases[id] = g
 	return id, nil
 }
 
-// lapse ends a lease, unless a renewal came between the timer and the lock.
-func (s *Service) lapse(id int64) {
+// expire ends a lease, unless it was renewed between the timer's expiry and the lock.
+func (s *Service) expire(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g, ok := s.leases[id]
@@ -299,10 +299,10 @@
 		g.timer.Reset(left)
 		return
 	}
-	s.end(id, g)
+	s.endLease(id, g)
 }
 
-func (s *Service) end(id int64, g *grant) {
+func (s *Service) endLease(id int64, g *lease) {
 	g.timer.Stop()
 	keys := make([]string, 0, len(g.keys))
 	for key := range g.keys {
@@ -334,7 +334,7 @@
 	if !ok {
 		return store.ErrLeaseGone
 	}
-	s.end(id, g)
+	s.endLease(id, g)
 	return nil
 }
 
@@ -343,7 +343,7 @@
 		from = s.Revision() + 1
 	}
 	for {
-		batches, next, changed, err := s.since(prefix, from)
+		batches, next, changed, err := s.changesSince(prefix, from)
 		if err != nil {
 			return err
 		}
@@ -355,7 +355,7 @@
 		}
 		from = next
 		if len(batches) > 0 {
-			continue // Changes may have come while each ran.
+			continue // more changes may have been made while each ran
 		}
 		select {
 		case <-ctx.Done():
@@ -365,9 +365,9 @@
 	}
 }
 
-// since gives the changes under prefix at or after revision from, the revision to ask for next,
-// and a channel that is closed at the next change.
-func (s *Service) since(prefix string, from int64) ([]store.Batch, int64, <-chan struct{}, error) {
+// changesSince returns the changes under prefix at or after revision from, the revision for the next call, and a
+// channel that is closed at the next change.
+func (s *Service) changesSince(prefix string, from int64) ([]store.Batch, int64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from <= s.compacted {
@@ -389,5 +389,5 @@
 	return out, max(from, s.revision+1), s.changed, nil
 }
 
-// errLost is what a client sees of a call whose outcome it cannot know.
-var errLost = errors.New("connection to the store lost")
+// errConnectionLost is the error of a call whose outcome the client cannot know.
+var errConnectionLost = errors.New("connection to the store lost")
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -26,8 +26,8 @@
 	return store.Txn{Then: []store.Op{{Key: key, Value: []byte("value"), Lease: lease}}}
 }
 
-// A watcher sees the key of a holder that stopped renewing go, and not before its time to live ended.
-func TestLeaseLapses(t *testing.T) {
+// Guards against a key that outlives its lease, or is deleted before the lease's TTL ends.
+func TestLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := memory.New().Store()
@@ -57,11 +57,11 @@
 	})
 }
 
-// A watch that cannot resume without a gap must say so.
+// Guards against a watch that resumes with a gap after the history was compacted.
 func TestCompacted(t *testing.T) {
 	cases := map[string]func(*memory.Service){
-		"bounded by number": func(*memory.Service) {},
-		"by the service":    func(s *memory.Service) { s.Compact() },
+		"history limit":       func(*memory.Service) {},
+		"explicit compaction": func(s *memory.Service) { s.Compact() },
 	}
 	for name, compact := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// What a caller hears under each fault, and whether its write took effect in truth.
+// Guards against faults that report a wrong outcome to the caller or have a wrong effect on the write.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -129,7 +129,7 @@
 	}
 }
 
-// A watch through a cut network hears nothing and then fails; it resumes without a gap.
+// Guards against a watch that receives changes during a network cut, does not fail, or resumes with a gap.
 func TestWatchCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/store/memory/options.go
+++ b/store/memory/options.go
@@ -1,9 +1,9 @@
 package memory
 
-// Option sets up a Service.
+// Option configures a Service.
 type Option func(*Service)
 
-// History bounds the changes that a watch can resume over, by their number and their bytes.
+// History limits the number and the bytes of the changes that are kept for watches to resume from.
 func History(changes, valueBytes int) Option {
 	return func(s *Service) { s.maxHistory, s.maxHistoryBytes = changes, valueBytes }
 }
--- a/store/meter/doc.go
+++ b/store/meter/doc.go
@@ -1,3 +1,3 @@
-// Package meter counts a process's calls of the store and keeps them within its budget: the service
-// counts every call, and its rates grow more slowly than the fleet.
+// Package meter counts a process's store calls and limits their rate to a budget. The service accounts for every call,
+// and its rate limits grow more slowly than the fleet.
 package meter
--- a/store/meter/meter.go
+++ b/store/meter/meter.go
@@ -12,14 +12,14 @@
 	"turmericgap/store"
 )
 
-// Defaults.
+// Default budget of one process.
 const (
-	// DefaultRate is the calls a second of one process.
+	// DefaultRate is in calls per second.
 	DefaultRate  = 50.0
 	DefaultBurst = 50
 )
 
-// Names of the metrics; each kind of call has its own counter below calls and errors.
+// Names of the metrics. Those that end in a dot are prefixes; the kind of call is appended.
 const (
 	metricCalls    = "store.calls."
 	metricErrors   = "store.errors."
@@ -37,20 +37,20 @@
 	watching atomic.Int64
 }
 
-// Option sets up a meter.
+// Option configures a meter.
 type Option func(*meter)
 
-// Budget sets the calls a second and at once.
+// Budget sets the maximum calls per second and the burst.
 func Budget(perSecond float64, burst int) Option {
 	return func(m *meter) { m.rate, m.burst = perSecond, burst }
 }
 
-// Metrics sets where the calls are counted.
+// Metrics sets the registry for the metrics.
 func Metrics(r *metric.Registry) Option { return func(m *meter) { m.metrics = r } }
 
-// New returns s within a budget. A call waits for its turn as long as its context lets it, and
-// fails with store.ErrBudget when that is too short. Renewals and revocations of leases are charged
-// but never wait: behind a queue of other calls a lease would lapse.
+// New returns a store that limits the calls of s to a budget. A call waits until the budget allows it, and fails with
+// store.ErrBudget if its context would end first. Renewals and revocations of leases are charged to the budget but
+// never wait, since a lease could expire while its renewal is queued behind other calls.
 func New(s *store.Store, opts ...Option) *store.Store {
 	m := &meter{inner: s, rate: DefaultRate, burst: DefaultBurst}
 	for _, o := range opts {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (m *meter) turn(ctx context.Context) error {
+func (m *meter) acquire(ctx context.Context) error {
 	if err := m.limiter.Wait(ctx); err != nil {
 		m.metrics.Counter(metricRefused).Inc(1)
 		return errors.Join(store.ErrBudget, err)
@@ -75,8 +75,8 @@
 
 func (m *meter) charge() { m.limiter.Reserve() }
 
-// count runs one call and counts it under its kind.
-func count[T any](m *meter, kind string, do func() (T, error)) (T, error) {
+// instrument makes one call and updates the metrics for its kind.
+func instrument[T any](m *meter, kind string, do func() (T, error)) (T, error) {
 	m.metrics.Counter(metricCalls + kind).Inc(1)
 	started := time.Now()
 	res, err := do()
@@ -88,39 +88,39 @@
 }
 
 func (m *meter) rangeKeys(ctx context.Context, r store.Range) (store.RangeResult, error) {
-	if err := m.turn(ctx); err != nil {
+	if err := m.acquire(ctx); err != nil {
 		return store.RangeResult{}, err
 	}
-	return count(m, "range", func() (store.RangeResult, error) { return m.inner.Range(ctx, r) })
+	return instrument(m, "range", func() (store.RangeResult, error) { return m.inner.Range(ctx, r) })
 }
 
 func (m *meter) txn(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-	if err := m.turn(ctx); err != nil {
+	if err := m.acquire(ctx); err != nil {
 		return store.TxnResult{}, err
 	}
-	return count(m, "txn", func() (store.TxnResult, error) { return m.inner.Txn(ctx, t) })
+	return instrument(m, "txn", func() (store.TxnResult, error) { return m.inner.Txn(ctx, t) })
 }
 
 func (m *meter) grant(ctx context.Context, ttl time.Duration) (int64, error) {
-	if err := m.turn(ctx); err != nil {
+	if err := m.acquire(ctx); err != nil {
 		return 0, err
 	}
-	return count(m, "grant", func() (int64, error) { return m.inner.Grant(ctx, ttl) })
+	return instrument(m, "grant", func() (int64, error) { return m.inner.Grant(ctx, ttl) })
 }
 
 func (m *meter) keepAlive(ctx context.Context, lease int64) (time.Duration, error) {
 	m.charge()
-	return count(m, "keepAlive", func() (time.Duration, error) { return m.inner.KeepAlive(ctx, lease) })
+	return instrument(m, "keepAlive", func() (time.Duration, error) { return m.inner.KeepAlive(ctx, lease) })
 }
 
 func (m *meter) revoke(ctx context.Context, lease int64) error {
 	m.charge()
-	_, err := count(m, "revoke", func() (struct{}, error) { return struct{}{}, m.inner.Revoke(ctx, lease) })
+	_, err := instrument(m, "revoke", func() (struct{}, error) { return struct{}{}, m.inner.Revoke(ctx, lease) })
 	return err
 }
 
 func (m *meter) watch(ctx context.Context, prefix string, from int64, each func(store.Batch)) error {
-	if err := m.turn(ctx); err != nil {
+	if err := m.acquire(ctx); err != nil {
 		return err
 	}
 	m.metrics.Counter(metricCalls + "watch").Inc(1)
--- a/store/meter/meter_test.go
+++ b/store/meter/meter_test.go
@@ -15,8 +15,8 @@
 	"turmericgap/store/meter"
 )
 
-// A process that asks for more than its budget is held back, and told so when it cannot wait; its
-// lease is renewed all the same.
+// Guards against calls beyond the budget, against calls that wait longer than their context, and against delayed lease
+// renewals.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -30,7 +30,7 @@
 			_, err := s.Range(ctx, store.Range{Key: "a"})
 			is.NoErr(err)
 		}
-		is.Equal(time.Since(start), 2*time.Second) // 25 calls less the burst, at 10 a second
+		is.Equal(time.Since(start), 2*time.Second) // 25 calls minus the burst of 5, at 10 per second
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 		_, err = s.Txn(short, store.Txn{Then: []store.Op{{Key: "a"}}})
--- a/store/registry.go
+++ b/store/registry.go
@@ -6,15 +6,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Opener makes a Store for an endpoint, whose form is the plug-in's own.
+// Opener creates a Store for an endpoint. The format of the endpoint depends on the plug-in.
 type Opener func(endpoint string) (*Store, error)
 
 var openers = map[string]Opener{}
 
-// Register adds a plug-in under a name; plug-ins call it from init.
+// Register adds a plug-in under a name. Plug-ins call it from init.
 func Register(name string, o Opener) { openers[name] = o }
 
-// Names lists the plug-ins that this program knows.
+// Names returns the sorted names of the registered plug-ins.
 func Names() []string {
 	names := make([]string, 0, len(openers))
 	for name := range openers {
@@ -24,11 +24,11 @@
 	return names
 }
 
-// Open makes the Store of the named plug-in.
+// Open creates a Store with the named plug-in.
 func Open(name, endpoint string) (*Store, error) {
 	open, ok := openers[name]
 	if !ok {
-		return nil, eris.Errorf("store %q is not known; known are %v", name, Names())
+		return nil, eris.Errorf("unknown store plug-in %q; available: %v", name, Names())
 	}
 	return open(endpoint)
 }
--- a/store/retry/doc.go
+++ b/store/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry spaces out repeated calls: exponential backoff with jitter, so that many processes
-// that lost the store at the same moment do not come back at the same moment.
+// Package retry implements exponential backoff with jitter. The jitter prevents many processes that lost the store at
+// the same time from retrying at the same time.
 package retry
--- a/store/retry/retry.go
+++ b/store/retry/retry.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Defaults.
+// Default bounds of the delays.
 const (
 	DefaultMin = 20 * time.Millisecond
 	DefaultMax = 2 * time.Second
 	factor     = 2
 )
 
-// Backoff gives the pauses between tries; it belongs to one goroutine.
+// Backoff computes the delays between retries. It must be used by one goroutine only.
 type Backoff struct {
 	min, max time.Duration
 	next     time.Duration
 }
 
-// Option sets up a Backoff.
+// Option configures a Backoff.
 type Option func(*Backoff)
 
-// Bounds bounds the pauses.
-func Bounds(least, most time.Duration) Option {
-	return func(b *Backoff) { b.min, b.max = least, most }
+// Bounds sets the initial and the maximum delay.
+func Bounds(minDelay, maxDelay time.Duration) Option {
+	return func(b *Backoff) { b.min, b.max = minDelay, maxDelay }
 }
 
-// New returns a Backoff that starts with its shortest pause.
+// New returns a Backoff that starts with the minimum delay.
 func New(opts ...Option) *Backoff {
 	b := &Backoff{min: DefaultMin, max: DefaultMax}
 	for _, o := range opts {
@@ -37,17 +37,17 @@
 	return b
 }
 
-// Next gives the next pause: from half to the whole of a time that doubles up to the longest.
+// Next returns the next delay. The delay before jitter doubles with each call, up to the maximum.
 func (b *Backoff) Next() time.Duration {
 	d := b.next
 	b.next = min(b.next*factor, b.max)
 	return Jitter(d)
 }
 
-// Jitter spreads d over half of itself up to all of it, so that processes do not act in step.
+// Jitter returns a random duration from d/2 to d, so that processes do not retry at the same time.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-// Sleep waits and says whether ctx still goes on.
+// Sleep waits for d and returns true, or returns false as soon as ctx ends.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -59,10 +59,10 @@
 	}
 }
 
-// Reset starts again with the shortest pause.
+// Reset sets the next delay to the minimum.
 func (b *Backoff) Reset() { b.next = b.min }
 
-// Wait pauses; it fails when ctx ends first.
+// Wait sleeps for the next delay. It returns the context's error if ctx ends first.
 func (b *Backoff) Wait(ctx context.Context) error {
 	if !Sleep(ctx, b.Next()) {
 		return ctx.Err()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Read repeats a call that changes nothing until it succeeds or ctx ends; its last error is then given.
+// Read retries a read-only call until it succeeds or ctx ends, and returns the last result and error.
 func Read[T any](ctx context.Context, read func(context.Context) (T, error), opts ...Option) (T, error) {
 	b := New(opts...)
 	for {
--- a/store/retry/retry_test.go
+++ b/store/retry/retry_test.go
@@ -12,8 +12,8 @@
 	"turmericgap/store/retry"
 )
 
-// Many processes lose the store at once and must not come back at once, nor all the time.
-// Each pause lies between half and the whole of a bound that doubles up to the longest.
+// Guards against many processes that retry at the same moment or too often after a store outage.
+// Each delay must be between half of a bound and the bound, which doubles up to the maximum.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	seen := map[time.Duration]bool{}
@@ -27,7 +27,7 @@
 		b.Reset()
 		is.True(b.Next() <= time.Second)
 	}
-	is.True(len(seen) > 400) // of 500: they differ
+	is.True(len(seen) > 400) // 500 delays were drawn; most must differ
 }
 
 func TestRead(t *testing.T) {
@@ -36,23 +36,23 @@
 		fails int
 		want  int
 		err   bool
-	}{{"at once", 0, 1, false}, {"after an outage", 5, 6, false}, {"given up", 1 << 30, 0, true}}
+	}{{"first attempt", 0, 1, false}, {"after an outage", 5, 6, false}, {"context ends", 1 << 30, 0, true}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
-				tries := 0
+				attempts := 0
 				got, err := retry.Read(ctx, func(context.Context) (int, error) {
-					if tries++; tries <= c.fails {
+					if attempts++; attempts <= c.fails {
 						return 0, errors.New("down")
 					}
-					return tries, nil
+					return attempts, nil
 				})
 				is.Equal(err != nil, c.err)
 				if c.err {
-					is.True(tries < 80) // of a minute at pauses of one to two seconds
+					is.True(attempts < 80) // one minute with delays of one to two seconds
 				} else {
 					is.Equal(got, c.want)
 				}
--- a/store/store.go
+++ b/store/store.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value that the platform's service holds.
+// MaxValueBytes is the maximum size of a value in the platform's service.
 const MaxValueBytes = 1 << 20
 
-// Errors whose meaning is definite. Any other error of a Txn leaves open whether it took effect:
-// its caller reads, and decides by what it finds.
+// Errors with a definite meaning. After any other error of a Txn it is unknown whether the Txn took effect; the caller
+// has to read the keys to find out.
 var (
-	// ErrNotSent means that the call surely did not take effect.
+	// ErrNotSent means that the call did not take effect, because it was not sent.
 	ErrNotSent = errors.New("store call not sent")
-	// ErrLeaseGone means that the lease has lapsed or was revoked.
+	// ErrLeaseGone means that the lease has expired or was revoked.
 	ErrLeaseGone = errors.New("store lease gone")
-	// ErrCompacted means that a watch cannot resume from its revision and must read anew.
+	// ErrCompacted means that a watch cannot resume from its revision; the caller must read the keys again.
 	ErrCompacted = errors.New("store watch compacted")
-	// ErrBudget means that this process's allowance of calls is spent; the call was not sent.
+	// ErrBudget means that the call was not sent, because this process's call budget is exhausted.
 	ErrBudget = errors.New("store call budget spent")
 )
 
-// Pair is a key with its value and revisions.
+// Pair is a key with its value, revisions and lease.
 type Pair struct {
 	Key            string
 	Value          []byte
@@ -32,23 +32,23 @@
 	Lease          int64
 }
 
-// CompareTarget is what a Compare looks at.
+// CompareTarget is the field that a Compare checks.
 type CompareTarget string
 
-// The targets of a Compare.
+// Targets of a Compare.
 const (
 	CreateRevision CompareTarget = "CREATE"
 	ModRevision    CompareTarget = "MOD"
 )
 
-// Compare holds when the key's revision equals Revision; zero stands for a key that is not there.
+// Compare succeeds if the key's revision equals Revision; a missing key has revision zero.
 type Compare struct {
 	Key      string
 	Target   CompareTarget
 	Revision int64
 }
 
-// Op puts or deletes; with End set a delete takes all keys from Key up to, but without, End.
+// Op is a put or a delete. A delete with End set deletes the keys in [Key, End).
 type Op struct {
 	Delete bool
 	Key    string
@@ -57,61 +57,60 @@
 	Lease  int64
 }
 
-// Txn applies all of Then when every Compare holds, and nothing otherwise.
+// Txn applies all operations in Then if every Compare succeeds, and none otherwise.
 type Txn struct {
 	Compares []Compare
 	Then     []Op
 }
 
-// TxnResult tells whether a Txn applied and at which revision of the store.
+// TxnResult reports whether a Txn was applied, and the store's revision.
 type TxnResult struct {
 	Succeeded bool
 	Revision  int64
-	// Existing holds the compared keys that exist, as they stood when a Compare failed; a service may
-	// leave it out.
+	// Existing holds those of the compared keys that existed when a Compare failed. Some services do not return it.
 	Existing []Pair
 }
 
-// Range asks for a key, or with End set for all keys from Key up to, but without, End.
+// Range requests a single key, or with End set the keys in [Key, End).
 type Range struct {
 	Key   string
 	End   string
 	Limit int64
 }
 
-// RangeResult is one consistent reading.
+// RangeResult is a consistent read at one revision.
 type RangeResult struct {
 	Pairs    []Pair
 	Revision int64
-	// More says that Limit cut the list; Pairs is then not the whole answer.
+	// More reports whether further keys exist beyond Limit.
 	More bool
 }
 
-// Event is one change of a key.
+// Event is a change of a key.
 type Event struct {
 	Deleted bool
 	Pair    Pair
 }
 
-// Batch is all changes of one or more revisions, in order. Revision is the last one it covers.
+// Batch holds all changes of one or more revisions, in order. Revision is the last revision it covers.
 type Batch struct {
 	Revision int64
 	Events   []Event
 }
 
-// Store is the platform's service as the cell uses it.
+// Store holds the operations of the key-value service that the cell uses.
 type Store struct {
 	Range     func(ctx context.Context, r Range) (RangeResult, error)
 	Txn       func(ctx context.Context, t Txn) (TxnResult, error)
 	Grant     func(ctx context.Context, ttl time.Duration) (lease int64, err error)
 	KeepAlive func(ctx context.Context, lease int64) (ttl time.Duration, err error)
 	Revoke    func(ctx context.Context, lease int64) error
-	// Watch calls each with the changes under prefix that come at or after revision from, in
-	// order and without a gap, until ctx ends or it fails; ErrCompacted asks for a new reading.
+	// Watch calls each with the changes under prefix at or after revision from, in order and without gaps, until ctx
+	// ends or the watch fails. After ErrCompacted the caller must read the keys again.
 	Watch func(ctx context.Context, prefix string, from int64, each func(Batch)) error
 }
 
-// PrefixEnd gives the End that makes a Range or delete cover all keys that start with prefix.
+// PrefixEnd returns the End for a Range or delete of all keys that start with prefix.
 func PrefixEnd(prefix string) string {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
