--- a/record/commit.go
+++ b/record/commit.go
@@ -151,10 +151,11 @@
 	defer j.mu.Unlock()
 	j.stats.Segments++
 	j.stats.SegmentBytes += size
-	j.updateSegmentMetrics()
+	j.updateSnapshotDue()
 }
 
-func (j *Journal) updateSegmentMetrics() {
+// updateSnapshotDue updates snapshotDue and the segment metric; the caller holds mu.
+func (j *Journal) updateSnapshotDue() {
 	j.snapshotDue = j.stats.Segments >= j.maxSegments || j.stats.SegmentBytes >= j.maxSegmentBytes
 	j.metrics.Gauge(metricSegments).Update(int64(j.stats.Segments))
 }
--- a/record/snapshot.go
+++ b/record/snapshot.go
@@ -212,7 +212,7 @@
 	j.stats.SnapshotBytes = s.bytes
 	j.stats.Segments -= covered
 	j.stats.SegmentBytes -= removed
-	j.updateSegmentMetrics()
+	j.updateSnapshotDue()
 	j.snapshotPending = false
 	j.metrics.Counter(metricSnapshots).Inc(1)
 }
