--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -75,7 +75,7 @@
 	p.rules = configuration.NewRules(logger.Part(p.log, "configuration"))
 	p.relay = relay.NewServer(p.client.Agent)
 	p.relays = relay.New(relay.Options{
-		Self: s.ID, Own: ownWorkers(s), Direct: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
+		Self: s.ID, MaxDirect: ownWorkers(s), DirectAgent: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
 		Logger: logger.Part(p.log, "relay"), Metrics: service.Metrics(),
 	})
 	p.dispatch = dispatch.New(
@@ -83,15 +83,15 @@
 		dispatch.Config(func() *job.Config { return p.config.Current() }), dispatch.Rules(p.rules.Current),
 		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.askFrom(ask)),
 		dispatch.Upkeep(waves(p.client, s)),
-		dispatch.Bounds(s.MostHold, s.StopWithin, s.KeepEnded),
+		dispatch.Limits(s.MostHold, s.StopWithin, s.KeepEnded),
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.askConfig, logger.Part(p.log, "configuration"))
 	p.group = owner.New(kv, owner.Node{ID: s.ID, Zone: s.Zone, Address: s.Peers, Strength: strength(s)},
 		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Take),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
-		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, Permits: ask,
-		Decide: p.rules.Decide, StoreHeard: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
+		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, AskPermit: ask,
+		EvaluateRules: p.rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
 	})
 	p.config.Start()
 	p.group.Start()
@@ -111,7 +111,7 @@
 	}
 	return &dispatch.Waves{
 		Prefix: platform.WavesPrefix, Decode: platform.DecodeWave, Status: platform.WaveStatus, Cloud: client.Cloud(s.Cloud),
-		Self: s.ID, Lease: s.HolderLease, Away: s.UpkeepTakes, SinceBoot: sinceBoot,
+		Self: s.ID, Lease: s.HolderLease, UpkeepDuration: s.UpkeepTakes, SinceBoot: sinceBoot,
 	}
 }
 
@@ -164,14 +164,14 @@
 }
 
 func (p *parts) serve(l listeners) {
-	handler := platform.Ingress(&platform.Callers{
+	handler := platform.IngressHandler(&platform.IngressBackend{
 		Config: p.config.Current, Submit: p.front.Submit, Status: p.front.Status, Cancel: p.front.Cancel,
-		Waiting: p.front.Waiting, Decided: p.decided,
+		Waiting: p.front.Waiting, OnAnswered: p.decided,
 	})
 	p.callers = &http.Server{
 		Handler: handler, MaxHeaderBytes: usualHeaderBytes, ReadHeaderTimeout: usualHeaderTimeout, IdleTimeout: usualIdleTimeout,
 	}
-	p.ready = &http.Server{Handler: platform.Readiness(p.check), ReadHeaderTimeout: usualHeaderTimeout}
+	p.ready = &http.Server{Handler: platform.ReadinessHandler(p.check), ReadHeaderTimeout: usualHeaderTimeout}
 	go p.run("callers", func() error { return p.callers.Serve(l.callers) })
 	go p.run("readiness", func() error { return p.ready.Serve(l.ready) })
 	go p.report()
@@ -220,7 +220,7 @@
 		if from.ID == p.settings.ID {
 			return local(ctx, q)
 		}
-		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodAsk, q)
+		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodAskPermit, q)
 	}
 }
 
--- a/front/front.go
+++ b/front/front.go
@@ -36,8 +36,8 @@
 	if o.Metrics == nil {
 		o.Metrics = metric.New()
 	}
-	if o.Decide == nil {
-		o.Decide = func(*job.Work) rule.Effect { return rule.Effect{} }
+	if o.EvaluateRules == nil {
+		o.EvaluateRules = func(*job.Work) rule.Effect { return rule.Effect{} }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Front{o: o, cancel: cancel}
@@ -60,7 +60,7 @@
 func (f *Front) Submit(ctx context.Context, w *job.Work) error {
 	begun := time.Now()
 	w.Zone = f.o.Group.Self().Zone
-	if e := f.o.Decide(w); e.Refuse != "" {
+	if e := f.o.EvaluateRules(w); e.Refuse != "" {
 		return f.refuse(ctx, w, &e)
 	}
 	err := f.submit(ctx, w, begun)
@@ -109,7 +109,7 @@
 func (f *Front) ownerAccept(ctx context.Context, w *job.Work) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
+	if f.o.Dispatcher.IsOwner() {
 		return f.o.Dispatcher.Accept(ctx, w)
 	}
 	peer, err := f.owner(ctx)
@@ -151,7 +151,7 @@
 // calls of some VMs while it serves the others; the work would be refused though it could run.
 func (f *Front) submitElsewhere(ctx context.Context, w *job.Work, cause error) error {
 	fault := rpc.AsFault(cause)
-	if fault == nil || fault.Code != rpc.CodeRefused || f.o.Dispatcher.Leads() {
+	if fault == nil || fault.Code != rpc.CodeRefused || f.o.Dispatcher.IsOwner() {
 		return cause
 	}
 	peer, ok := f.locate(ctx)
@@ -172,7 +172,7 @@
 
 // offer tells the owner of new work; if that fails, its watch finds the work.
 func (f *Front) offer(w *job.Work) {
-	if f.o.Dispatcher.Leads() {
+	if f.o.Dispatcher.IsOwner() {
 		ctx, cancel := context.WithTimeout(context.Background(), offerWithin)
 		defer cancel()
 		f.logOffer(w, f.o.Dispatcher.Offer(ctx, []job.Work{*w}))
@@ -213,7 +213,7 @@
 func (f *Front) ownerStatus(ctx context.Context, id string) (job.WorkState, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerWithin)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
+	if f.o.Dispatcher.IsOwner() {
 		return f.o.Dispatcher.Status(ctx, id)
 	}
 	peer, err := f.owner(ctx)
@@ -274,7 +274,7 @@
 }
 
 func (f *Front) ownerCancel(ctx context.Context, id string) error {
-	if f.o.Dispatcher.Leads() {
+	if f.o.Dispatcher.IsOwner() {
 		return f.o.Dispatcher.Cancel(ctx, id)
 	}
 	peer, err := f.owner(ctx)
@@ -292,7 +292,7 @@
 func (f *Front) Waiting(ctx context.Context, queue string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerWithin)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
+	if f.o.Dispatcher.IsOwner() {
 		return f.o.Dispatcher.Waiting(ctx, queue)
 	}
 	peer, err := f.owner(ctx)
--- a/view/view.go
+++ b/view/view.go
@@ -201,7 +201,7 @@
 	}
 	present := make(map[string]bool)
 	for _, p := range got.Pairs {
-		if strings.HasPrefix(p.Key, member.PresentPrefix) {
+		if strings.HasPrefix(p.Key, member.PresencePrefix) {
 			present[p.Key] = true
 			continue
 		}
@@ -229,7 +229,7 @@
 			return
 		}
 		k.board.offerTables(t)
-	case strings.HasPrefix(key, member.PresentPrefix):
+	case strings.HasPrefix(key, member.PresencePrefix):
 		k.board.offerPresence(key, !e.Deleted)
 	}
 }
