--- a/scheduler/follow.go
+++ b/scheduler/follow.go
@@ -22,13 +22,13 @@
 			l.mayHaveRenewed = now
 		}
 		if t.valid() {
-			t.fleet.Missed(now, l.info.ID)
+			t.fleet.RecordMissedHeartbeat(now, l.info.ID)
 		}
 		t.openWorker(now, l)
 		return
 	}
 	l.mayHaveRenewed, l.answered, l.answeredAt, l.boot = now, true, b.began, b.reply.Boot
-	t.fleet.Seen(now, l.info.ID)
+	t.fleet.RecordHeartbeat(now, l.info.ID)
 	t.openWorker(now, l)
 	for i := range b.reply.Reports {
 		t.onListed(l, &b.reply.Reports[i], now)
@@ -157,7 +157,7 @@
 	if len(e.tasks) == 1 && !e.Spec.Repeatable {
 		id = ""
 	}
-	t.fleet.Outcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
+	t.fleet.RecordOutcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
 	if l := t.links[k.Worker]; l != nil {
 		t.openWorker(now, l)
 	}
@@ -207,7 +207,7 @@
 	}
 	e.close()
 	t.planner.DropPending(e.id)
-	t.fleet.Forget(e.id)
+	t.fleet.ForgetJob(e.id)
 	t.countAnswers(e)
 	s := e.status(t.o.Zone)
 	for _, w := range e.waiters {
