--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,70 +13,71 @@
 
 // The states of a member.
 const (
-	// Unknown means that the member is listed and nothing is known of it directly.
+	// Unknown means that the member is listed but has not answered yet.
 	Unknown State = "unknown"
-	// Healthy means that nothing speaks against it.
+	// Healthy means that the member answers and no failures count against it.
 	Healthy State = "open"
-	// Suspect means that its heartbeats fail, or that it fails while no more may be ejected.
+	// Suspect means that the member's heartbeats fail, or that its tasks fail but the ejection limit is reached.
 	Suspect State = "suspect"
+	// Ejected means that the member gets nothing until its back-off has passed.
 	Ejected State = "ejected"
-	// Probing means that it is let back one task at a time.
+	// Probing means that the member gets a limited number of tasks until enough of them have succeeded.
 	Probing State = "probing"
-	// Draining means that it leaves: it keeps what it has.
+	// Draining means that the member is leaving: its tasks keep running and it gets no new ones.
 	Draining State = "draining"
-	// Gone means that it is no longer listed; what it runs is given up only when its lease has
-	// surely lapsed, which is for its owner to count.
+	// Gone means that the member is no longer listed. Its tasks may still run until its lease has expired, which
+	// the owner tracks.
 	Gone State = "gone"
 )
 
 // Decision says whether a member may get new work.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
-	// Deny gives it nothing new.
+	// Deny allows no new work.
 	Deny Decision = iota
-	// AllowProbes gives it one task at a time, or up to Limit.
+	// AllowProbes allows up to Admission.Limit tasks at a time.
 	AllowProbes
-	// Allow gives it whatever fits.
+	// Allow allows any work that fits.
 	Allow
 )
 
-// Admission is a verdict with its reason; the reason is empty for Open.
+// Admission is a decision with its reason, which is empty for Allow.
 type Admission struct {
 	Decision Decision
-	// Limit is how many tasks it may have at once under Probe: it doubles with each that succeeds.
+	// Limit is the maximum number of concurrent tasks under AllowProbes; it doubles with each successful probe.
 	Limit  int
 	Reason string
 }
 
-// ListEntry is what the VM list says of a member.
+// ListEntry is a member's entry in the VM list.
 type ListEntry struct {
 	ID      string
 	Zone    string
 	Leaving bool
 }
 
-// Ejection tells operators of one member that does not get all the work it could.
+// Ejection describes, for operators, a member that is restricted or gets no new work.
 type Ejection struct {
 	ID    string    `json:"id"`
 	Zone  string    `json:"zone,omitempty"`
 	State State     `json:"state"`
 	Since time.Time `json:"since"`
-	// Until is when an ejected member is probed; zero otherwise.
+	// Until is when probing of an ejected member begins; zero in other states.
 	Until  time.Time `json:"until,omitzero"`
 	Reason string    `json:"reason"`
 }
 
-// Fleet is the health of all members; it may be used by several goroutines.
+// Fleet tracks the health of all members; it is safe for concurrent use.
 type Fleet struct {
 	opts Options
 	mu   sync.Mutex
-	// now is the newest time that a caller told.
-	now     time.Time
+	// latest is the latest time that a caller passed in.
+	latest  time.Time
 	members map[string]*member
-	jobs    map[string]*work
-	classes map[string]*work
+	jobs    map[string]*outcomeHistory
+	classes map[string]*outcomeHistory
 }
 
 // New returns a fleet without members.
@@ -84,27 +85,29 @@
 	o := Options{
 		FailureThreshold: DefaultFailureThreshold, FailureWindow: DefaultFailureWindow, MissedThreshold: DefaultMissedThreshold,
 		RequiredProbes: DefaultRequiredProbes, BackOff: DefaultBackOff, MaxBackOff: DefaultMaxBackOff,
-		EjectionDivisor: DefaultEjectionDivisor, MinHealthyFailures: DefaultMinHealthyFailures, Retention: DefaultRetention, ListLag: DefaultListLag,
+		EjectionDivisor: DefaultEjectionDivisor, MinHealthyFailures: DefaultMinHealthyFailures,
+		Retention: DefaultRetention, ListLag: DefaultListLag,
 	}
 	for _, f := range opts {
 		f(&o)
 	}
 	return &Fleet{
-		opts: o, members: make(map[string]*member), jobs: make(map[string]*work), classes: make(map[string]*work),
+		opts: o, members: make(map[string]*member),
+		jobs: make(map[string]*outcomeHistory), classes: make(map[string]*outcomeHistory),
 	}
 }
 
-// RecordHeartbeat tells that the member answered a heartbeat.
+// RecordHeartbeat records that the member answered a heartbeat.
 func (f *Fleet) RecordHeartbeat(now time.Time, id string) {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
-	m.alive(now)
+	m.markAlive(now)
 }
 
-// RecordMissedHeartbeat tells that a heartbeat of the member failed.
+// RecordMissedHeartbeat records that a heartbeat to the member failed.
 func (f *Fleet) RecordMissedHeartbeat(now time.Time, id string) {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
 	m.missed++
@@ -113,52 +116,52 @@
 	}
 }
 
-// RecordOutcome tells how a task or request ended that the member ran; an empty job stands for a job of
-// a single task or request, of which nothing is remembered. What the caller cancelled, what was
-// stopped, and what was never sent are no outcomes.
+// RecordOutcome records whether a task or request succeeded on the member. An empty job stands for a job of a
+// single task or request, for which no history is kept. Tasks and requests that were cancelled, stopped or never
+// sent must not be recorded.
 func (f *Fleet) RecordOutcome(now time.Time, id, job, class string, ok bool) {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
-	j, c := f.work(f.jobs, job, now), f.work(f.classes, class, now)
+	j, c := f.history(f.jobs, job, now), f.history(f.classes, class, now)
 	if ok {
-		m.alive(now)
-		j.succeeded(id)
-		c.succeeded(id)
-		f.succeeded(now, m)
+		m.markAlive(now)
+		j.recordSuccess(id)
+		c.recordSuccess(id)
+		f.applySuccess(now, m)
 		return
 	}
-	j.failed(id)
-	c.failed(id)
-	f.failed(now, m, failure{job: job, class: class, at: now})
-	f.exonerate(now, job, class)
+	j.recordFailure(id)
+	c.recordFailure(id)
+	f.applyFailure(now, m, failure{job: job, class: class, at: now})
+	f.clearFailures(now, job, class)
 }
 
-// UpdateList takes in a reading of the VM list.
+// UpdateList applies a new reading of the VM list.
 func (f *Fleet) UpdateList(now time.Time, l []ListEntry) {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	listed := make(map[string]bool, len(l))
 	for _, e := range l {
 		listed[e.ID] = true
 		m := f.member(now, e.ID)
-		m.zone, m.listed, m.vanished = e.Zone, true, false
+		m.zone, m.listed, m.delisted = e.Zone, true, false
 		m.setLeaving(now, e.Leaving)
 	}
-	f.unlisted(now, listed)
+	f.markDelisted(now, listed)
 }
 
-// unlisted marks the members that a reading no longer has, and forgets those without any sign.
+// markDelisted marks the members that are missing from the list, and removes those without recent contact.
 //
-// Failure: the VM list restarts and shows a fraction of the cell. Symptom: no worker gets work.
-// A reading that drops more than half of the members at once, unannounced, is not believed of a
-// member that gives a direct sign after it; one that is truly gone gives none.
-func (f *Fleet) unlisted(now time.Time, listed map[string]bool) {
+// A VM list that has restarted may show only a fraction of the cell; trusting it would leave no worker for new
+// work. If more than half of the members disappear at once without having been marked as leaving, a member that
+// is heard from afterwards stays in use. A member that is really gone is not heard from again.
+func (f *Fleet) markDelisted(now time.Time, listed map[string]bool) {
 	var missing []*member
 	announced := 0
 	for _, m := range f.members {
-		known := m.listed || now.Sub(m.firstSign) > f.opts.ListLag
-		if listed[m.id] || m.vanished || !known {
+		known := m.listed || now.Sub(m.firstContact) > f.opts.ListLag
+		if listed[m.id] || m.delisted || !known {
 			continue
 		}
 		missing = append(missing, m)
@@ -166,20 +169,20 @@
 			announced++
 		}
 	}
-	sudden := len(missing) - announced
-	mass := sudden >= minMass && sudden > len(listed)
+	unannounced := len(missing) - announced
+	distrusted := unannounced >= minMassDelisting && unannounced > len(listed)
 	for _, m := range missing {
-		m.vanished, m.vanishedAt, m.massVanished = true, now, mass && !m.leaving
+		m.delisted, m.delistedAt, m.listDistrusted = true, now, distrusted && !m.leaving
 	}
 	maps.DeleteFunc(f.members, func(id string, m *member) bool {
-		return !listed[id] && now.Sub(m.lastSign()) > f.opts.Retention
+		return !listed[id] && now.Sub(m.lastContact()) > f.opts.Retention
 	})
-	f.trimWork(now)
+	f.trimHistories(now)
 }
 
-// Admission tells whether the member may get new work now.
+// Admission returns whether the member may get new work now.
 func (f *Fleet) Admission(now time.Time, id string) Admission {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
 	if !ok {
@@ -190,7 +193,7 @@
 	case state == Healthy:
 		return Admission{Decision: Allow}
 	case state == Probing:
-		return Admission{Decision: AllowProbes, Limit: 1 << m.probes, Reason: reason}
+		return Admission{Decision: AllowProbes, Limit: 1 << m.probeSuccesses, Reason: reason}
 	case state == Unknown, state == Suspect && m.missed < f.opts.MissedThreshold:
 		return Admission{Decision: AllowProbes, Limit: 1, Reason: reason}
 	default:
@@ -198,9 +201,9 @@
 	}
 }
 
-// State gives the member's state.
+// State returns the member's state.
 func (f *Fleet) State(now time.Time, id string) State {
-	f.lock(now)
+	f.lockAt(now)
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
 	if !ok {
@@ -210,11 +213,11 @@
 	return state
 }
 
-// Ejections lists, by id, the members that are neither open nor unknown, as of the newest call.
+// Ejections lists the members that are neither Healthy nor Unknown, ordered by ID, as of the latest time passed in.
 func (f *Fleet) Ejections() []Ejection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.now
+	now := f.latest
 	var out []Ejection
 	for _, m := range f.members {
 		state, reason := f.state(now, m)
@@ -223,7 +226,7 @@
 		}
 		e := Ejection{ID: m.id, Zone: m.zone, State: state, Since: m.since(state), Reason: reason}
 		if state == Ejected {
-			e.Until = m.until
+			e.Until = m.probeAt
 		}
 		out = append(out, e)
 	}
@@ -231,39 +234,42 @@
 	return out
 }
 
-// JobFailing tells whether the job fails for its own sake: on several members that are sound.
+// JobFailing reports whether the job itself is at fault: it fails on several members that are otherwise healthy.
 func (f *Fleet) JobFailing(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.jobFailing(job)
 }
 
-// ClassFailing tells whether all jobs of the class fail, on several members that are sound.
+// ClassFailing reports whether the class itself is at fault: all its jobs fail, on several members that are
+// otherwise healthy.
 func (f *Fleet) ClassFailing(class string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.classFailing(class)
 }
 
-// ForgetJob drops what is known of a job that is final.
+// ForgetJob drops the history of a job that has ended.
 func (f *Fleet) ForgetJob(job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.jobs, job)
 }
 
+// member returns the member with the ID and adds it if it is new.
 func (f *Fleet) member(now time.Time, id string) *member {
 	m, ok := f.members[id]
 	if !ok {
-		m = &member{id: id, firstSign: now}
+		m = &member{id: id, firstContact: now}
 		f.members[id] = m
 	}
 	return m
 }
 
-func (f *Fleet) lock(now time.Time) {
+// lockAt locks the fleet and advances its latest time.
+func (f *Fleet) lockAt(now time.Time) {
 	f.mu.Lock()
-	if now.After(f.now) {
-		f.now = now
+	if now.After(f.latest) {
+		f.latest = now
 	}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// The properties run from a fixed seed, so that a verdict does not change from run to run.
+// The property tests use a fixed seed, so that results are reproducible.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -20,10 +20,10 @@
 	}
 }
 
-var start = time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC)
 
-// cell lists n workers in zones of four and lets each answer a heartbeat.
-func cell(n int, opts ...Option) (f *Fleet, ids []string) {
+// newTestFleet returns a fleet of n workers, four in each zone, that have all answered a heartbeat.
+func newTestFleet(n int, opts ...Option) (f *Fleet, ids []string) {
 	f = New(opts...)
 	var l []ListEntry
 	for i := range n {
@@ -31,20 +31,19 @@
 		ids = append(ids, id)
 		l = append(l, ListEntry{ID: id, Zone: fmt.Sprintf("z%d", i/4)})
 	}
-	f.UpdateList(start, l)
+	f.UpdateList(startTime, l)
 	for _, id := range ids {
-		f.RecordHeartbeat(start, id)
+		f.RecordHeartbeat(startTime, id)
 	}
 	return f, ids
 }
 
-// The caller's job fails wherever it runs, one or two such jobs at a time, among jobs that succeed.
-// Its failures come in any order on any workers, several times on each.
-// No worker may be ejected for them, since all workers are sound.
+// Jobs that fail on every worker must not eject healthy workers. Up to two such jobs fail in any order on any
+// workers, several times on each, while other jobs succeed.
 func TestFailingJobEjectsNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, ids := cell(rapid.IntRange(1, 12).Draw(t, "workers"))
-		now := start
+		f, ids := newTestFleet(rapid.IntRange(1, 12).Draw(t, "workers"))
+		now := startTime
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			id := rapid.SampledFrom(ids).Draw(t, "worker")
@@ -65,14 +64,14 @@
 	})
 }
 
-// A worker fails everything that it starts, while the same jobs succeed on others.
-// Some failures are of jobs that it failed before; the first N that count eject it.
-// Without the comparison with other workers, a batch of one job would never eject it.
+// A worker that fails all its tasks must be ejected after FailureThreshold failures if the same jobs succeed on
+// other workers, even if all failures are of a single job. Without the comparison with other workers, repeated
+// failures of one job would never count.
 func TestFailingWorkerIsEjected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, ids := cell(rapid.IntRange(4, 12).Draw(t, "workers"))
+		f, ids := newTestFleet(rapid.IntRange(4, 12).Draw(t, "workers"))
 		jobs := rapid.IntRange(1, 5).Draw(t, "jobs")
-		now := start
+		now := startTime
 		for j := range jobs {
 			for _, id := range ids[1:] {
 				f.RecordOutcome(now, id, fmt.Sprint("job", j), "roster", true)
@@ -87,12 +86,12 @@
 	})
 }
 
-// Anything fails and succeeds anywhere, in any order, with time passing.
-// The ejected part stays within its share, and each zone keeps a worker in use.
-func TestShareHolds(t *testing.T) {
+// With any order of failures and successes, ejections must stay within the limit and leave a worker in use in
+// each zone.
+func TestEjectionLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, ids := cell(rapid.IntRange(1, 13).Draw(t, "workers"))
-		now := start
+		f, ids := newTestFleet(rapid.IntRange(1, 13).Draw(t, "workers"))
+		now := startTime
 		for i := range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 			id := rapid.SampledFrom(ids).Draw(t, "worker")
@@ -122,13 +121,13 @@
 	})
 }
 
-// A worker fails everything, is ejected, fails some probes, and heals.
-// It gets nothing before its back-off ends, then one task at a time, and all after enough successes.
-func TestHealedWorkerReturns(t *testing.T) {
+// A worker is ejected, fails some probes and recovers. It must get nothing during its back-off, a limited number
+// of tasks while it is probed, and everything after enough probes have succeeded.
+func TestRecoveredWorkerReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		f, ids := cell(6)
-		now := start
+		f, ids := newTestFleet(6)
+		now := startTime
 		for i := range DefaultFailureThreshold {
 			f.RecordOutcome(now, ids[0], fmt.Sprint("first", i), "roster", false)
 		}
@@ -149,66 +148,66 @@
 	})
 }
 
-// All workers of a broken release's class fail, each job once, so that single workers look bad.
-// Once three sound workers have seen the class fail, those it ejected are let back at once.
-func TestBrokenClassIsExonerated(t *testing.T) {
+// A broken release makes every job of a class fail, so that a worker is ejected for failures that are not its
+// own. Once the class has failed on three otherwise healthy workers, the ejected worker must be probed at once.
+func TestBrokenClassReinstatesMembers(t *testing.T) {
 	is := is.New(t)
-	f, ids := cell(9)
+	f, ids := newTestFleet(9)
 	for _, id := range ids {
-		f.RecordOutcome(start, id, "before", "matching", true)
+		f.RecordOutcome(startTime, id, "before", "matching", true)
 	}
 	for i := range DefaultFailureThreshold {
-		f.RecordOutcome(start, ids[0], fmt.Sprint("roster", i), "roster", false)
+		f.RecordOutcome(startTime, ids[0], fmt.Sprint("roster", i), "roster", false)
 	}
-	is.Equal(f.State(start, ids[0]), Ejected)
-	f.RecordOutcome(start, ids[1], "roster8", "roster", false)
-	f.RecordOutcome(start, ids[2], "roster9", "roster", false)
+	is.Equal(f.State(startTime, ids[0]), Ejected)
+	f.RecordOutcome(startTime, ids[1], "roster8", "roster", false)
+	f.RecordOutcome(startTime, ids[2], "roster9", "roster", false)
 	is.True(f.ClassFailing("roster"))
-	is.Equal(f.State(start, ids[0]), Probing)
-	f.RecordOutcome(start, ids[1], "repaired", "roster", true)
+	is.Equal(f.State(startTime, ids[0]), Probing)
+	f.RecordOutcome(startTime, ids[1], "repaired", "roster", true)
 	is.True(!f.ClassFailing("roster"))
 }
 
 func TestJobFailing(t *testing.T) {
 	is := is.New(t)
-	f, ids := cell(8)
+	f, ids := newTestFleet(8)
 	for _, id := range ids[:4] {
-		f.RecordOutcome(start, id, "other", "matching", true)
+		f.RecordOutcome(startTime, id, "other", "matching", true)
 	}
 	for i, id := range ids[:3] {
 		is.True(!f.JobFailing("bad"))
-		f.RecordOutcome(start, id, "bad", "sweep", false)
+		f.RecordOutcome(startTime, id, "bad", "sweep", false)
 		is.Equal(f.JobFailing("bad"), i == 2)
 	}
-	f.RecordOutcome(start, ids[1], "another", "roster", false) // It fails otherwise, so it is no witness.
+	f.RecordOutcome(startTime, ids[1], "another", "roster", false) // Other work fails here too, so it no longer counts.
 	is.True(!f.JobFailing("bad"))
-	f.RecordOutcome(start, ids[3], "bad", "sweep", false)
+	f.RecordOutcome(startTime, ids[3], "bad", "sweep", false)
 	is.True(f.JobFailing("bad"))
 	f.ForgetJob("bad")
 	is.True(!f.JobFailing("bad"))
-	f.RecordOutcome(start, ids[0], "partly", "sweep", true)
+	f.RecordOutcome(startTime, ids[0], "partly", "sweep", true)
 	for _, id := range ids {
-		f.RecordOutcome(start, id, "partly", "sweep", false)
+		f.RecordOutcome(startTime, id, "partly", "sweep", false)
 	}
 	is.True(!f.JobFailing("partly"))
 }
 
-func TestListAndSigns(t *testing.T) {
-	second := start.Add(time.Second)
+func TestListAndHeartbeats(t *testing.T) {
+	second := startTime.Add(time.Second)
 	cases := []struct {
-		name string
-		do   func(f *Fleet, l []ListEntry)
-		want State
-		give Decision
+		name     string
+		do       func(f *Fleet, l []ListEntry)
+		want     State
+		decision Decision
 	}{
 		{"seen", func(*Fleet, []ListEntry) {}, Healthy, Allow},
 		{"one missed heartbeat", func(f *Fleet, _ []ListEntry) { f.RecordMissedHeartbeat(second, "w00") }, Healthy, Allow},
-		{"missed heartbeats win over the list", func(f *Fleet, l []ListEntry) {
+		{"missed heartbeats take precedence over the list", func(f *Fleet, l []ListEntry) {
 			f.RecordMissedHeartbeat(second, "w00")
 			f.RecordMissedHeartbeat(second, "w00")
 			f.UpdateList(second, l)
 		}, Suspect, Deny},
-		{"an answer ends the suspicion", func(f *Fleet, _ []ListEntry) {
+		{"an answered heartbeat ends the suspicion", func(f *Fleet, _ []ListEntry) {
 			f.RecordMissedHeartbeat(second, "w00")
 			f.RecordMissedHeartbeat(second, "w00")
 			f.RecordHeartbeat(second, "w00")
@@ -223,11 +222,11 @@
 			f.RecordHeartbeat(second.Add(1), "w00")
 		}, Gone, Deny},
 		{"listed again", func(f *Fleet, l []ListEntry) { f.UpdateList(second, l[1:]); f.UpdateList(second, l) }, Healthy, Allow},
-		{"a list that lost most members is not believed of those that answer", func(f *Fleet, l []ListEntry) {
+		{"mass removal is ignored for members that answer", func(f *Fleet, l []ListEntry) {
 			f.UpdateList(second, l[5:])
 			f.RecordHeartbeat(second.Add(1), "w00")
 		}, Healthy, Allow},
-		{"but of those that do not", func(f *Fleet, l []ListEntry) { f.UpdateList(second, l[5:]) }, Gone, Deny},
+		{"mass removal holds for silent members", func(f *Fleet, l []ListEntry) { f.UpdateList(second, l[5:]) }, Gone, Deny},
 		{"listed and never seen", func(f *Fleet, l []ListEntry) {
 			f.UpdateList(second, append(l, ListEntry{ID: "new"}))
 			f.members["w00"] = f.members["new"]
@@ -235,22 +234,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f, ids := cell(6)
+			f, ids := newTestFleet(6)
 			l := make([]ListEntry, len(ids))
 			for i, id := range ids {
 				l[i].ID = id
 			}
 			c.do(f, l)
 			is.New(t).Equal(f.State(second, "w00"), c.want)
-			is.New(t).Equal(f.Admission(second, "w00").Decision, c.give)
+			is.New(t).Equal(f.Admission(second, "w00").Decision, c.decision)
 		})
 	}
 }
 
-func TestMemoryFollowsWhatLives(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	f := New()
-	now := start
+	now := startTime
 	for i := range 2000 {
 		now = now.Add(time.Minute)
 		f.UpdateList(now, []ListEntry{{ID: fmt.Sprint("w", i)}, {ID: fmt.Sprint("w", i+1)}})
@@ -262,23 +261,23 @@
 	is.Equal(len(f.jobs), 0)
 }
 
-// policy is what the comparison compares.
-type policy struct {
-	may     func(now time.Time, id string) bool
-	outcome func(now time.Time, id, job, class string, ok bool)
+// admissionPolicy is one of the policies that the simulation compares.
+type admissionPolicy struct {
+	admits        func(now time.Time, id string) bool
+	recordOutcome func(now time.Time, id, job, class string, ok bool)
 }
 
-func fleetPolicy(ids []string) policy {
-	f, _ := cell(len(ids))
-	return policy{
+func fleetPolicy(ids []string) admissionPolicy {
+	f, _ := newTestFleet(len(ids))
+	return admissionPolicy{
 		func(now time.Time, id string) bool { return f.Admission(now, id).Decision != Deny }, f.RecordOutcome,
 	}
 }
 
-// countPolicy closes a worker for ten seconds after three failures in a row, whatever failed.
-func countPolicy([]string) policy {
+// consecutiveFailuresPolicy denies work to a worker for ten seconds after three consecutive failures of any jobs.
+func consecutiveFailuresPolicy([]string) admissionPolicy {
 	fails, until := map[string]int{}, map[string]time.Time{}
-	return policy{
+	return admissionPolicy{
 		func(now time.Time, id string) bool { return !now.Before(until[id]) },
 		func(now time.Time, id, _, _ string, ok bool) {
 			if fails[id]++; ok {
@@ -291,36 +290,37 @@
 	}
 }
 
-func nonePolicy([]string) policy {
-	return policy{
+func noPolicy([]string) admissionPolicy {
+	return admissionPolicy{
 		func(time.Time, string) bool { return true }, func(time.Time, string, string, string, bool) {},
 	}
 }
 
-// result counts what a policy cost.
-type result struct{ wasted, starved, soundClosed int }
+// policyCost counts the losses under a policy: tasks that failing workers received, tasks that no worker was
+// admitted for, and denials of healthy workers.
+type policyCost struct{ wasted, noCapacity, healthyDenied int }
 
-// play runs ten minutes, twenty tasks a second, on 30 workers: three fail all from the first to the
-// sixth minute, and after two minutes a third of all tasks belong to a broken class.
-func play(seed uint64, build func([]string) policy) (r result) {
+// simulate runs twenty tasks a second on 30 workers for ten minutes. Three workers fail all tasks from minute 1 to
+// minute 6, and one of three classes fails everywhere from minute 2 to minute 8.
+func simulate(seed uint64, build func([]string) admissionPolicy) (r policyCost) {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	_, ids := cell(30)
+	_, ids := newTestFleet(30)
 	p := build(ids)
 	for tick := range 600 * 20 {
-		now := start.Add(time.Duration(tick) * 50 * time.Millisecond)
+		now := startTime.Add(time.Duration(tick) * 50 * time.Millisecond)
 		minute := tick / 1200
 		class := []string{"roster", "sweep", "matching"}[rng.IntN(3)]
 		bad := func(id string) bool { return id < "w03" && minute >= 1 && minute < 6 }
 		var open []string
 		for _, id := range ids {
-			if p.may(now, id) {
+			if p.admits(now, id) {
 				open = append(open, id)
 			} else if !bad(id) {
-				r.soundClosed++
+				r.healthyDenied++
 			}
 		}
 		if len(open) == 0 {
-			r.starved++
+			r.noCapacity++
 			continue
 		}
 		id := open[rng.IntN(len(open))]
@@ -328,28 +328,30 @@
 		if bad(id) && !broken {
 			r.wasted++
 		}
-		p.outcome(now, id, fmt.Sprint("j", tick/4), class, !bad(id) && !broken)
+		p.recordOutcome(now, id, fmt.Sprint("j", tick/4), class, !bad(id) && !broken)
 	}
 	return r
 }
 
-func TestComparedWithCounting(t *testing.T) {
+// The fleet must waste fewer tasks than no policy at all, and deny work to fewer healthy workers than a plain
+// count of consecutive failures.
+func TestComparedWithConsecutiveFailures(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(3) {
-		none, count, own := play(seed, nonePolicy), play(seed, countPolicy), play(seed, fleetPolicy)
+		none, count, own := simulate(seed, noPolicy), simulate(seed, consecutiveFailuresPolicy), simulate(seed, fleetPolicy)
 		t.Logf("seed %d, none %+v, count %+v, fleet %+v", seed, none, count, own)
 		is.True(own.wasted < none.wasted)
-		is.True(own.soundClosed < count.soundClosed)
+		is.True(own.healthyDenied < count.healthyDenied)
 	}
 }
 
-// BenchmarkOutcome tells one failure and one success of a cell of 130 workers, and asks for one.
+// BenchmarkOutcome measures recording an outcome and deciding an admission in a cell of 130 workers.
 func BenchmarkOutcome(b *testing.B) {
-	f, ids := cell(130)
+	f, ids := newTestFleet(130)
 	b.ReportAllocs()
 	for i := range b.N {
 		id := ids[i%len(ids)]
-		f.RecordOutcome(start, id, "job", "roster", i%16 != 0)
-		f.Admission(start, id)
+		f.RecordOutcome(startTime, id, "job", "roster", i%16 != 0)
+		f.Admission(startTime, id)
 	}
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// maxLevel keeps the shift of the back-off from overflowing.
-const maxLevel = 16
+// maxBackOffLevel keeps the shift of the back-off from overflowing.
+const maxBackOffLevel = 16
 
-// failure is one task that ended badly on a member; job is empty where a job has a single task.
+// failure is one failed task of a member; job is empty for a job of a single task.
 type failure struct {
 	job, class string
 	at         time.Time
 }
 
-// member is what is known of one worker or target.
+// member is the health record of one worker or target.
 type member struct {
-	id, zone  string
-	firstSign time.Time
-	// seen is the newest direct sign of life.
-	seen        time.Time
+	id, zone     string
+	firstContact time.Time
+	// lastSeen is when the member last answered a heartbeat or completed a task.
+	lastSeen    time.Time
 	missed      int
 	missedSince time.Time
-	// lastOK is when a task last succeeded here.
-	lastOK time.Time
-	// failures are those since the last success that count against the member.
+	// lastSuccess is when a task last succeeded on the member.
+	lastSuccess time.Time
+	// failures are the failures since the last success that count against the member.
 	failures []failure
 
-	listed       bool
-	vanished     bool
-	vanishedAt   time.Time
-	massVanished bool
-	leaving      bool
-	leavingSince time.Time
+	listed         bool
+	delisted       bool
+	delistedAt     time.Time
+	listDistrusted bool
+	leaving        bool
+	leavingSince   time.Time
 
 	ejected   bool
 	ejectedAt time.Time
-	// until is when probes begin, openedAt when the last ones ended well.
-	until    time.Time
-	openedAt time.Time
-	level    int
-	probes   int
-	// cause is the failures that ejected the member.
-	cause []failure
+	// probeAt is when probing begins, reinstatedAt when probing last succeeded.
+	probeAt        time.Time
+	reinstatedAt   time.Time
+	backOffLevel   int
+	probeSuccesses int
+	// ejectionFailures are the failures that ejected the member.
+	ejectionFailures []failure
 }
 
-func (m *member) lastSign() time.Time {
-	if m.seen.After(m.firstSign) {
-		return m.seen
+func (m *member) lastContact() time.Time {
+	if m.lastSeen.After(m.firstContact) {
+		return m.lastSeen
 	}
-	return m.firstSign
+	return m.firstContact
 }
 
-// alive takes in a direct sign of life.
-func (m *member) alive(now time.Time) {
-	m.seen, m.missed, m.missedSince = now, 0, time.Time{}
+// markAlive records that the member answered, which ends a series of missed heartbeats.
+func (m *member) markAlive(now time.Time) {
+	m.lastSeen, m.missed, m.missedSince = now, 0, time.Time{}
 }
 
 func (m *member) setLeaving(now time.Time, leaving bool) {
@@ -65,141 +65,142 @@
 	m.leaving = leaving
 }
 
-// backsOff tells whether the member is ejected and not probed yet.
-func (m *member) backsOff(now time.Time) bool { return m.ejected && now.Before(m.until) }
+// inBackOff reports whether the member is ejected and not being probed yet.
+func (m *member) inBackOff(now time.Time) bool { return m.ejected && now.Before(m.probeAt) }
 
-// since tells when the member came into the state.
+// since returns when the member entered the state.
 func (m *member) since(s State) time.Time {
 	switch {
 	case s == Gone:
-		return m.vanishedAt
+		return m.delistedAt
 	case s == Draining:
 		return m.leavingSince
 	case s == Ejected:
 		return m.ejectedAt
 	case s == Probing:
-		return m.until
+		return m.probeAt
 	case s == Suspect && !m.missedSince.IsZero():
 		return m.missedSince
 	case s == Suspect:
 		return m.failures[len(m.failures)-1].at
 	default:
-		return m.firstSign
+		return m.firstContact
 	}
 }
 
-// state gives the member's state and its reason.
+// state returns the member's state and the reason for it.
 func (f *Fleet) state(now time.Time, m *member) (State, string) {
 	switch {
-	case m.vanished && (!m.massVanished || !m.seen.After(m.vanishedAt)):
+	case m.delisted && (!m.listDistrusted || !m.lastSeen.After(m.delistedAt)):
 		return Gone, "no longer listed"
 	case m.leaving:
 		return Draining, "leaving"
-	case m.backsOff(now):
-		return Ejected, reason(m.cause)
+	case m.inBackOff(now):
+		return Ejected, describeFailures(m.ejectionFailures)
 	case m.missed >= f.opts.MissedThreshold:
 		return Suspect, fmt.Sprintf("%d heartbeats in a row failed", m.missed)
 	case m.ejected:
-		return Probing, fmt.Sprintf("%d of %d probes succeeded", m.probes, f.opts.RequiredProbes)
+		return Probing, fmt.Sprintf("%d of %d probes succeeded", m.probeSuccesses, f.opts.RequiredProbes)
 	case len(m.failures) >= f.opts.FailureThreshold:
-		return Suspect, reason(m.failures) + ", but no more may be ejected"
-	case m.seen.IsZero():
+		return Suspect, describeFailures(m.failures) + ", but no more may be ejected"
+	case m.lastSeen.IsZero():
 		return Unknown, "not seen yet"
 	default:
 		return Healthy, ""
 	}
 }
 
-func reason(failures []failure) string {
+func describeFailures(failures []failure) string {
 	if len(failures) == 0 {
-		return "a failing job has been cleared away"
+		return "the failures were attributed to a failing job or class"
 	}
 	last := failures[len(failures)-1]
 	return fmt.Sprintf("%d failures without a success between, the last of job %q, class %q", len(failures), last.job, last.class)
 }
 
-func (f *Fleet) succeeded(now time.Time, m *member) {
-	if m.backsOff(now) {
-		return // A task from before the ejection; it says nothing of new ones.
+// applySuccess clears the member's failures and counts the success as a probe if the member is being probed.
+func (f *Fleet) applySuccess(now time.Time, m *member) {
+	if m.inBackOff(now) {
+		return // The task was started before the ejection, so it is not a probe.
 	}
-	m.lastOK = now
+	m.lastSuccess = now
 	m.failures = nil
 	if !m.ejected {
 		return
 	}
-	m.probes++
-	if m.probes >= f.opts.RequiredProbes {
-		m.ejected, m.openedAt, m.cause = false, now, nil
+	m.probeSuccesses++
+	if m.probeSuccesses >= f.opts.RequiredProbes {
+		m.ejected, m.reinstatedAt, m.ejectionFailures = false, now, nil
 	}
 }
 
-// failed counts a failure against the member, unless it is the job's or the class's own.
-func (f *Fleet) failed(now time.Time, m *member, x failure) {
+// applyFailure counts a failure against the member, unless the job or the class is at fault.
+func (f *Fleet) applyFailure(now time.Time, m *member, x failure) {
 	m.failures = slices.DeleteFunc(m.failures, func(o failure) bool { return now.Sub(o.at) > f.opts.FailureWindow })
-	if m.backsOff(now) || !f.counts(m, x) {
+	if m.inBackOff(now) || !f.countsAgainst(m, x) {
 		return
 	}
 	if len(m.failures) < f.opts.FailureThreshold {
 		m.failures = append(m.failures, x)
 	}
 	switch {
-	case m.ejected && f.jobs[x.job].alone(m.id):
-		f.eject(now, m) // A probe failed whose job fails nowhere else.
-	case len(m.failures) >= f.opts.FailureThreshold && (m.ejected || f.mayEject(m)):
+	case m.ejected && f.jobs[x.job].failedOnlyOn(m.id):
+		f.eject(now, m) // A probe failed, and its job has not failed on any other member.
+	case len(m.failures) >= f.opts.FailureThreshold && (m.ejected || f.canEject(m)):
 		f.eject(now, m)
 	}
 }
 
-// counts tells whether a failure speaks against the member. A second failure of one job does so only
-// when the job succeeds on others: a failing job would else eject every worker that it meets.
-func (f *Fleet) counts(m *member, x failure) bool {
-	same := x.job != "" && slices.ContainsFunc(m.failures, func(o failure) bool { return o.job == x.job })
-	if same && !f.succeedsElsewhere(f.jobs[x.job], m) {
+// countsAgainst reports whether a failure counts against the member. A second failure of the same job counts
+// only if the job succeeds on other members; otherwise a failing job would eject every member that runs it.
+func (f *Fleet) countsAgainst(m *member, x failure) bool {
+	repeated := x.job != "" && slices.ContainsFunc(m.failures, func(o failure) bool { return o.job == x.job })
+	if repeated && !f.succeedsElsewhere(f.jobs[x.job], m) {
 		return false
 	}
 	return !f.jobFailing(x.job) && !f.classFailing(x.class)
 }
 
-// eject closes the member until its back-off has passed.
+// eject denies new work to the member until its back-off has passed. Each further ejection doubles the back-off.
 func (f *Fleet) eject(now time.Time, m *member) {
-	if !m.ejected && now.Sub(m.openedAt) > f.opts.MaxBackOff {
-		m.level = 0
+	if !m.ejected && now.Sub(m.reinstatedAt) > f.opts.MaxBackOff {
+		m.backOffLevel = 0
 	}
-	backOff := min(f.opts.BackOff<<m.level, f.opts.MaxBackOff)
-	m.level = min(m.level+1, maxLevel)
-	m.ejected, m.ejectedAt, m.until, m.probes = true, now, now.Add(backOff), 0
-	m.cause, m.failures = m.failures, nil
+	backOff := min(f.opts.BackOff<<m.backOffLevel, f.opts.MaxBackOff)
+	m.backOffLevel = min(m.backOffLevel+1, maxBackOffLevel)
+	m.ejected, m.ejectedAt, m.probeAt, m.probeSuccesses = true, now, now.Add(backOff), 0
+	m.ejectionFailures, m.failures = m.failures, nil
 }
 
-// mayEject keeps the ejected part within its share, and one member of each zone in use.
+// canEject limits the ejected fraction of the fleet and keeps one member of each zone in use.
 //
-// Failure: what all tasks need is down, so that all of them fail everywhere. Symptom: every worker
-// is ejected, and nothing runs for the whole back-off when it heals.
-// The rest stays in use, one task at a time, and is open again with its first success.
-func (f *Fleet) mayEject(m *member) bool {
-	all, out, zone, zoneOut := 0, 0, 0, 0
+// If a dependency of all tasks is down, every task fails on every member. Without the limit all members would be
+// ejected, and nothing would run for the whole back-off after the dependency has recovered. The remaining
+// members stay in use, one task at a time, and are Healthy again after their first success.
+func (f *Fleet) canEject(m *member) bool {
+	all, ejected, inZone, zoneEjected := 0, 0, 0, 0
 	for _, o := range f.members {
-		if o.leaving || o.vanished {
+		if o.leaving || o.delisted {
 			continue
 		}
 		all++
 		if o.zone == m.zone {
-			zone++
+			inZone++
 		}
 		if !o.ejected {
 			continue
 		}
-		out++
+		ejected++
 		if o.zone == m.zone {
-			zoneOut++
+			zoneEjected++
 		}
 	}
-	return out < max(1, all/f.opts.EjectionDivisor) && out+1 < all && zoneOut+1 < zone
+	return ejected < max(1, all/f.opts.EjectionDivisor) && ejected+1 < all && zoneEjected+1 < inZone
 }
 
-// exonerate takes back the failures of a job or class that has turned out to fail everywhere, and
-// lets back by probes, at once, the members that they had ejected.
-func (f *Fleet) exonerate(now time.Time, job, class string) {
+// clearFailures removes the failures of a job or class that turns out to be at fault itself. Members that were
+// ejected because of them begin probing at once.
+func (f *Fleet) clearFailures(now time.Time, job, class string) {
 	jobFails, classFails := f.jobFailing(job), f.classFailing(class)
 	if !jobFails && !classFails {
 		return
@@ -207,11 +208,11 @@
 	own := func(o failure) bool { return (jobFails && o.job == job) || (classFails && o.class == class) }
 	for _, m := range f.members {
 		m.failures = slices.DeleteFunc(m.failures, own)
-		before := len(m.cause)
-		m.cause = slices.DeleteFunc(m.cause, own)
-		if m.backsOff(now) && len(m.cause) < before {
-			m.until = now
-			m.level = max(0, m.level-1)
+		before := len(m.ejectionFailures)
+		m.ejectionFailures = slices.DeleteFunc(m.ejectionFailures, own)
+		if m.inBackOff(now) && len(m.ejectionFailures) < before {
+			m.probeAt = now
+			m.backOffLevel = max(0, m.backOffLevel-1)
 		}
 	}
 }
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -4,37 +4,38 @@
 
 // Defaults.
 const (
-	// DefaultFailureThreshold is how many failures, with no success between them, eject a member.
+	// DefaultFailureThreshold is how many consecutive failures eject a member.
 	DefaultFailureThreshold = 3
-	// DefaultFailureWindow is how long a failure counts.
+	// DefaultFailureWindow is how long a failure counts against a member.
 	DefaultFailureWindow = 10 * time.Minute
-	// DefaultMissedThreshold is how many heartbeats in a row fail before a member gets nothing new.
+	// DefaultMissedThreshold is how many consecutive missed heartbeats stop new work for a member.
 	DefaultMissedThreshold = 2
-	// DefaultRequiredProbes is how many tasks, one at a time, must succeed before a member is open again.
+	// DefaultRequiredProbes is how many probe tasks must succeed before a member is Healthy again.
 	DefaultRequiredProbes = 3
-	// DefaultBackOff and DefaultMaxBackOff bound the time between ejection and the first probe.
+	// DefaultBackOff and DefaultMaxBackOff are the first and the longest time between ejection and probing.
 	DefaultBackOff    = 10 * time.Second
 	DefaultMaxBackOff = 5 * time.Minute
-	// DefaultEjectionDivisor is the part of the fleet that may be ejected at once, as one in so many.
+	// DefaultEjectionDivisor limits the ejected members to one in this many.
 	DefaultEjectionDivisor = 3
-	// DefaultMinHealthyFailures is how many sound members a job must fail on to be a failing job.
+	// DefaultMinHealthyFailures is on how many otherwise healthy members a job must fail to count as a failing job.
 	DefaultMinHealthyFailures = 3
-	// DefaultRetention is how long a member that is no longer listed is remembered after its last sign.
+	// DefaultRetention is how long the state of a member that is no longer listed is kept after its last contact.
 	DefaultRetention = 5 * time.Minute
-	// MaxTracked bounds how many jobs are remembered, and how many classes.
+	// MaxTracked limits how many jobs, and how many classes, have a history.
 	MaxTracked = 1 << 16
 
-	// DefaultListLag is how long a member that gives signs may be missing in the VM list at first.
+	// DefaultListLag is how long a new member that answers may be missing from the VM list.
 	DefaultListLag = 30 * time.Second
 
-	maxPlaces = 8
-	// workKeep is how long work is remembered that nobody forgets.
-	workKeep = time.Hour
-	// minMass is the least number of members whose vanishing at once may be the list's own fault.
-	minMass = 3
+	maxMembersPerHistory = 8
+	// historyRetention is how long a history is kept after its last update; an ended job may never be forgotten
+	// explicitly.
+	historyRetention = time.Hour
+	// minMassDelisting is the minimum number of members that must disappear at once for the list to be in doubt.
+	minMassDelisting = 3
 )
 
-// Options are what a Fleet is made of.
+// Options configures a Fleet.
 type Options struct {
 	FailureThreshold   int
 	FailureWindow      time.Duration
@@ -48,34 +49,34 @@
 	ListLag            time.Duration
 }
 
-// Option sets up a Fleet.
+// Option sets a field of Options.
 type Option func(*Options)
 
-// FailureThreshold sets how many failures, with no success between them, eject a member.
+// FailureThreshold sets how many consecutive failures eject a member.
 func FailureThreshold(n int) Option { return func(o *Options) { o.FailureThreshold = n } }
 
-// FailureWindow sets how long a failure counts.
+// FailureWindow sets how long a failure counts against a member.
 func FailureWindow(d time.Duration) Option { return func(o *Options) { o.FailureWindow = d } }
 
-// MissedThreshold sets how many heartbeats in a row fail before a member gets nothing new.
+// MissedThreshold sets how many consecutive missed heartbeats stop new work for a member.
 func MissedThreshold(n int) Option { return func(o *Options) { o.MissedThreshold = n } }
 
-// RequiredProbes sets how many tasks, one at a time, must succeed before a member is open again.
+// RequiredProbes sets how many probe tasks must succeed before a member is Healthy again.
 func RequiredProbes(n int) Option { return func(o *Options) { o.RequiredProbes = n } }
 
-// BackOff sets the first and the longest time between ejection and probe.
+// BackOff sets the first and the longest time between ejection and probing.
 func BackOff(first, longest time.Duration) Option {
 	return func(o *Options) { o.BackOff, o.MaxBackOff = first, longest }
 }
 
-// EjectionDivisor sets the part of the fleet that may be ejected at once, as one in n.
+// EjectionDivisor limits the ejected members to one in n.
 func EjectionDivisor(n int) Option { return func(o *Options) { o.EjectionDivisor = n } }
 
-// MinHealthyFailures sets how many sound members a job must fail on to be a failing job.
+// MinHealthyFailures sets on how many otherwise healthy members a job must fail to count as a failing job.
 func MinHealthyFailures(n int) Option { return func(o *Options) { o.MinHealthyFailures = n } }
 
-// Retention sets how long a member that is no longer listed is remembered after its last sign.
+// Retention sets how long the state of a member that is no longer listed is kept after its last contact.
 func Retention(d time.Duration) Option { return func(o *Options) { o.Retention = d } }
 
-// ListLag sets how long a member that gives signs may be missing in the VM list at first.
+// ListLag sets how long a new member that answers may be missing from the VM list.
 func ListLag(d time.Duration) Option { return func(o *Options) { o.ListLag = d } }
