--- a/front/accept.go
+++ b/front/accept.go
@@ -15,25 +15,26 @@
 	"turmericgap/store/retry"
 )
 
-// submission waits for its transaction.
+// submission is a work that waits to be created in the store.
 type submission struct {
 	work *job.Work
-	// begun is when it was handed in.
-	begun time.Time
-	// open says that a transaction with it had no answer, so that it may be accepted already.
-	open bool
-	done chan result
+	// receivedAt is when the caller submitted it.
+	receivedAt time.Time
+	// mayBeAccepted is set if a transaction with it got no answer, so that it may have been accepted already.
+	mayBeAccepted bool
+	done          chan result
 }
 
-// result tells whether the work is durable, and whether this VM created it just now.
+// result is the outcome of a submission: err is nil if the work is durable, created is set if this VM may have
+// created it.
 type result struct {
 	created bool
 	err     error
 }
 
-// acceptor makes submissions durable, several in one transaction.
+// acceptor creates submitted works in the store, several in one transaction.
 type acceptor struct {
-	o     *Options
+	opts  *Options
 	ctx   context.Context
 	queue chan *submission
 	slots chan struct{}
@@ -41,15 +42,15 @@
 }
 
 func newAcceptor(ctx context.Context, o *Options) *acceptor {
-	a := &acceptor{o: o, ctx: ctx, queue: make(chan *submission, acceptRing), slots: make(chan struct{}, acceptsAtOnce)}
+	a := &acceptor{opts: o, ctx: ctx, queue: make(chan *submission, acceptQueueSize), slots: make(chan struct{}, maxConcurrentTxns)}
 	a.wg.Go(a.run)
 	return a
 }
 
-// submit hands a work in and waits for its outcome.
+// submit queues a submission and waits for its outcome.
 func (a *acceptor) submit(ctx context.Context, s *submission) (created bool, err error) {
-	if !s.open {
-		if err := a.silent(); err != nil {
+	if !s.mayBeAccepted {
+		if err := a.checkStore(); err != nil {
 			return false, err
 		}
 	}
@@ -57,47 +58,48 @@
 	select {
 	case a.queue <- s:
 	default:
-		if s.open {
-			return false, openOutcome(errBusy)
+		if s.mayBeAccepted {
+			return false, unknownOutcome(errBusy)
 		}
-		return false, rpc.Refused(retryBusy, "%v", errBusy)
+		return false, rpc.Refused(busyRetryAfter, "%v", errBusy)
 	}
 	select {
 	case r := <-s.done:
 		return r.created, r.err
 	case <-ctx.Done():
-		return false, openOutcome(ctx.Err())
+		return false, unknownOutcome(ctx.Err())
 	}
 }
 
-// silent refuses work while the store is known not to answer: it would be held in vain until its caller
-// has given up, and could then not even be told that it never runs.
-func (a *acceptor) silent() error {
-	since, silent := a.o.StoreSilent()
+// checkStore refuses work while the store is known not to answer. Otherwise the work would wait until its caller
+// gives up, and the caller could no longer be told that it never runs.
+func (a *acceptor) checkStore() error {
+	since, silent := a.opts.StoreSilent()
 	if !silent {
 		return nil
 	}
-	return rpc.Refused(retryStore, "the store has not answered for %v", time.Since(since).Round(time.Millisecond))
+	return rpc.Refused(storeRetryAfter, "the store has not answered for %v", time.Since(since).Round(time.Millisecond))
 }
 
-// probe asks the store for something that changes nothing, if it has not answered lately. A submission that
-// is sent into an outage nobody has noticed yet would have an open outcome.
-func (a *acceptor) probe(w *job.Work) error {
-	if time.Since(a.o.StoreLastAnswer()) < probeAfter {
+// probeStore sends the store a read if it has not answered recently. A submission that is sent during an outage
+// that has not been detected yet would have an unknown outcome.
+func (a *acceptor) probeStore(w *job.Work) error {
+	if time.Since(a.opts.StoreLastAnswer()) < probeIdleThreshold {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, probeWithin)
+	ctx, cancel := context.WithTimeout(a.ctx, probeTimeout)
 	defer cancel()
-	return dispatch.Probe(ctx, a.o.Store, w.ID)
+	return dispatch.Probe(ctx, a.opts.Store, w.ID)
 }
 
 var errBusy = errors.New("too many submissions wait")
 
-func openOutcome(cause error) error {
+// unknownOutcome returns the fault for a submission that may or may not have been accepted.
+func unknownOutcome(cause error) error {
 	return &rpc.Fault{Code: rpc.CodeUnknown, Reason: "the submission may have been accepted: " + cause.Error()}
 }
 
-// run sends transactions as submissions come, at most acceptsAtOnce at a time.
+// run sends submissions in batches, at most maxConcurrentTxns at a time.
 func (a *acceptor) run() {
 	for {
 		select {
@@ -111,12 +113,12 @@
 		}
 		a.wg.Go(func() {
 			defer func() { <-a.slots }()
-			a.create(batch)
+			a.createAll(batch)
 		})
 	}
 }
 
-// collect waits for a submission and takes what else is there.
+// collect waits for a submission and adds those that are queued already.
 func (a *acceptor) collect() []*submission {
 	var batch []*submission
 	select {
@@ -125,7 +127,7 @@
 	case s := <-a.queue:
 		batch = append(batch, s)
 	}
-	for len(batch) < acceptsEach {
+	for len(batch) < submissionsPerTxn {
 		select {
 		case s := <-a.queue:
 			batch = append(batch, s)
@@ -136,55 +138,57 @@
 	return batch
 }
 
-// create repeats a transaction until each of its submissions has an outcome.
-func (a *acceptor) create(batch []*submission) {
+// createAll retries a transaction until each of its submissions has an outcome.
+func (a *acceptor) createAll(batch []*submission) {
 	b := retry.New()
 	declined := 0
-	if err := a.probe(batch[0].work); err != nil {
-		batch = a.refuse(batch, err)
+	if err := a.probeStore(batch[0].work); err != nil {
+		batch = a.refuseUnsent(batch, err)
 	}
 	for len(batch) > 0 {
-		found, err := a.try(batch)
+		found, err := a.commitBatch(batch)
 		switch {
 		case err == nil && found == nil:
-			finish(batch, result{created: true})
+			completeAll(batch, result{created: true})
 			return
 		case err == nil:
-			batch = a.settle(batch, found)
+			batch = a.resolveExisting(batch, found)
 			continue
 		case errors.Is(err, store.ErrNotSent):
 			declined++
-			if batch = a.giveUp(batch, declined, err); len(batch) > 0 {
-				retry.Sleep(a.ctx, refusedAgain)
+			if batch = a.dropDeclined(batch, declined, err); len(batch) > 0 {
+				retry.Sleep(a.ctx, declinedRetryDelay)
 			}
 			continue
 		}
-		a.o.Logger.Info("front: acceptance without an answer", zap.Int("submissions", len(batch)), zap.String("id", batch[0].work.ID), zap.Error(err))
+		a.opts.Logger.Info("front: the store did not answer a transaction that creates works",
+			zap.Int("submissions", len(batch)), zap.String("id", batch[0].work.ID), zap.Error(err))
 		for _, s := range batch {
-			s.open = true
+			s.mayBeAccepted = true
 		}
-		if batch = a.expire(batch, err); len(batch) > 0 {
+		if batch = a.dropExpired(batch, err); len(batch) > 0 {
 			retry.Sleep(a.ctx, b.Next())
 		}
 	}
 }
 
-// refuse turns away the submissions of which nothing was sent, and gives the others.
-func (a *acceptor) refuse(batch []*submission, cause error) []*submission {
+// refuseUnsent refuses the submissions that were never sent to the store, and returns the others.
+func (a *acceptor) refuseUnsent(batch []*submission, cause error) []*submission {
 	var left []*submission
 	for _, s := range batch {
-		if s.open {
+		if s.mayBeAccepted {
 			left = append(left, s)
 			continue
 		}
-		s.done <- result{err: rpc.Refused(retryStore, "the store does not answer: %v", cause)}
+		s.done <- result{err: rpc.Refused(storeRetryAfter, "the store does not answer: %v", cause)}
 	}
 	return left
 }
 
-// try sends one transaction. Keys that exist already are found; none found means that all were created.
-func (a *acceptor) try(batch []*submission) (found map[string]bool, err error) {
-	ctx, cancel := context.WithTimeout(a.ctx, storeWithin)
+// commitBatch sends one transaction that creates all works of the batch. If any of them exists already, nothing is
+// created and their IDs are returned; nil means that all were created.
+func (a *acceptor) commitBatch(batch []*submission) (found map[string]bool, err error) {
+	ctx, cancel := context.WithTimeout(a.ctx, storeTimeout)
 	defer cancel()
 	var txn store.Txn
 	seen := make(map[string]bool, len(batch))
@@ -195,25 +199,25 @@
 		}
 	}
 	started := time.Now()
-	res, err := a.o.Store.Txn(ctx, txn)
+	res, err := a.opts.Store.Txn(ctx, txn)
 	if err != nil {
 		return nil, err
 	}
-	a.o.Metrics.Histogram("front.acceptMillis").Update(time.Since(started).Milliseconds())
+	a.opts.Metrics.Histogram("front.acceptMillis").Update(time.Since(started).Milliseconds())
 	if res.Succeeded {
 		return nil, nil
 	}
 	return dispatch.Existing(res.Found), nil
 }
 
-// settle answers the submissions whose work exists: a repeat of an ID, or an earlier try that went
-// through. It gives those that are left.
-func (a *acceptor) settle(batch []*submission, found map[string]bool) []*submission {
+// resolveExisting completes the submissions whose work exists, because the ID was repeated or an earlier
+// transaction succeeded. It returns the others.
+func (a *acceptor) resolveExisting(batch []*submission, found map[string]bool) []*submission {
 	var left []*submission
 	for _, s := range batch {
 		if found[s.work.ID] {
-			// After an open try the work may be this VM's own creation; the owner is told once more.
-			s.done <- result{created: s.open}
+			// An earlier transaction without an answer may have created the work, so the owner must be told of it.
+			s.done <- result{created: s.mayBeAccepted}
 			continue
 		}
 		left = append(left, s)
@@ -221,15 +225,16 @@
 	return left
 }
 
-// giveUp refuses what the store declined twice and no open try may have created.
-func (a *acceptor) giveUp(batch []*submission, declined int, cause error) []*submission {
+// dropDeclined refuses the submissions that the store declined twice, unless an earlier transaction may have
+// created them. It also ends those that have timed out, and returns the others.
+func (a *acceptor) dropDeclined(batch []*submission, declined int, cause error) []*submission {
 	var left []*submission
 	for _, s := range batch {
 		switch {
-		case !s.open && declined > 1:
-			s.done <- result{err: rpc.Refused(retryStore, "the store declines calls: %v", cause)}
-		case a.ctx.Err() != nil || time.Since(s.begun) > openWithin:
-			s.done <- result{err: a.lastWord(s, cause)}
+		case !s.mayBeAccepted && declined > 1:
+			s.done <- result{err: rpc.Refused(storeRetryAfter, "the store declines calls: %v", cause)}
+		case a.ctx.Err() != nil || time.Since(s.receivedAt) > unknownOutcomeTimeout:
+			s.done <- result{err: a.finalError(s, cause)}
 		default:
 			left = append(left, s)
 		}
@@ -237,19 +242,20 @@
 	return left
 }
 
-func (a *acceptor) lastWord(s *submission, cause error) error {
-	if s.open {
-		return openOutcome(cause)
+// finalError returns the error for a submission that is not tried again.
+func (a *acceptor) finalError(s *submission, cause error) error {
+	if s.mayBeAccepted {
+		return unknownOutcome(cause)
 	}
-	return rpc.Refused(retryStore, "the store declines calls: %v", cause)
+	return rpc.Refused(storeRetryAfter, "the store declines calls: %v", cause)
 }
 
-// expire tells the callers of open submissions that the outcome is open once that has lasted too long.
-func (a *acceptor) expire(batch []*submission, cause error) []*submission {
+// dropExpired ends the submissions that have timed out with an unknown outcome, and returns the others.
+func (a *acceptor) dropExpired(batch []*submission, cause error) []*submission {
 	var left []*submission
 	for _, s := range batch {
-		if a.ctx.Err() != nil || time.Since(s.begun) > openWithin {
-			s.done <- result{err: openOutcome(cause)}
+		if a.ctx.Err() != nil || time.Since(s.receivedAt) > unknownOutcomeTimeout {
+			s.done <- result{err: unknownOutcome(cause)}
 			continue
 		}
 		left = append(left, s)
@@ -257,7 +263,7 @@
 	return left
 }
 
-func finish(batch []*submission, r result) {
+func completeAll(batch []*submission, r result) {
 	for _, s := range batch {
 		s.done <- r
 	}
--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -17,110 +17,111 @@
 	"turmericgap/store/memory"
 )
 
-// desk is an acceptor over a store whose faults the test sets.
-type desk struct {
+// acceptorFixture is an acceptor on an in-memory store with injected faults.
+type acceptorFixture struct {
 	*acceptor
 	faults memory.Faults
 }
 
-func newDesk(t *testing.T) *desk {
-	d := &desk{}
-	monitor, kv := health.New(memory.New().Client(&d.faults))
+func newAcceptorFixture(t *testing.T) *acceptorFixture {
+	a := &acceptorFixture{}
+	monitor, kv := health.New(memory.New().Client(&a.faults))
 	ctx, cancel := context.WithCancel(t.Context())
-	d.acceptor = newAcceptor(ctx, &Options{
+	a.acceptor = newAcceptor(ctx, &Options{
 		Store: kv, Logger: zap.NewNop(), Metrics: metric.New(), StoreLastAnswer: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent,
 	})
 	t.Cleanup(func() {
 		cancel()
-		d.wg.Wait()
+		a.wg.Wait()
 	})
-	return d
+	return a
 }
 
-func (d *desk) hand(t *testing.T, id string) (time.Duration, error) {
+func (a *acceptorFixture) submitWork(t *testing.T, id string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	begun := time.Now()
-	_, err := d.submit(ctx, &submission{work: &job.Work{ID: id}, begun: begun})
-	return time.Since(begun), err
+	receivedAt := time.Now()
+	_, err := a.submit(ctx, &submission{work: &job.Work{ID: id}, receivedAt: receivedAt})
+	return time.Since(receivedAt), err
 }
 
-func code(err error) rpc.Code {
+func codeOf(err error) rpc.Code {
 	if f := rpc.AsFault(err); f != nil {
 		return f.Code
 	}
 	return ""
 }
 
-// The store falls silent. The caller whose work was sent already hears that its outcome is open, not that
-// it never runs; those who come later are refused at once and unsent; and as soon as a watch has told of
-// the store's return, callers are accepted again, though no transaction was sent meanwhile.
+// The store stops answering. A caller whose work was already sent must get an unknown outcome, not a refusal; later
+// callers must be refused at once without a call to the store. Once any call to the store succeeds again, callers
+// must be accepted, although no transaction was sent meanwhile.
 func TestSilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(t)
-		_, err := d.hand(t, "before")
+		a := newAcceptorFixture(t)
+		_, err := a.submitWork(t, "before")
 		is.NoErr(err)
-		d.faults.Cut(true)
-		took, err := d.hand(t, "sent")
-		is.Equal(code(err), rpc.CodeUnknown)
+		a.faults.Cut(true)
+		took, err := a.submitWork(t, "sent")
+		is.Equal(codeOf(err), rpc.CodeUnknown)
 		is.True(took < 2*time.Second)
-		took, err = d.hand(t, "unsent")
-		is.Equal(code(err), rpc.CodeRefused)
+		took, err = a.submitWork(t, "unsent")
+		is.Equal(codeOf(err), rpc.CodeRefused)
 		is.Equal(took, time.Duration(0))
-		d.faults.Cut(false)
+		a.faults.Cut(false)
 		time.Sleep(10 * time.Second)
-		_, err = d.o.Store.Range(t.Context(), store.Range{Key: "any"})
+		_, err = a.opts.Store.Range(t.Context(), store.Range{Key: "any"})
 		is.NoErr(err)
 		for _, id := range []string{"unsent", "sent", "before"} {
-			_, err = d.hand(t, id)
+			_, err = a.submitWork(t, id)
 			is.NoErr(err)
 		}
 	})
 }
 
-// The store fell silent while this VM had nothing to ask of it. The caller is refused for certain, since
-// something harmless was asked first; a work that had been sent might still run after the outage.
+// The store stopped answering while this VM was idle, so the outage is not known yet. The probe must fail first, so
+// that the caller is refused for certain; a work sent during the outage might still run after it.
 func TestOutageNobodyNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(t)
+		a := newAcceptorFixture(t)
 		time.Sleep(time.Second)
-		d.faults.Cut(true)
-		took, err := d.hand(t, "work")
-		is.Equal(code(err), rpc.CodeRefused)
-		is.True(took <= probeWithin)
-		d.faults.Cut(false)
+		a.faults.Cut(true)
+		took, err := a.submitWork(t, "work")
+		is.Equal(codeOf(err), rpc.CodeRefused)
+		is.True(took <= probeTimeout)
+		a.faults.Cut(false)
 		time.Sleep(10 * time.Second)
-		res, err := d.o.Store.Range(t.Context(), store.Range{Key: "turmericgap/", End: store.PrefixEnd("turmericgap/")})
+		res, err := a.opts.Store.Range(t.Context(), store.Range{Key: "turmericgap/", End: store.PrefixEnd("turmericgap/")})
 		is.NoErr(err)
 		is.Equal(len(res.Pairs), 0)
 	})
 }
 
-// The store declines calls, which did nothing: the caller is refused for certain within a moment, with a
-// time to come again.
+// The store declines calls, which then have no effect. The caller must be refused quickly and for certain, with a
+// retry time.
 func TestDecliningStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(t)
-		d.faults.Down(true)
-		took, err := d.hand(t, "work")
-		is.Equal(code(err), rpc.CodeRefused)
+		a := newAcceptorFixture(t)
+		a.faults.Down(true)
+		took, err := a.submitWork(t, "work")
+		is.Equal(codeOf(err), rpc.CodeRefused)
 		is.True(took < 200*time.Millisecond)
-		is.Equal(rpc.AsFault(err).RetryAfter, retryStore)
-		d.faults.Down(false)
-		_, err = d.hand(t, "work")
+		is.Equal(rpc.AsFault(err).RetryAfter, storeRetryAfter)
+		a.faults.Down(false)
+		_, err = a.submitWork(t, "work")
 		is.NoErr(err)
 	})
 }
 
-// An answer is lost after the work was created: the next try finds it, and it counts as accepted.
-func TestLostAnswer(t *testing.T) {
+// The answer to a transaction is lost after the work was created. The next attempt must find the work and count it
+// as accepted.
+func TestLostCommitReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t)
-		d.faults.LoseNext(1)
-		_, err := d.hand(t, "work")
+		a := newAcceptorFixture(t)
+		a.faults.LoseNext(1)
+		_, err := a.submitWork(t, "work")
 		is.New(t).NoErr(err)
 	})
 }
--- a/front/doc.go
+++ b/front/doc.go
@@ -1,3 +1,3 @@
-// Package front takes callers' work on every entry VM: it makes submissions durable, and answers for
-// any work from the owner of the cell or, where that cannot be reached, from the store.
+// Package front serves callers on every entry VM. It makes submissions durable and answers requests about any
+// work, from the owner of the cell or, if the owner cannot be reached, from the store.
 package front
--- a/front/front.go
+++ b/front/front.go
@@ -16,19 +16,19 @@
 	"turmericgap/rule"
 )
 
-// Front answers callers on one entry VM.
+// Front serves callers on one entry VM.
 type Front struct {
-	o      Options
-	accept *acceptor
-	cancel context.CancelFunc
-	open   openIDs
-	// located is what other VMs have told of the owner.
-	located located
-	// silent is the last owner that did not answer.
-	silent atomic.Pointer[silence]
+	opts     Options
+	acceptor *acceptor
+	cancel   context.CancelFunc
+	unknown  unknownIDs
+	// ownerCache holds the owner that other VMs reported.
+	ownerCache ownerCache
+	// unresponsive is the last owner that did not answer a call.
+	unresponsive atomic.Pointer[unresponsiveOwner]
 }
 
-// New returns a Front that takes submissions at once.
+// New returns a Front that accepts submissions immediately.
 func New(o Options) *Front {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -40,53 +40,53 @@
 		o.EvaluateRules = func(*job.Work) rule.Effect { return rule.Effect{} }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Front{o: o, cancel: cancel}
-	f.accept = newAcceptor(ctx, &f.o)
+	f := &Front{opts: o, cancel: cancel}
+	f.acceptor = newAcceptor(ctx, &f.opts)
 	return f
 }
 
-// Close ends the acceptance of work; submissions under way get an open outcome.
+// Close stops accepting work; pending submissions end with an unknown outcome.
 func (f *Front) Close() {
 	f.cancel()
-	f.accept.wg.Wait()
+	f.acceptor.wg.Wait()
 }
 
-// Submit makes a work durable. A Fault with CodeRefused means that it never runs, any other error
-// that it may.
+// Submit makes a work durable. A Fault with CodeRefused means that the work never runs, any other error that it
+// may run.
 //
-// The owner of the cell is asked first: it writes the work together with what else it commits, which
-// costs no call of the store, and puts its questions meanwhile. Without it this VM creates the work by
-// itself, which fails where the owner has done so.
+// Submit asks the owner of the cell first. The owner writes the work together with its other commits, which saves a
+// call to the store, and requests its permits at the same time. If that fails, this VM creates the work itself,
+// which has no effect if the owner has created it already.
 func (f *Front) Submit(ctx context.Context, w *job.Work) error {
-	begun := time.Now()
-	w.Zone = f.o.Group.Self().Zone
-	if e := f.o.EvaluateRules(w); e.Refuse != "" {
+	receivedAt := time.Now()
+	w.Zone = f.opts.Group.Self().Zone
+	if e := f.opts.EvaluateRules(w); e.Refuse != "" {
 		return f.refuse(ctx, w, &e)
 	}
-	err := f.submit(ctx, w, begun)
+	err := f.submit(ctx, w, receivedAt)
 	switch fault := rpc.AsFault(err); {
 	case err == nil:
-		f.open.settle(w.ID)
+		f.unknown.remove(w.ID)
 	case fault == nil || fault.Code == rpc.CodeUnknown:
-		f.open.note(w.ID, begun)
-	case fault.Code == rpc.CodeRefused && f.open.has(w.ID, begun):
-		// An earlier try with this ID may still be accepted, so that this one cannot say "never".
-		return openOutcome(err)
+		f.unknown.add(w.ID, receivedAt)
+	case fault.Code == rpc.CodeRefused && f.unknown.contains(w.ID, receivedAt):
+		// An earlier submission with this ID may still be accepted, so this one cannot be refused for certain.
+		return unknownOutcome(err)
 	}
 	return err
 }
 
-func (f *Front) submit(ctx context.Context, w *job.Work, begun time.Time) error {
-	err := f.ownerAccept(ctx, w)
+func (f *Front) submit(ctx context.Context, w *job.Work, receivedAt time.Time) error {
+	err := f.acceptByOwner(ctx, w)
 	if err == nil {
 		return nil
 	}
-	if isHopeless(err) {
+	if isPermanentRefusal(err) {
 		return f.refuseUnknown(ctx, w, err)
 	}
-	created, err := f.accept.submit(ctx, &submission{work: w, begun: begun, open: !notDone(err)})
+	created, err := f.acceptor.submit(ctx, &submission{work: w, receivedAt: receivedAt, mayBeAccepted: !wasNotApplied(err)})
 	if err != nil {
-		return f.submitElsewhere(ctx, w, err)
+		return f.submitToOwner(ctx, w, err)
 	}
 	if created {
 		f.offer(w)
@@ -94,73 +94,74 @@
 	return nil
 }
 
-// isHopeless reports whether the owner of the cell says that trying again is no use.
-func isHopeless(err error) bool {
+// isPermanentRefusal reports whether the owner of the cell refused a work for which a retry is useless.
+func isPermanentRefusal(err error) bool {
 	fault := rpc.AsFault(err)
 	return fault != nil && fault.Code == rpc.CodeRefused && fault.RetryAfter == 0
 }
 
-// notDone reports whether an error of a call to the owner says that nothing was done.
-func notDone(err error) bool {
+// wasNotApplied reports whether a failed call to the owner certainly had no effect.
+func wasNotApplied(err error) bool {
 	fault := rpc.AsFault(err)
 	return errors.Is(err, rpc.ErrNotSent) || fault != nil && (fault.Code == rpc.CodeNotOwner || fault.Code == rpc.CodeRefused)
 }
 
-func (f *Front) ownerAccept(ctx context.Context, w *job.Work) error {
-	ctx, cancel := context.WithTimeout(ctx, acceptWithin)
+// acceptByOwner has the owner of the cell accept a work.
+func (f *Front) acceptByOwner(ctx context.Context, w *job.Work) error {
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
-		return f.o.Dispatcher.Accept(ctx, w)
+	if f.opts.Dispatcher.Leads() {
+		return f.opts.Dispatcher.Accept(ctx, w)
 	}
 	peer, err := f.owner(ctx)
 	if err != nil {
 		return err
 	}
-	if err := f.rested(&peer); err != nil {
+	if err := f.checkBackOff(&peer); err != nil {
 		return err
 	}
-	_, err = rpc.Call[submitRequest, none](ctx, f.o.Peers.Get(peer.Address), methodAccept, &submitRequest{Work: *w})
-	f.heard(&peer, err)
+	_, err = rpc.Call[submitRequest, empty](ctx, f.opts.Peers.Get(peer.Address), methodAccept, &submitRequest{Work: *w})
+	f.recordOwnerCall(&peer, err)
 	return err
 }
 
-// silence is until when an owner that did not answer is left alone.
-type silence struct {
-	owner string
-	until time.Time
+// unresponsiveOwner is an owner that did not answer, with the time from which it may be called again.
+type unresponsiveOwner struct {
+	id      string
+	retryAt time.Time
 }
 
-// rested refuses to ask an owner that did not answer lately. Each caller of a VM that is cut off from
-// the owner would wait for it in vain before the store is asked.
-func (f *Front) rested(peer *owner.Node) error {
-	s := f.silent.Load()
-	if s != nil && s.owner == peer.ID && time.Now().Before(s.until) {
-		return rpc.Refused(time.Until(s.until), "the owner of the cell did not answer lately")
+// checkBackOff returns an error if the owner did not answer recently. On a VM that is cut off from the owner, each
+// caller would otherwise wait for the timeout before the store is asked.
+func (f *Front) checkBackOff(peer *owner.Node) error {
+	s := f.unresponsive.Load()
+	if s != nil && s.id == peer.ID && time.Now().Before(s.retryAt) {
+		return rpc.Refused(time.Until(s.retryAt), "the owner of the cell did not answer lately")
 	}
 	return nil
 }
 
-// heard notes a call to the owner without an answer.
-func (f *Front) heard(peer *owner.Node, err error) {
+// recordOwnerCall starts the back-off of an owner that did not answer a call.
+func (f *Front) recordOwnerCall(peer *owner.Node, err error) {
 	if err != nil && rpc.AsFault(err) == nil {
-		f.silent.Store(&silence{peer.ID, time.Now().Add(ownerRest)})
+		f.unresponsive.Store(&unresponsiveOwner{peer.ID, time.Now().Add(ownerBackOff)})
 	}
 }
 
-// submitElsewhere asks the owner of the cell to accept what this VM cannot. The store may decline the
-// calls of some VMs while it serves the others; the work would be refused though it could run.
-func (f *Front) submitElsewhere(ctx context.Context, w *job.Work, cause error) error {
+// submitToOwner asks the owner of the cell to create a work that this VM cannot create. The store may decline the
+// calls of some VMs while it serves others; without this call the work would be refused although it could run.
+func (f *Front) submitToOwner(ctx context.Context, w *job.Work, cause error) error {
 	fault := rpc.AsFault(cause)
-	if fault == nil || fault.Code != rpc.CodeRefused || f.o.Dispatcher.Leads() {
+	if fault == nil || fault.Code != rpc.CodeRefused || f.opts.Dispatcher.Leads() {
 		return cause
 	}
-	peer, ok := f.locate(ctx)
-	if !ok || peer.ID == f.o.Group.Self().ID {
+	peer, ok := f.findOwner(ctx)
+	if !ok || peer.ID == f.opts.Group.Self().ID {
 		return cause
 	}
-	ctx, cancel := context.WithTimeout(ctx, ownerWithin+openWithin)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout+unknownOutcomeTimeout)
 	defer cancel()
-	_, err := rpc.Call[submitRequest, none](ctx, f.o.Peers.Get(peer.Address), methodSubmit, &submitRequest{Work: *w})
+	_, err := rpc.Call[submitRequest, empty](ctx, f.opts.Peers.Get(peer.Address), methodSubmit, &submitRequest{Work: *w})
 	switch {
 	case err == nil:
 		return nil
@@ -170,138 +171,140 @@
 	return err
 }
 
-// offer tells the owner of new work; if that fails, its watch finds the work.
+// offer notifies the owner of new work. If that fails, the owner finds the work by its watch on the store.
 func (f *Front) offer(w *job.Work) {
-	if f.o.Dispatcher.Leads() {
-		ctx, cancel := context.WithTimeout(context.Background(), offerWithin)
+	if f.opts.Dispatcher.Leads() {
+		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
-		f.logOffer(w, f.o.Dispatcher.Offer(ctx, []job.Work{*w}))
+		f.logOffer(w, f.opts.Dispatcher.Offer(ctx, []job.Work{*w}))
 		return
 	}
-	peer, _, ok := f.o.Group.Owner()
+	peer, _, ok := f.opts.Group.Owner()
 	if !ok {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), offerWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
-		_, err := rpc.Call[offerRequest, none](ctx, f.o.Peers.Get(peer.Address), methodOffer, &offerRequest{Works: []job.Work{*w}})
+		_, err := rpc.Call[offerRequest, empty](ctx, f.opts.Peers.Get(peer.Address), methodOffer, &offerRequest{Works: []job.Work{*w}})
 		f.logOffer(w, err)
 	}()
 }
 
 func (f *Front) logOffer(w *job.Work, err error) {
 	if err != nil {
-		f.o.Logger.Info("front: the owner was not told of work", zap.String("id", w.ID), zap.Error(err))
+		f.opts.Logger.Info("front: could not notify the owner of new work", zap.String("id", w.ID), zap.Error(err))
 	}
 }
 
-// Status gives the state of a work; CodeNotFound means that there is none.
+// Status returns the state of a work; a Fault with CodeNotFound means that the work does not exist.
 func (f *Front) Status(ctx context.Context, id string) (job.WorkState, error) {
-	state, err := f.ownerStatus(ctx, id)
+	state, err := f.statusFromOwner(ctx, id)
 	if err == nil {
 		return state, nil
 	}
-	state, stored := f.storedStatus(ctx, id)
-	if stored != nil {
-		f.o.Logger.Info("front: no state of a work", zap.String("id", id), zap.NamedError("owner", err), zap.NamedError("store", stored))
-		return "", stored
+	state, storeErr := f.statusFromStore(ctx, id)
+	if storeErr != nil {
+		f.opts.Logger.Info("front: no state of a work",
+			zap.String("id", id), zap.NamedError("owner", err), zap.NamedError("store", storeErr))
+		return "", storeErr
 	}
 	return state, nil
 }
 
-func (f *Front) ownerStatus(ctx context.Context, id string) (job.WorkState, error) {
-	ctx, cancel := context.WithTimeout(ctx, ownerWithin)
+func (f *Front) statusFromOwner(ctx context.Context, id string) (job.WorkState, error) {
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
-		return f.o.Dispatcher.Status(ctx, id)
+	if f.opts.Dispatcher.Leads() {
+		return f.opts.Dispatcher.Status(ctx, id)
 	}
 	peer, err := f.owner(ctx)
 	if err != nil {
 		return "", err
 	}
-	if err := f.rested(&peer); err != nil {
+	if err := f.checkBackOff(&peer); err != nil {
 		return "", err
 	}
-	out, err := rpc.Call[idRequest, statusReply](ctx, f.o.Peers.Get(peer.Address), methodStatus, &idRequest{ID: id})
-	f.heard(&peer, err)
+	out, err := rpc.Call[idRequest, statusReply](ctx, f.opts.Peers.Get(peer.Address), methodStatus, &idRequest{ID: id})
+	f.recordOwnerCall(&peer, err)
 	if err != nil {
 		return "", err
 	}
 	return out.State, nil
 }
 
+// owner returns the owner of the cell, which must be another VM.
 func (f *Front) owner(ctx context.Context) (owner.Node, error) {
-	peer, ok := f.locate(ctx)
-	if !ok || peer.ID == f.o.Group.Self().ID {
-		return peer, rpc.Refused(retryOwner, "the cell has no owner just now")
+	peer, ok := f.findOwner(ctx)
+	if !ok || peer.ID == f.opts.Group.Self().ID {
+		return peer, rpc.Refused(ownerRetryAfter, "the cell has no owner just now")
 	}
 	return peer, nil
 }
 
-// storedStatus reads a state from the store.
-func (f *Front) storedStatus(ctx context.Context, id string) (job.WorkState, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+// statusFromStore reads the state of a work from the store.
+func (f *Front) statusFromStore(ctx context.Context, id string) (job.WorkState, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	state, err := dispatch.ReadState(ctx, f.o.Store, id)
+	state, err := dispatch.ReadState(ctx, f.opts.Store, id)
 	switch {
 	case errors.Is(err, dispatch.ErrNoWork):
 		return "", &rpc.Fault{Code: rpc.CodeNotFound, Reason: err.Error()}
 	case err != nil:
-		return "", rpc.Refused(retryOwner, "neither the owner nor the store can be asked: %v", err)
+		return "", rpc.Refused(ownerRetryAfter, "neither the owner nor the store can be asked: %v", err)
 	}
 	return state, nil
 }
 
-// Cancel ends a work; it is durable when Cancel returns nil.
+// Cancel cancels a work; the cancellation is durable when Cancel returns nil.
 func (f *Front) Cancel(ctx context.Context, id string) error {
-	err := f.ownerCancel(ctx, id)
+	err := f.cancelByOwner(ctx, id)
 	if fault := rpc.AsFault(err); fault == nil || fault.Code != rpc.CodeNotFound {
 		return err
 	}
-	// The owner may not have heard of work that was accepted just now.
-	w, state, err := dispatch.ReadWork(ctx, f.o.Store, id)
+	// The owner may not know a work yet that was accepted very recently.
+	w, state, err := dispatch.ReadWork(ctx, f.opts.Store, id)
 	switch {
 	case errors.Is(err, dispatch.ErrNoWork):
 		return &rpc.Fault{Code: rpc.CodeNotFound, Reason: err.Error()}
 	case err != nil:
-		return rpc.Refused(retryOwner, "the store cannot be asked: %v", err)
+		return rpc.Refused(ownerRetryAfter, "the store cannot be asked: %v", err)
 	case state.Final():
 		return nil
 	}
 	f.offer(w)
-	return f.ownerCancel(ctx, id)
+	return f.cancelByOwner(ctx, id)
 }
 
-func (f *Front) ownerCancel(ctx context.Context, id string) error {
-	if f.o.Dispatcher.Leads() {
-		return f.o.Dispatcher.Cancel(ctx, id)
+func (f *Front) cancelByOwner(ctx context.Context, id string) error {
+	if f.opts.Dispatcher.Leads() {
+		return f.opts.Dispatcher.Cancel(ctx, id)
 	}
 	peer, err := f.owner(ctx)
 	if err != nil {
 		return err
 	}
-	_, err = rpc.Call[idRequest, none](ctx, f.o.Peers.Get(peer.Address), methodCancel, &idRequest{ID: id})
+	_, err = rpc.Call[idRequest, empty](ctx, f.opts.Peers.Get(peer.Address), methodCancel, &idRequest{ID: id})
 	if errors.Is(err, rpc.ErrNotSent) {
-		return rpc.Refused(retryOwner, "the owner of the cell cannot be reached")
+		return rpc.Refused(ownerRetryAfter, "the owner of the cell cannot be reached")
 	}
 	return err
 }
 
-// Waiting counts the accepted works of a queue of which no task has started.
+// Waiting returns the number of accepted works of a queue that have not started any task.
 func (f *Front) Waiting(ctx context.Context, queue string) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, ownerWithin)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	if f.o.Dispatcher.Leads() {
-		return f.o.Dispatcher.Waiting(ctx, queue)
+	if f.opts.Dispatcher.Leads() {
+		return f.opts.Dispatcher.Waiting(ctx, queue)
 	}
 	peer, err := f.owner(ctx)
 	if err != nil {
 		return 0, err
 	}
-	out, err := rpc.Call[queueRequest, waitingReply](ctx, f.o.Peers.Get(peer.Address), methodWaiting, &queueRequest{Queue: queue})
+	out, err := rpc.Call[queueRequest, waitingReply](ctx, f.opts.Peers.Get(peer.Address), methodWaiting, &queueRequest{Queue: queue})
 	if err != nil {
-		return 0, rpc.Refused(retryOwner, "the owner of the cell cannot be asked: %v", err)
+		return 0, rpc.Refused(ownerRetryAfter, "the owner of the cell cannot be asked: %v", err)
 	}
 	return out.Waiting, nil
 }
--- a/front/locate.go
+++ b/front/locate.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	// locateWithin bounds the question to the other VMs who owns the cell; they answer from memory.
-	locateWithin = 150 * time.Millisecond
-	// locatedFor is how long their answer is used, so that many callers cost one question.
-	locatedFor = 250 * time.Millisecond
+	// findOwnerTimeout limits the call that asks the other VMs for the owner; they answer from memory.
+	findOwnerTimeout = 150 * time.Millisecond
+	// ownerCacheTTL is how long their answer is reused, so that many callers share one call.
+	ownerCacheTTL = 250 * time.Millisecond
 )
 
-// located is what the other VMs have told of the owner.
-type located struct {
-	mu    sync.Mutex
-	node  owner.Node
-	fence int64
-	at    time.Time
+// ownerCache holds the owner of the cell that the other VMs reported.
+type ownerCache struct {
+	mu        sync.Mutex
+	node      owner.Node
+	fence     int64
+	updatedAt time.Time
 }
 
-// ownerReply tells whom a VM knows as the owner of the cell; no fence says that it knows none.
+// ownerReply is the owner of the cell that a VM knows; Fence is zero if it knows none.
 type ownerReply struct {
 	Node  owner.Node `msgpack:"n"`
 	Fence int64      `msgpack:"f"`
 }
 
-func (f *Front) serveOwner(context.Context, *none) (*ownerReply, error) {
-	node, fence, ok := f.o.Group.Owner()
+func (f *Front) handleOwner(context.Context, *empty) (*ownerReply, error) {
+	node, fence, ok := f.opts.Group.Owner()
 	if !ok {
 		return &ownerReply{}, nil
 	}
 	return &ownerReply{Node: node, Fence: fence}, nil
 }
 
-// locate gives the owner of the cell. A VM whose calls the store declines learns nothing of a take-over: it
-// would send its callers to the former owner, and refuse them, as long as that lasts. It asks the other VMs,
-// the highest fence among their answers and its own is the newest owner.
-func (f *Front) locate(ctx context.Context) (owner.Node, bool) {
-	node, fence, ok := f.o.Group.Owner()
-	if f.follows() {
+// findOwner returns the owner of the cell. While the store declines the calls of this VM, the VM does not learn of a
+// new owner, and would send its callers to the former one and refuse them. It then asks the other VMs; the owner
+// with the highest fence is the current one.
+func (f *Front) findOwner(ctx context.Context) (owner.Node, bool) {
+	node, fence, ok := f.opts.Group.Owner()
+	if f.hearsFromStore() {
 		return node, ok
 	}
-	l := &f.located
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Since(l.at) > locatedFor {
-		told := f.askOwner(ctx)
-		l.node, l.fence, l.at = told.Node, told.Fence, time.Now()
+	c := &f.ownerCache
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if time.Since(c.updatedAt) > ownerCacheTTL {
+		reply := f.queryOwner(ctx)
+		c.node, c.fence, c.updatedAt = reply.Node, reply.Fence, time.Now()
 	}
-	if l.fence > fence {
-		return l.node, true
+	if c.fence > fence {
+		return c.node, true
 	}
 	return node, ok
 }
 
-// follows reports whether this VM hears from the store who owns the cell.
-func (f *Front) follows() bool {
-	_, failing := f.o.StoreFailing()
+// hearsFromStore reports whether this VM learns the owner of the cell from the store.
+func (f *Front) hearsFromStore() bool {
+	_, failing := f.opts.StoreFailing()
 	return !failing
 }
 
-// askOwner asks all other VMs at the same time.
-func (f *Front) askOwner(ctx context.Context) *ownerReply {
-	ctx, cancel := context.WithTimeout(ctx, locateWithin)
+// queryOwner asks all other VMs in parallel for the owner and returns the reply with the highest fence.
+func (f *Front) queryOwner(ctx context.Context) *ownerReply {
+	ctx, cancel := context.WithTimeout(ctx, findOwnerTimeout)
 	defer cancel()
-	nodes := f.o.Group.Nodes()
+	nodes := f.opts.Group.Nodes()
 	replies := make(chan *ownerReply, len(nodes))
 	asked := 0
 	for i := range nodes {
-		if nodes[i].ID == f.o.Group.Self().ID {
+		if nodes[i].ID == f.opts.Group.Self().ID {
 			continue
 		}
 		asked++
-		peer := f.o.Peers.Get(nodes[i].Address)
+		peer := f.opts.Peers.Get(nodes[i].Address)
 		go func() {
-			reply, err := rpc.Call[none, ownerReply](ctx, peer, methodOwner, &none{})
+			reply, err := rpc.Call[empty, ownerReply](ctx, peer, methodOwner, &empty{})
 			if err != nil {
 				reply = &ownerReply{}
 			}
--- a/front/serve.go
+++ b/front/serve.go
@@ -9,7 +9,7 @@
 	"turmericgap/rpc"
 )
 
-// Names of the calls between entry VMs.
+// RPC methods between entry VMs.
 const (
 	methodOffer   = "Front.Offer"
 	methodSubmit  = "Front.Submit"
@@ -18,11 +18,11 @@
 	methodCancel  = "Front.Cancel"
 	methodWaiting = "Front.Waiting"
 	methodOwner   = "Front.Owner"
-	// MethodAskPermit puts a question to the policy service from the callee's VM.
+	// MethodAskPermit sends a permit request to the policy service from the callee's VM.
 	MethodAskPermit = "Front.Ask"
 )
 
-type none struct{}
+type empty struct{}
 
 type offerRequest struct {
 	Works []job.Work `msgpack:"w"`
@@ -48,34 +48,34 @@
 	Waiting int `msgpack:"w"`
 }
 
-// Register serves the calls of the other entry VMs.
+// Register registers the handlers for calls of the other entry VMs.
 func (f *Front) Register(s *rpc.Server) {
-	rpc.Handle(s, methodOffer, func(ctx context.Context, in *offerRequest) (*none, error) {
-		return &none{}, f.o.Dispatcher.Offer(ctx, in.Works)
+	rpc.Handle(s, methodOffer, func(ctx context.Context, in *offerRequest) (*empty, error) {
+		return &empty{}, f.opts.Dispatcher.Offer(ctx, in.Works)
 	})
-	rpc.Handle(s, methodSubmit, func(ctx context.Context, in *submitRequest) (*none, error) {
-		created, err := f.accept.submit(ctx, &submission{work: &in.Work, begun: time.Now()})
+	rpc.Handle(s, methodSubmit, func(ctx context.Context, in *submitRequest) (*empty, error) {
+		created, err := f.acceptor.submit(ctx, &submission{work: &in.Work, receivedAt: time.Now()})
 		if created {
 			f.offer(&in.Work)
 		}
-		return &none{}, err
+		return &empty{}, err
 	})
-	rpc.Handle(s, methodAccept, func(ctx context.Context, in *submitRequest) (*none, error) {
-		return &none{}, f.o.Dispatcher.Accept(ctx, &in.Work)
+	rpc.Handle(s, methodAccept, func(ctx context.Context, in *submitRequest) (*empty, error) {
+		return &empty{}, f.opts.Dispatcher.Accept(ctx, &in.Work)
 	})
 	rpc.Handle(s, methodStatus, func(ctx context.Context, in *idRequest) (*statusReply, error) {
-		state, err := f.o.Dispatcher.Status(ctx, in.ID)
+		state, err := f.opts.Dispatcher.Status(ctx, in.ID)
 		return &statusReply{State: state}, err
 	})
-	rpc.Handle(s, methodCancel, func(ctx context.Context, in *idRequest) (*none, error) {
-		return &none{}, f.o.Dispatcher.Cancel(ctx, in.ID)
+	rpc.Handle(s, methodCancel, func(ctx context.Context, in *idRequest) (*empty, error) {
+		return &empty{}, f.opts.Dispatcher.Cancel(ctx, in.ID)
 	})
 	rpc.Handle(s, methodWaiting, func(ctx context.Context, in *queueRequest) (*waitingReply, error) {
-		n, err := f.o.Dispatcher.Waiting(ctx, in.Queue)
+		n, err := f.opts.Dispatcher.Waiting(ctx, in.Queue)
 		return &waitingReply{Waiting: n}, err
 	})
-	rpc.Handle(s, methodOwner, f.serveOwner)
+	rpc.Handle(s, methodOwner, f.handleOwner)
 	rpc.Handle(s, MethodAskPermit, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
-		return f.o.AskPermit(ctx, in)
+		return f.opts.AskPermit(ctx, in)
 	})
 }
--- a/front/unknown.go
+++ b/front/unknown.go
@@ -6,58 +6,59 @@
 )
 
 const (
-	// openFor is how long a try of unknown outcome may still take effect: the platform carries out calls
-	// up to twelve seconds late.
-	openFor = 15 * time.Second
-	// openMost bounds the IDs that are remembered; beyond it the oldest go first.
-	openMost = 4096
+	// unknownRetention is how long a call without an answer may still take effect: the platform executes calls up
+	// to twelve seconds late.
+	unknownRetention = 15 * time.Second
+	// maxUnknownIDs limits the IDs that are kept; the oldest are evicted first.
+	maxUnknownIDs = 4096
 )
 
-// openIDs remembers the submissions of which a caller was told that their outcome is open. A refusal of a
-// repeat would say that the work never runs, though the first try may have been accepted.
-type openIDs struct {
-	mu    sync.Mutex
-	since map[string]time.Time
-	order []string
+// unknownIDs holds the IDs of submissions whose callers were told that the outcome is unknown. If such a submission
+// is repeated, it must not be refused: a refusal means that the work never runs, but the first submission may have
+// been accepted.
+type unknownIDs struct {
+	mu         sync.Mutex
+	recordedAt map[string]time.Time
+	order      []string
 }
 
-// note remembers an ID.
-func (o *openIDs) note(id string, now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.since == nil {
-		o.since = make(map[string]time.Time)
+// add records an ID.
+func (u *unknownIDs) add(id string, now time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.recordedAt == nil {
+		u.recordedAt = make(map[string]time.Time)
 	}
-	o.forget(now)
-	if _, known := o.since[id]; !known {
-		o.order = append(o.order, id)
+	u.evict(now)
+	if _, known := u.recordedAt[id]; !known {
+		u.order = append(u.order, id)
 	}
-	o.since[id] = now
+	u.recordedAt[id] = now
 }
 
-// has reports whether an earlier try with the ID may still take effect.
-func (o *openIDs) has(id string, now time.Time) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	at, known := o.since[id]
-	return known && now.Sub(at) < openFor
+// contains reports whether an earlier submission with the ID may still take effect.
+func (u *unknownIDs) contains(id string, now time.Time) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	at, known := u.recordedAt[id]
+	return known && now.Sub(at) < unknownRetention
 }
 
-// settle drops an ID whose work is accepted.
-func (o *openIDs) settle(id string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.since, id)
+// remove drops an ID whose work was accepted.
+func (u *unknownIDs) remove(id string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	delete(u.recordedAt, id)
 }
 
-// forget drops what is too old or too much.
-func (o *openIDs) forget(now time.Time) {
-	for len(o.order) > 0 {
-		at, known := o.since[o.order[0]]
-		if known && now.Sub(at) < openFor && len(o.order) < openMost {
+// evict drops the IDs that are too old or exceed the limit.
+func (u *unknownIDs) evict(now time.Time) {
+	for len(u.order) > 0 {
+		at, known := u.recordedAt[u.order[0]]
+		if known && now.Sub(at) < unknownRetention && len(u.order) < maxUnknownIDs {
 			return
 		}
-		delete(o.since, o.order[0])
-		o.order = o.order[1:]
+		delete(u.recordedAt, u.order[0])
+		u.order = u.order[1:]
 	}
 }
--- a/front/unknown_test.go
+++ b/front/unknown_test.go
@@ -8,22 +8,22 @@
 	"github.com/matryer/is"
 )
 
-// A caller was told that the outcome is open; a repeat must not be refused as "never runs" for as long as
-// the first try may take effect, and no longer. What is remembered stays bounded.
-func TestOpenIDs(t *testing.T) {
+// A repeat of a submission with an unknown outcome must not be refused while the first one may still take effect.
+// The number of IDs that are kept must stay bounded.
+func TestUnknownIDs(t *testing.T) {
 	is := is.New(t)
-	var o openIDs
+	var o unknownIDs
 	now := time.Now()
-	o.note("a", now)
-	is.True(o.has("a", now.Add(openFor-time.Second)))
-	is.True(!o.has("a", now.Add(openFor)))
-	is.True(!o.has("b", now))
-	o.settle("a")
-	is.True(!o.has("a", now))
-	for i := range 2 * openMost {
-		o.note(fmt.Sprint(i), now)
+	o.add("a", now)
+	is.True(o.contains("a", now.Add(unknownRetention-time.Second)))
+	is.True(!o.contains("a", now.Add(unknownRetention)))
+	is.True(!o.contains("b", now))
+	o.remove("a")
+	is.True(!o.contains("a", now))
+	for i := range 2 * maxUnknownIDs {
+		o.add(fmt.Sprint(i), now)
 	}
-	is.True(len(o.since) <= openMost)
-	is.True(len(o.order) <= openMost)
-	is.True(o.has(fmt.Sprint(2*openMost-1), now))
+	is.True(len(o.recordedAt) <= maxUnknownIDs)
+	is.True(len(o.order) <= maxUnknownIDs)
+	is.True(o.contains(fmt.Sprint(2*maxUnknownIDs-1), now))
 }
