--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -170,7 +170,7 @@
 
 // membersReport is what members prints as JSON.
 type membersReport struct {
-	Asked  member.Page    `json:"asked"`
+	Asked  member.Status  `json:"asked"`
 	Tables []member.Table `json:"tables"`
 	// Present holds the keys of the members whose lease is there.
 	Present map[string]bool `json:"present"`
@@ -196,7 +196,7 @@
 	for _, tab := range r.Tables {
 		for _, m := range tab.Members {
 			lease, owner := "absent", ""
-			if r.Present[member.PresentKey(m.Zone, m.Role, m.ID)] {
+			if r.Present[member.PresenceKey(m.Zone, m.Role, m.ID)] {
 				lease = "there"
 			}
 			if tab.Owner == m.ID {
@@ -210,8 +210,8 @@
 	}
 	a := &r.Asked
 	fmt.Printf("\nasked %s: valid %t by %s, lease left %s\n", a.Self.ID, a.Valid, a.Basis, time.Duration(a.LeaseMillis)*time.Millisecond)
-	for _, o := range a.Others {
-		fmt.Printf("  %s is %s, heard %s ago\n", plain(o.Member.ID), o.Health, time.Duration(o.HeardMillis)*time.Millisecond)
+	for _, o := range a.Peers {
+		fmt.Printf("  %s is %s, heard %s ago\n", plain(o.Member.ID), o.Health, time.Duration(o.LastHeardMillis)*time.Millisecond)
 	}
 	return nil
 }
--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -65,7 +65,7 @@
 		return finding.List{{Place: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
 	}
 	return w.cell.with(func(ctx context.Context, n *near) error {
-		x, err := n.route().Why(ctx, w.Args.ID)
+		x, err := n.route().Explain(ctx, w.Args.ID)
 		if fault := rpc.AsFault(err); fault != nil && fault.Code == rpc.CodeNotFound {
 			return &exit{exitFailed, fmt.Errorf("job %s is not known: its id may be wrong, or it ended long ago; see 'ctl jobs'", w.Args.ID)}
 		}
@@ -80,7 +80,7 @@
 	})
 }
 
-func printWhy(x *route.Why) {
+func printWhy(x *route.Explanation) {
 	e := &x.Explanation
 	fmt.Printf("job %s: %s %s %s\n", x.Status.ID, x.Status.State, x.Status.Outcome, x.Status.Reason)
 	if !e.Known {
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -75,7 +75,7 @@
 	p.rules = configuration.NewRules(logger.Part(p.log, "configuration"))
 	p.relay = relay.NewServer(p.client.Agent)
 	p.relays = relay.New(relay.Options{
-		Self: s.ID, Own: ownWorkers(s), Direct: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
+		Self: s.ID, MaxDirect: ownWorkers(s), DirectAgent: p.client.Agent, Nodes: func() []owner.Node { return p.group.Nodes() },
 		Logger: logger.Part(p.log, "relay"), Metrics: service.Metrics(),
 	})
 	p.dispatch = dispatch.New(
@@ -83,7 +83,7 @@
 		dispatch.Config(func() *job.Config { return p.config.Current() }), dispatch.Rules(p.rules.Current),
 		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.askFrom(ask)),
 		dispatch.Upkeep(waves(p.client, s)),
-		dispatch.Bounds(s.MostHold, s.StopWithin, s.KeepEnded),
+		dispatch.Limits(s.MostHold, s.StopWithin, s.KeepEnded),
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.askConfig, logger.Part(p.log, "configuration"))
 	p.group = owner.New(kv, owner.Node{ID: s.ID, Zone: s.Zone, Address: s.Peers, Strength: strength(s)},
@@ -91,7 +91,7 @@
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
 		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, AskPermit: ask,
-		EvaluateRules: p.rules.Decide, StoreLastAnswer: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
+		EvaluateRules: p.rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
 	})
 	p.config.Start()
 	p.group.Start()
@@ -111,7 +111,7 @@
 	}
 	return &dispatch.Waves{
 		Prefix: platform.WavesPrefix, Decode: platform.DecodeWave, Status: platform.WaveStatus, Cloud: client.Cloud(s.Cloud),
-		Self: s.ID, Lease: s.HolderLease, Away: s.UpkeepTakes, SinceBoot: sinceBoot,
+		Self: s.ID, Lease: s.HolderLease, UpkeepDuration: s.UpkeepTakes, SinceBoot: sinceBoot,
 	}
 }
 
--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -101,7 +101,7 @@
 	rules := &process.Rules{View: p.follower.View, Logger: log}
 	p.gate = gate.New(gate.ID(gateID(p.group.Self())), gate.Zone(s.Zone), gate.Dial(web.New(p.calls)),
 		gate.Targets(func() []target.Info { return p.follower.View().Targets }),
-		gate.Member(p.group.Valid, p.group.Joined), gate.OverRPC(p.pool, p.gateAddress, p.gatesOf),
+		gate.Member(p.group.Valid, p.group.JoinedVersion), gate.OverRPC(p.pool, p.gateAddress, p.gatesOf),
 		gate.SessionKeys(s.keys()...), gate.JobOwner(p.jobs(s)),
 		gate.Rules(func(c *gate.Check) gate.Decision { return decide(rules.List(), s.Zone, c) }),
 		gate.Logger(logger.Part(log, "gate")), gate.Metrics(service.Metrics()))
@@ -120,7 +120,7 @@
 
 func (p *parts) register() {
 	p.follower.Register(p.server)
-	rpc.Handle(p.server, member.BeatMethod, p.group.Beat)
+	rpc.Handle(p.server, member.HeartbeatMethod, p.group.HandleHeartbeat)
 	p.gate.Register(p.server)
 }
 
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -92,7 +92,7 @@
 	self := member.Member{ID: p.ID, Role: role, Zone: p.Zone, Address: p.RPCAddress, VM: p.VM}
 	base := []member.Option{
 		member.Logger(logger.Part(s.Logger(), "member")), member.Metrics(s.Metrics()),
-		member.Listed(func() (map[string]bool, bool) { return v.View().Listed() }),
+		member.ListedVMs(func() (map[string]bool, bool) { return v.View().Listed() }),
 		member.Rules(func() int64 { return v.View().Rules.Version }, v.Heard),
 	}
 	return member.New(kv, self, append(base, opts...)...)
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -71,8 +71,8 @@
 	server := rpc.NewServer()
 	sched.Register(server)
 	keeper.Register(server)
-	rpc.Handle(server, member.BeatMethod, group.Beat)
-	operators := &operate.Source{Members: group.Page, InForce: keeper.InForce, Zone: sched.State, View: keeper.View}
+	rpc.Handle(server, member.HeartbeatMethod, group.HandleHeartbeat)
+	operators := &operate.Source{Members: group.Status, InForce: keeper.InForce, Zone: sched.State, View: keeper.View}
 	operators.Register(server)
 	pool := rpc.NewPool()
 	service.Init(
--- a/dispatch/ask.go
+++ b/dispatch/ask.go
@@ -14,7 +14,7 @@
 	case <-n.hurry: // meant for a pause that was over
 	default:
 	}
-	t.next(n, holdWait, heartbeat.Pause(now, t.roomWanted(n), n.heartbeats()))
+	t.next(n, holdWait, heartbeat.PollDelay(now, t.roomWanted(n), n.heartbeats()))
 }
 
 // heartbeats tells what the worker's runs mean to those who wait.
@@ -25,7 +25,7 @@
 			continue
 		}
 		last := r.stopping || r.last()
-		list = append(list, heartbeat.Run{Ends: r.endsAt(), Last: last})
+		list = append(list, heartbeat.Run{ExpectedEnd: r.endsAt(), Awaited: last})
 	}
 	return list
 }
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -130,11 +130,11 @@
 	v.relay = relay.NewServer(func(i worker.Info) *worker.Agent { return c.served(v, agent(i)) })
 	v.relay.Register(v.server)
 	v.relays = relay.New(relay.Options{
-		Self: id, Own: cmp.Or(c.own, math.MaxInt), Direct: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
-		Client: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
+		Self: id, MaxDirect: cmp.Or(c.own, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
+		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.disp = dispatch.New(
-		dispatch.Upkeep(waves), dispatch.Spend(c.spend),
+		dispatch.Upkeep(waves), dispatch.OnExamined(c.spend),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
@@ -144,11 +144,11 @@
 				}
 				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAskPermit, q)
 			}),
-		dispatch.Bounds(mostHold, 200*time.Millisecond, 2*time.Minute))
+		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.slow.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
-		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, AskPermit: ask, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
+		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, AskPermit: ask, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
 	v.front.Register(v.server)
 	v.group.Register(v.server)
@@ -199,7 +199,7 @@
 		time.Sleep(busyStep)
 	}
 	time.Sleep(time.Duration(b.vm.lateRelay.Load()))
-	for asked := time.Now(); b.vm.disp.Leads() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
+	for asked := time.Now(); b.vm.disp.IsOwner() && time.Since(asked) < time.Duration(b.vm.busy.Load()) && !b.vm.dead.Load(); {
 		time.Sleep(busyStep)
 	}
 	return b.Conn.Write(p)
@@ -324,7 +324,7 @@
 	c.t.Helper()
 	for range 600 {
 		for _, v := range c.vms {
-			if !v.dead.Load() && v.disp.Leads() {
+			if !v.dead.Load() && v.disp.IsOwner() {
 				return v
 			}
 		}
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -221,7 +221,7 @@
 // it. An answer that was lost is resolved by trying again: the number in that key tells whether an
 // earlier try went through, and once a later commit has changed it, no earlier try ever can.
 func (t *term) commit(ch *change, before int64) (int64, error) {
-	b := retry.New(retry.Between(commitAgain, commitAgainMost))
+	b := retry.New(retry.Bounds(commitAgain, commitAgainMost))
 	for first := true; ; first = false {
 		ctx, cancel := context.WithTimeout(t.ctx, storeWithin)
 		res, err := t.o.Store.Txn(ctx, ch.txn)
@@ -253,7 +253,7 @@
 
 // resolve tells whether a refused transaction had gone through at an earlier try.
 func (t *term) resolve(ctx context.Context, ch *change, res *store.TxnResult) (int64, error) {
-	found := res.Found
+	found := res.Existing
 	if len(found) == 0 {
 		r, err := t.o.Store.Range(ctx, store.Range{Key: ch.lane.key})
 		if err != nil {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -54,8 +54,8 @@
 	return d.term, nil
 }
 
-// Leads reports whether this VM owns the cell and has read its state.
-func (d *Dispatcher) Leads() bool {
+// IsOwner reports whether this VM owns the cell and has read its state.
+func (d *Dispatcher) IsOwner() bool {
 	t, err := d.current()
 	return err == nil && t != nil
 }
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -39,7 +39,7 @@
 
 // leaseSpan is how long after a hold was sent the lease may last on the worker's clock.
 func (t *term) leaseSpan() time.Duration {
-	return t.o.MostHold + time.Duration(clockSlack*float64(t.o.MostHold)) + lapseMargin
+	return t.o.MaxHold + time.Duration(clockSlack*float64(t.o.MaxHold)) + lapseMargin
 }
 
 // keep sends the holds of one worker, one at a time.
@@ -82,7 +82,7 @@
 	h := worker.Hold{Fence: t.tenure.Fence, Observed: n.observed, Wait: wait}
 	if n.synced && n.misses < extendMisses && t.tenure.Confirmed(holdGrace) {
 		// The order is sent after the pause; the lease then ends that much earlier.
-		h.Until = n.clockNow(now) + t.o.MostHold
+		h.Until = n.clockNow(now) + t.o.MaxHold
 		n.leaseEnd = now.Add(pause + t.leaseSpan())
 	}
 	n.holding, n.holdSent, n.due = true, now.Add(pause), now.Add(pause+wait+holdLate)
--- a/dispatch/lane.go
+++ b/dispatch/lane.go
@@ -72,7 +72,7 @@
 
 // name gives the lanes their keys, and pauses after commits that were declined.
 func (c *commits) name() {
-	c.declines = retry.New(retry.Between(commitAgain, commitAgainMost))
+	c.declines = retry.New(retry.Bounds(commitAgain, commitAgainMost))
 	for i := range c.lanes {
 		c.lanes[i].key = commitPrefix + strconv.Itoa(i)
 	}
--- a/dispatch/large_test.go
+++ b/dispatch/large_test.go
@@ -25,7 +25,7 @@
 func TestManyWorkersAndSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newReplay(t.Context(), 97, allow, Spend(func(looks int) { time.Sleep(time.Duration(looks) * lookTakes) }))
+		r := newReplay(t.Context(), 97, allow, OnExamined(func(looks int) { time.Sleep(time.Duration(looks) * lookTakes) }))
 		r.cell(3000)
 		l := &load{rand.New(rand.NewPCG(3, 3)), r}
 		const works = 1500
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -37,19 +37,19 @@
 	Metrics *metric.Registry
 	// Waves says where waves of upkeep lie and how they are answered; nil leaves them alone.
 	Waves *Waves
-	// Spend is told after each pass at how many workers it looked; tests let that take time. Nil takes none.
-	Spend func(looks int)
-	// MostHold is the longest lease that a worker grants, StopWithin how long it takes to end a run.
-	MostHold, StopWithin time.Duration
-	// KeepEnded is how long the state of ended work is kept.
-	KeepEnded time.Duration
+	// OnExamined is told after each pass at how many workers it looked; tests let that take time. Nil takes none.
+	OnExamined func(looks int)
+	// MaxHold is the longest lease that a worker grants, StopTimeout how long it takes to end a run.
+	MaxHold, StopTimeout time.Duration
+	// EndedRetention is how long the state of ended work is kept.
+	EndedRetention time.Duration
 }
 
 // Defaults.
 const (
-	DefaultMostHold   = 10 * time.Second
-	DefaultStopWithin = 200 * time.Millisecond
-	DefaultKeepEnded  = 2 * time.Minute
+	DefaultMaxHold        = 10 * time.Second
+	DefaultStopTimeout    = 200 * time.Millisecond
+	DefaultEndedRetention = 2 * time.Minute
 
 	// eventRing bounds what waits for the loop; a full one holds up callers, not memory.
 	eventRing = 1024
@@ -139,17 +139,17 @@
 // Metrics sets where counters and histograms are kept.
 func Metrics(r *metric.Registry) Option { return func(o *Options) { o.Metrics = r } }
 
-// Bounds sets the longest lease of a worker, the time of a stop, and how long ended work is shown.
-func Bounds(mostHold, stopWithin, keepEnded time.Duration) Option {
-	return func(o *Options) { o.MostHold, o.StopWithin, o.KeepEnded = mostHold, stopWithin, keepEnded }
+// Limits sets the longest lease of a worker, the time of a stop, and how long ended work is shown.
+func Limits(mostHold, stopWithin, keepEnded time.Duration) Option {
+	return func(o *Options) { o.MaxHold, o.StopTimeout, o.EndedRetention = mostHold, stopWithin, keepEnded }
 }
 
-// Spend sets what is told after each pass at how many workers it looked.
-func Spend(f func(looks int)) Option { return func(o *Options) { o.Spend = f } }
+// OnExamined sets what is told after each pass at how many workers it looked.
+func OnExamined(f func(looks int)) Option { return func(o *Options) { o.OnExamined = f } }
 
 func newOptions(opts []Option) *Options {
 	o := &Options{
-		Logger: zap.NewNop(), MostHold: DefaultMostHold, StopWithin: DefaultStopWithin, KeepEnded: DefaultKeepEnded,
+		Logger: zap.NewNop(), MaxHold: DefaultMaxHold, StopTimeout: DefaultStopTimeout, EndedRetention: DefaultEndedRetention,
 		StoreFailing: func() (time.Time, bool) { return time.Time{}, false },
 		Config:       func() *job.Config { return nil }, Rules: func() *rule.List { return nil }, Nodes: func() []owner.Node { return nil },
 	}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -111,8 +111,8 @@
 // spend tells of the workers that were looked at since it last did.
 func (t *term) spend() {
 	p := &t.pass
-	if t.o.Spend != nil {
-		t.o.Spend(p.looks - p.spent)
+	if t.o.OnExamined != nil {
+		t.o.OnExamined(p.looks - p.spent)
 	}
 	p.spent = p.looks
 }
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -14,16 +14,16 @@
 // ErrNoWork means that the store holds no work of that ID.
 var ErrNoWork = errors.New("no such work")
 
-// Create adds the creation of a work to a transaction, which fails where the ID was used already.
-func Create(txn *store.Txn, w *job.Work) {
+// AddCreate adds the creation of a work to a transaction, which fails where the ID was used already.
+func AddCreate(txn *store.Txn, w *job.Work) {
 	txn.Compares = append(txn.Compares,
 		store.Compare{Key: workPrefix + w.ID, Target: store.ModRevision},
 		store.Compare{Key: endedPrefix + w.ID, Target: store.ModRevision})
 	txn.Then = append(txn.Then, store.Op{Key: workPrefix + w.ID, Value: encode(w)})
 }
 
-// Existing gives the IDs whose work or end is among the keys that a failed creation has found.
-func Existing(found []store.Pair) map[string]bool {
+// ExistingIDs gives the IDs whose work or end is among the keys that a failed creation has found.
+func ExistingIDs(found []store.Pair) map[string]bool {
 	out := make(map[string]bool)
 	for i := range found {
 		if found[i].ModRevision == 0 {
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -69,7 +69,7 @@
 				for _, r := range c.floor.History() {
 					is.Equal(r.How, worker.EndingDone)
 				}
-				is.True(first.disp.Leads())
+				is.True(first.disp.IsOwner())
 				c.judge()
 			})
 		})
@@ -95,7 +95,7 @@
 		for i := range 6 {
 			c.until(next, fmt.Sprint("work", i), job.WorkCompleted, 20*time.Second)
 		}
-		is.True(next.disp.Leads())
+		is.True(next.disp.IsOwner())
 		c.judge()
 	})
 }
--- a/dispatch/succession_test.go
+++ b/dispatch/succession_test.go
@@ -65,7 +65,7 @@
 					v.slow.Store(all || v == first)
 				}
 				time.Sleep(3 * time.Second)
-				is.Equal(first.disp.Leads(), all)
+				is.Equal(first.disp.IsOwner(), all)
 				c.until(c.owner(), "roster", job.WorkCompleted, 10*time.Second)
 				is.Equal(c.runs("roster"), 8)
 				c.judge()
@@ -90,7 +90,7 @@
 		c.submit(first, c.work("roster", job.Step{Tasks: 8}))
 		for range 40 {
 			time.Sleep(500 * time.Millisecond)
-			is.True(first.disp.Leads())
+			is.True(first.disp.IsOwner())
 		}
 		is.Equal(c.runs("roster"), 8)
 		c.judge()
@@ -130,7 +130,7 @@
 			v.apart.Store(v != first && v.id != "vm3")
 		}
 		time.Sleep(5 * time.Second)
-		is.True(first.disp.Leads())
+		is.True(first.disp.IsOwner())
 	})
 }
 
@@ -148,7 +148,7 @@
 			v.store.Down(true)
 		}
 		time.Sleep(4 * time.Second)
-		is.True(first.disp.Leads())
+		is.True(first.disp.IsOwner())
 		for _, v := range c.vms {
 			v.store.Down(false)
 		}
@@ -163,7 +163,7 @@
 	c.t.Helper()
 	for range 400 {
 		for _, v := range c.vms {
-			if v != of && !v.dead.Load() && v.disp.Leads() {
+			if v != of && !v.dead.Load() && v.disp.IsOwner() {
 				return v
 			}
 		}
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -31,7 +31,7 @@
 func (t *term) haltAgain(now time.Time) {
 	for _, n := range t.nodes {
 		for _, r := range n.runs {
-			if r.stopping && now.Sub(r.haltedAt) > haltAgain+t.o.StopWithin {
+			if r.stopping && now.Sub(r.haltedAt) > haltAgain+t.o.StopTimeout {
 				t.halt(r)
 			}
 		}
@@ -93,7 +93,7 @@
 func (t *term) forgetEnded(now time.Time) {
 	for len(t.endedOrder) > 0 {
 		id := t.endedOrder[0]
-		if now.Sub(t.ended[id].At) < t.o.KeepEnded+endedExtra {
+		if now.Sub(t.ended[id].At) < t.o.EndedRetention+endedExtra {
 			return
 		}
 		t.endedOrder = t.endedOrder[1:]
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -21,8 +21,8 @@
 	Self string
 	// Lease is how long a former owner's orders may still arrive: a new owner gives none before that.
 	Lease time.Duration
-	// Away is how long a VM is away for its upkeep.
-	Away time.Duration
+	// UpkeepDuration is how long a VM is away for its upkeep.
+	UpkeepDuration time.Duration
 	// SinceBoot is a clock that counts the time for which this VM was suspended.
 	SinceBoot func() time.Duration
 }
@@ -138,7 +138,7 @@
 	if !known {
 		at = t.since
 	}
-	return at.Add(t.o.Waves.Away)
+	return at.Add(t.o.Waves.UpkeepDuration)
 }
 
 // load counts what runs on a VM.
@@ -165,7 +165,7 @@
 		return
 	}
 	n.clearing = true
-	most := w.clearTime(t.o.Waves.Away)
+	most := w.clearTime(t.o.Waves.UpkeepDuration)
 	bound := false
 	for _, r := range n.runs {
 		if r.s.spec.Service && !t.mayBeAway(r) {
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -65,7 +65,7 @@
 
 func (k *cloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, Away: upkeepTakes,
+		Prefix: wavesPrefix, Self: self, Lease: holderLease, UpkeepDuration: upkeepTakes,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -68,7 +68,7 @@
 		time.Sleep(3 * time.Second)
 		var second *vm
 		for _, v := range c.vms {
-			if v != first && v.disp.Leads() {
+			if v != first && v.disp.IsOwner() {
 				second = v
 			}
 		}
--- a/front/accept.go
+++ b/front/accept.go
@@ -195,7 +195,7 @@
 	for _, s := range batch {
 		if !seen[s.work.ID] {
 			seen[s.work.ID] = true
-			dispatch.Create(&txn, s.work)
+			dispatch.AddCreate(&txn, s.work)
 		}
 	}
 	started := time.Now()
@@ -207,7 +207,7 @@
 	if res.Succeeded {
 		return nil, nil
 	}
-	return dispatch.Existing(res.Found), nil
+	return dispatch.ExistingIDs(res.Existing), nil
 }
 
 // resolveExisting completes the submissions whose work exists, because the ID was repeated or an earlier
--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -28,7 +28,7 @@
 	monitor, kv := health.New(memory.New().Client(&a.faults))
 	ctx, cancel := context.WithCancel(t.Context())
 	a.acceptor = newAcceptor(ctx, &Options{
-		Store: kv, Logger: zap.NewNop(), Metrics: metric.New(), StoreLastAnswer: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent,
+		Store: kv, Logger: zap.NewNop(), Metrics: metric.New(), StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent,
 	})
 	t.Cleanup(func() {
 		cancel()
--- a/front/front.go
+++ b/front/front.go
@@ -110,7 +110,7 @@
 func (f *Front) acceptByOwner(ctx context.Context, w *job.Work) error {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	if f.opts.Dispatcher.Leads() {
+	if f.opts.Dispatcher.IsOwner() {
 		return f.opts.Dispatcher.Accept(ctx, w)
 	}
 	peer, err := f.owner(ctx)
@@ -152,7 +152,7 @@
 // calls of some VMs while it serves others; without this call the work would be refused although it could run.
 func (f *Front) submitToOwner(ctx context.Context, w *job.Work, cause error) error {
 	fault := rpc.AsFault(cause)
-	if fault == nil || fault.Code != rpc.CodeRefused || f.opts.Dispatcher.Leads() {
+	if fault == nil || fault.Code != rpc.CodeRefused || f.opts.Dispatcher.IsOwner() {
 		return cause
 	}
 	peer, ok := f.findOwner(ctx)
@@ -173,7 +173,7 @@
 
 // offer notifies the owner of new work. If that fails, the owner finds the work by its watch on the store.
 func (f *Front) offer(w *job.Work) {
-	if f.opts.Dispatcher.Leads() {
+	if f.opts.Dispatcher.IsOwner() {
 		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
 		f.logOffer(w, f.opts.Dispatcher.Offer(ctx, []job.Work{*w}))
@@ -215,7 +215,7 @@
 func (f *Front) statusFromOwner(ctx context.Context, id string) (job.WorkState, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	if f.opts.Dispatcher.Leads() {
+	if f.opts.Dispatcher.IsOwner() {
 		return f.opts.Dispatcher.Status(ctx, id)
 	}
 	peer, err := f.owner(ctx)
@@ -277,7 +277,7 @@
 }
 
 func (f *Front) cancelByOwner(ctx context.Context, id string) error {
-	if f.opts.Dispatcher.Leads() {
+	if f.opts.Dispatcher.IsOwner() {
 		return f.opts.Dispatcher.Cancel(ctx, id)
 	}
 	peer, err := f.owner(ctx)
@@ -295,7 +295,7 @@
 func (f *Front) Waiting(ctx context.Context, queue string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	if f.opts.Dispatcher.Leads() {
+	if f.opts.Dispatcher.IsOwner() {
 		return f.opts.Dispatcher.Waiting(ctx, queue)
 	}
 	peer, err := f.owner(ctx)
--- a/lease/guard.go
+++ b/lease/guard.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// ErrLapsed means that nothing was written, as the lease that allows it cannot be trusted any more.
-var ErrLapsed = errors.New("lease lapsed before the write")
+// ErrExpired means that nothing was written, as the lease that allows it cannot be trusted any more.
+var ErrExpired = errors.New("lease lapsed before the write")
 
 // guarded asks before each write.
 type guarded struct {
@@ -22,7 +22,7 @@
 // Write writes p while the lease is valid.
 func (g *guarded) Write(p []byte) (int, error) {
 	if !g.valid() {
-		return 0, ErrLapsed
+		return 0, ErrExpired
 	}
 	return g.Conn.Write(p)
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -15,8 +15,8 @@
 // Defaults.
 const (
 	DefaultTTL = 5 * time.Second
-	// DefaultDrift covers a clock that runs a tenth slower than the service's.
-	DefaultDrift = 500 * time.Millisecond
+	// DefaultClockDrift covers a clock that runs a tenth slower than the service's.
+	DefaultClockDrift = 500 * time.Millisecond
 	// renewals is how many renewals are sent within one TTL.
 	renewals = 3
 )
@@ -47,7 +47,7 @@
 // New returns a holder that asks for its lease at once and then keeps it alive.
 func New(s *store.Store, opts ...Option) *Holder {
 	h := &Holder{
-		store: s, ttl: DefaultTTL, drift: DefaultDrift, lost: func(int64) {}, log: zap.NewNop(),
+		store: s, ttl: DefaultTTL, drift: DefaultClockDrift, lost: func(int64) {}, log: zap.NewNop(),
 		ended: make(chan struct{}), changed: make(chan struct{}),
 	}
 	for _, o := range opts {
@@ -85,9 +85,9 @@
 	return h.id != 0 && !h.closed && before(time.Now(), h.deadline, h.deadline.Round(0))
 }
 
-// ValidFor reports whether the service kept the lease until no longer ago than grace. Like Valid it asks
+// ValidWithGrace reports whether the service kept the lease until no longer ago than grace. Like Valid it asks
 // both clocks, so that a VM that was suspended does not take its lease for fresh.
-func (h *Holder) ValidFor(grace time.Duration) bool {
+func (h *Holder) ValidWithGrace(grace time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	until := h.deadline.Add(grace)
@@ -140,7 +140,7 @@
 // those before have been answered: at a store that takes longer for an answer than the pause between
 // them, the lease is still kept.
 func (h *Holder) run() {
-	b := retry.New(retry.Between(retry.DefaultMin, h.renew))
+	b := retry.New(retry.Bounds(retry.DefaultMin, h.renew))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for h.ctx.Err() == nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -43,7 +43,7 @@
 		s.pause(&s.after)
 		return ttl, err
 	}
-	s.holder = New(client, append(opts, Lost(func(id int64) { s.lost = append(s.lost, id) }))...)
+	s.holder = New(client, append(opts, OnLost(func(id int64) { s.lost = append(s.lost, id) }))...)
 	t.Cleanup(func() { _ = s.holder.Close(context.Background()) })
 	if _, err := s.holder.Wait(context.Background()); err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 		is.Equal(s.lost, []int64{old})
 		is.True(s.holder.ID() != old)
 		is.True(s.holder.Valid())
-		is.True(time.Until(s.holder.Deadline()) <= DefaultTTL-DefaultDrift)
+		is.True(time.Until(s.holder.Deadline()) <= DefaultTTL-DefaultClockDrift)
 	})
 }
 
@@ -163,7 +163,7 @@
 	is.NoErr(err)
 	valid = false
 	n, err := conn.Write([]byte{2})
-	is.True(errors.Is(err, ErrLapsed))
+	is.True(errors.Is(err, ErrExpired))
 	is.Equal(n, 0)
 	near.Close()
 	is.Equal(<-got, byte(1))
@@ -175,7 +175,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := memory.New().Store()
-		h := New(s, TTL(10*time.Second), Drift(time.Second), Renew(2*time.Second))
+		h := New(s, TTL(10*time.Second), ClockDrift(time.Second), RenewInterval(2*time.Second))
 		id, err := h.Wait(context.Background())
 		is.NoErr(err)
 		is.NoErr(h.Close(context.Background()))
--- a/lease/options.go
+++ b/lease/options.go
@@ -12,18 +12,18 @@
 // TTL sets how long the service keeps the lease after a renewal.
 func TTL(d time.Duration) Option { return func(h *Holder) { h.ttl = d } }
 
-// Drift sets how much earlier than the service the holder stops trusting the lease.
-func Drift(d time.Duration) Option { return func(h *Holder) { h.drift = d } }
+// ClockDrift sets how much earlier than the service the holder stops trusting the lease.
+func ClockDrift(d time.Duration) Option { return func(h *Holder) { h.drift = d } }
 
-// Renew sets the pause between renewals; the default is a third of the TTL.
-func Renew(d time.Duration) Option { return func(h *Holder) { h.renew = d } }
+// RenewInterval sets the pause between renewals; the default is a third of the TTL.
+func RenewInterval(d time.Duration) Option { return func(h *Holder) { h.renew = d } }
 
-// Overlap lets renewals be sent while earlier ones have no answer yet.
-func Overlap() Option { return func(h *Holder) { h.overlap = true } }
+// OverlapRenewals lets renewals be sent while earlier ones have no answer yet.
+func OverlapRenewals() Option { return func(h *Holder) { h.overlap = true } }
 
-// Lost sets a function that is called, on the holder's goroutine, when the service says that the
+// OnLost sets a function that is called, on the holder's goroutine, when the service says that the
 // lease is gone; a lease with a new ID follows.
-func Lost(f func(id int64)) Option { return func(h *Holder) { h.lost = f } }
+func OnLost(f func(id int64)) Option { return func(h *Holder) { h.lost = f } }
 
 // Logger sets where the holder logs.
 func Logger(l *zap.Logger) Option { return func(h *Holder) { h.log = l } }
--- a/member/beat.go
+++ b/member/beat.go
@@ -8,8 +8,8 @@
 	"turmericgap/store/retry"
 )
 
-// Beat is one heartbeat from a member to another of its table.
-type Beat struct {
+// Heartbeat is one heartbeat from a member to another of its table.
+type Heartbeat struct {
 	From Member
 	// Version is the newest table that the sender knows; Table holds it if the receiver may lack it.
 	Version int64
@@ -20,8 +20,8 @@
 	Ask time.Duration
 }
 
-// BeatReply answers a Beat.
-type BeatReply struct {
+// HeartbeatReply answers a Beat.
+type HeartbeatReply struct {
 	From    Member
 	Version int64
 	Table   *Table
@@ -33,13 +33,13 @@
 	Refused string
 }
 
-// Beat serves a peer's heartbeat.
-func (g *Group) Beat(_ context.Context, b *Beat) (*BeatReply, error) {
+// HandleHeartbeat serves a peer's heartbeat.
+func (g *Group) HandleHeartbeat(_ context.Context, b *Heartbeat) (*HeartbeatReply, error) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopped {
-		return nil, rpc.Refused(g.opts.Beat, "not a member")
+		return nil, rpc.Refused(g.opts.HeartbeatInterval, "not a member")
 	}
 	if b.From.Zone != g.self.Zone || b.From.Role != g.self.Role {
 		return nil, rpc.Refused(0, "this is a %s of %s", g.self.Role, g.self.Zone)
@@ -47,7 +47,7 @@
 	if b.Table != nil {
 		g.adopt(b.Table.clone())
 	}
-	r := &BeatReply{From: g.self, Version: g.table.Version, Rules: g.opts.Rules()}
+	r := &HeartbeatReply{From: g.self, Version: g.table.Version, Rules: g.opts.Rules()}
 	if b.Version < g.table.Version {
 		t := g.table.clone()
 		r.Table = &t
@@ -68,20 +68,20 @@
 	case r.Promised:
 		g.meters.promised.Inc(1)
 		// The drift allowance covers a clock here that runs faster than the asker's.
-		p.given = later(p.given, now.Add(min(b.Ask, g.opts.Promise)+g.opts.Drift))
+		p.given = later(p.given, now.Add(min(b.Ask, g.opts.PromiseDuration)+g.opts.ClockDrift))
 	}
 	return r, nil
 }
 
 // refusal gives the reason not to promise, or nothing.
-func (g *Group) refusal(p *peer, b *Beat) string {
+func (g *Group) refusal(p *peer, b *Heartbeat) string {
 	switch {
 	case b.Version != g.table.Version:
 		// A newer table may hold a member that the asker does not know to ask.
 		return "tables differ"
 	case p.removing != 0 && p.removing >= g.table.Version:
 		return "a removal is under way"
-	case b.Ask > g.opts.Promise:
+	case b.Ask > g.opts.PromiseDuration:
 		return "too long"
 	default:
 		return ""
@@ -99,13 +99,13 @@
 		g.nudge()
 	}
 	if rules > g.opts.Rules() {
-		g.opts.Newer(p.member, rules)
+		g.opts.OnNewerRules(p.member, rules)
 	}
 }
 
 // beat sends heartbeats to all others of the table.
 func (g *Group) beat(ctx context.Context) {
-	for retry.Sleep(ctx, retry.Jitter(g.opts.Beat)) {
+	for retry.Sleep(ctx, retry.Jitter(g.opts.HeartbeatInterval)) {
 		g.measure()
 		for _, m := range g.due() {
 			g.wg.Go(func() { g.beatOne(ctx, m) })
@@ -121,12 +121,12 @@
 	if g.asks(now) {
 		// One that the list drops may be replaced from then on, also when the list shows it again.
 		if g.dropped = g.dropped || g.unlisted(g.self.VM); !g.dropped {
-			g.asked = now.Add(g.opts.Promise)
+			g.asked = now.Add(g.opts.PromiseDuration)
 		}
 	}
 	var out []Member
 	for _, p := range g.peers {
-		if !p.suspect && now.Sub(p.heard) > suspectBeats*g.opts.Beat {
+		if !p.suspect && now.Sub(p.heard) > suspectBeats*g.opts.HeartbeatInterval {
 			p.suspect = true
 			g.nudge()
 		}
@@ -144,12 +144,12 @@
 }
 
 func (g *Group) unlisted(vm string) bool {
-	vms, known := g.opts.Listed()
+	vms, known := g.opts.ListedVMs()
 	return known && !vms[vm]
 }
 
 func (g *Group) beatOne(ctx context.Context, m Member) {
-	ctx, cancel := context.WithTimeout(ctx, g.opts.Promise/2)
+	ctx, cancel := context.WithTimeout(ctx, g.opts.PromiseDuration/2)
 	defer cancel()
 	b := g.compose(m)
 	sent := time.Now()
@@ -181,16 +181,16 @@
 	g.hear(p, r.Version, r.Rules, time.Now())
 }
 
-func (g *Group) compose(m Member) *Beat {
+func (g *Group) compose(m Member) *Heartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := &Beat{From: g.self, Version: g.table.Version, Rules: g.opts.Rules()}
+	b := &Heartbeat{From: g.self, Version: g.table.Version, Rules: g.opts.Rules()}
 	if p := g.peers[m.ID]; p == nil || p.confirmed < b.Version {
 		t := g.table.clone()
 		b.Table = &t
 	}
 	if g.asks(time.Now()) {
-		b.Ask = g.opts.Promise
+		b.Ask = g.opts.PromiseDuration
 	}
 	return b
 }
--- a/member/cell_test.go
+++ b/member/cell_test.go
@@ -73,9 +73,9 @@
 	n := &node{before: func() {}}
 	self := Member{ID: id, Role: RoleScheduler, Zone: testZone, Address: "10.0.0." + id, VM: "vm-" + id}
 	c.list(true, id)
-	all := append([]Option{Call(func(ctx context.Context, to string, b *Beat) (*BeatReply, error) {
+	all := append([]Option{Call(func(ctx context.Context, to string, b *Heartbeat) (*HeartbeatReply, error) {
 		return c.carry(ctx, n, to[len("10.0.0."):], b)
-	}), Listed(c.listed)}, append(c.opts, opts...)...)
+	}), ListedVMs(c.listed)}, append(c.opts, opts...)...)
 	n.Group = New(n.through(c.svc.Client(&n.faults)), self, all...)
 	c.mu.Lock()
 	c.nodes[id] = n
@@ -94,7 +94,7 @@
 	return out, true
 }
 
-func (c *cell) carry(ctx context.Context, from *node, to string, b *Beat) (*BeatReply, error) {
+func (c *cell) carry(ctx context.Context, from *node, to string, b *Heartbeat) (*HeartbeatReply, error) {
 	from.awake(context.Background())
 	c.mu.Lock()
 	n, there, back := c.nodes[to], !c.cut[[2]string{from.self.ID, to}], !c.cut[[2]string{to, from.self.ID}]
@@ -113,7 +113,7 @@
 	if ctx.Err() != nil {
 		return nil, errCut
 	}
-	r, err := n.Beat(ctx, &sent)
+	r, err := n.HandleHeartbeat(ctx, &sent)
 	time.Sleep(time.Millisecond + lag)
 	if !back || n.isDead() || ctx.Err() != nil {
 		<-ctx.Done()
--- a/member/leave.go
+++ b/member/leave.go
@@ -24,7 +24,7 @@
 		return ctx.Err()
 	}
 	defer g.unlockTable()
-	b := retry.New(retry.Between(firstBackoff, lastBackoff))
+	b := retry.New(retry.Bounds(firstBackoff, lastBackoff))
 	for {
 		out, err := g.leaveStep(ctx, handOver)
 		if err == nil && out {
@@ -77,13 +77,13 @@
 	now := time.Now()
 	return heir(&r.table, r.keys, func(id string) bool {
 		p := g.peers[id]
-		return p != nil && now.Sub(p.heard) <= suspectBeats*g.opts.Beat
+		return p != nil && now.Sub(p.heard) <= suspectBeats*g.opts.HeartbeatInterval
 	})
 }
 
 // announce tells the peers the new table at once, so that the heir need not wait for its watch.
 func (g *Group) announce(ctx context.Context, t Table) {
-	ctx, cancel := context.WithTimeout(ctx, g.opts.Beat)
+	ctx, cancel := context.WithTimeout(ctx, g.opts.HeartbeatInterval)
 	defer cancel()
 	g.mu.Lock()
 	g.adopt(t)
@@ -91,7 +91,7 @@
 	for _, p := range g.peers {
 		peers = append(peers, p.member)
 	}
-	b := &Beat{From: g.self, Version: t.Version, Table: &t, Rules: g.opts.Rules()}
+	b := &Heartbeat{From: g.self, Version: t.Version, Table: &t, Rules: g.opts.Rules()}
 	g.mu.Unlock()
 	var told sync.WaitGroup
 	for _, m := range peers {
--- a/member/member.go
+++ b/member/member.go
@@ -16,20 +16,20 @@
 
 // Defaults.
 const (
-	DefaultTTL     = 6 * time.Second
-	DefaultBeat    = 500 * time.Millisecond
-	DefaultPromise = 3 * time.Second
-	DefaultLook    = 30 * time.Second
-	DefaultListLag = 10 * time.Second
-	// CallTimeout bounds one call of the store, which may be slow.
-	CallTimeout = 5 * time.Second
+	DefaultTTL               = 6 * time.Second
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	DefaultPromiseDuration   = 3 * time.Second
+	DefaultPollInterval      = 30 * time.Second
+	DefaultListLag           = 10 * time.Second
+	// StoreCallTimeout bounds one call of the store, which may be slow.
+	StoreCallTimeout = 5 * time.Second
 
 	driftShare   = 20
 	suspectBeats = 4
 	// stagger keeps members that see the same key vanish from writing at once.
 	stagger = 200 * time.Millisecond
-	// BeatMethod is the rpc name under which Group.Beat is served.
-	BeatMethod = "member.beat"
+	// HeartbeatMethod is the rpc name under which Group.Beat is served.
+	HeartbeatMethod = "member.beat"
 )
 
 // Group is this process's part in the table of its zone and role.
@@ -97,17 +97,17 @@
 // holding the address proves that an earlier process that listened there has ended.
 func New(s *store.Store, self Member, opts ...Option) *Group {
 	o := Options{
-		TTL: DefaultTTL, Drift: DefaultTTL / driftShare, Beat: DefaultBeat, Promise: DefaultPromise,
-		Look: DefaultLook, ListLag: DefaultListLag, Elects: self.Role == RoleScheduler, Logger: zap.NewNop(),
+		TTL: DefaultTTL, ClockDrift: DefaultTTL / driftShare, HeartbeatInterval: DefaultHeartbeatInterval, PromiseDuration: DefaultPromiseDuration,
+		PollInterval: DefaultPollInterval, ListLag: DefaultListLag, ElectsOwner: self.Role == RoleScheduler, Logger: zap.NewNop(),
 		Metrics: metric.New(),
-		Rules:   func() int64 { return 0 }, Newer: func(Member, int64) {}, OnChange: func(Table) {},
-		Listed: func() (map[string]bool, bool) { return nil, false },
+		Rules:   func() int64 { return 0 }, OnNewerRules: func(Member, int64) {}, OnChange: func(Table) {},
+		ListedVMs: func() (map[string]bool, bool) { return nil, false },
 	}
 	for _, f := range opts {
 		f(&o)
 	}
 	// A promise that outlives a lease could bind a peer to a member that was removed and is back.
-	o.Promise = min(o.Promise, o.TTL/2)
+	o.PromiseDuration = min(o.PromiseDuration, o.TTL/2)
 	if self.Incarnation == 0 {
 		self.Incarnation = rand.Int64()
 	}
@@ -119,8 +119,8 @@
 	}
 	if g.opts.Call == nil {
 		g.pool = rpc.NewPool()
-		g.opts.Call = func(ctx context.Context, address string, b *Beat) (*BeatReply, error) {
-			return rpc.Call[Beat, BeatReply](ctx, g.pool.Get(address), BeatMethod, b)
+		g.opts.Call = func(ctx context.Context, address string, b *Heartbeat) (*HeartbeatReply, error) {
+			return rpc.Call[Heartbeat, HeartbeatReply](ctx, g.pool.Get(address), HeartbeatMethod, b)
 		}
 	}
 	return g
@@ -130,8 +130,8 @@
 func (g *Group) Start(ctx context.Context) error {
 	ctx, g.cancel = context.WithCancel(ctx)
 	g.mu.Lock()
-	g.lease = lease.New(g.store, lease.TTL(g.opts.TTL), lease.Drift(g.opts.Drift), lease.Logger(g.log),
-		lease.Lost(func(int64) { g.nudge() }))
+	g.lease = lease.New(g.store, lease.TTL(g.opts.TTL), lease.ClockDrift(g.opts.ClockDrift), lease.Logger(g.log),
+		lease.OnLost(func(int64) { g.nudge() }))
 	g.mu.Unlock()
 	g.wg.Go(func() { g.tend(ctx) })
 	g.wg.Go(func() { g.beat(ctx) })
@@ -146,7 +146,7 @@
 	g.mu.Unlock()
 	g.cancel()
 	g.wg.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), CallTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), StoreCallTimeout)
 	defer cancel()
 	if err := g.lease.Close(ctx); err != nil {
 		g.log.Warn("member: lease not revoked", zap.Error(err))
@@ -173,8 +173,8 @@
 	return g.table.Epoch, g.table.EpochRevision, true
 }
 
-// Joined gives the table version with which the present membership began; zero means none.
-func (g *Group) Joined() int64 {
+// JoinedVersion gives the table version with which the present membership began; zero means none.
+func (g *Group) JoinedVersion() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.joined
@@ -201,8 +201,8 @@
 	return g.table.Find(g.table.Owner)
 }
 
-// Confirmed gives the newest table version that each other member is known to have, by its ID.
-func (g *Group) Confirmed() map[string]int64 {
+// ConfirmedVersions gives the newest table version that each other member is known to have, by its ID.
+func (g *Group) ConfirmedVersions() map[string]int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make(map[string]int64, len(g.peers))
@@ -212,8 +212,8 @@
 	return out
 }
 
-// Learn takes a table from a watch or a peer; an older one than is known changes nothing.
-func (g *Group) Learn(t Table) {
+// UpdateTable takes a table from a watch or a peer; an older one than is known changes nothing.
+func (g *Group) UpdateTable(t Table) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if t.Zone == g.self.Zone && t.Role == g.self.Role {
@@ -221,8 +221,8 @@
 	}
 }
 
-// Presence is told by a watch whether the lease-bound key of a member of this table is there.
-func (g *Group) Presence(id string, there bool) {
+// UpdatePresence is told by a watch whether the lease-bound key of a member of this table is there.
+func (g *Group) UpdatePresence(id string, there bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[id]
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -18,7 +18,7 @@
 		c.Equal(revision, c.epochKey())
 		for _, n := range c.nodes {
 			c.Equal(n.Table().EpochRevision, revision)
-			for _, version := range n.Confirmed() {
+			for _, version := range n.ConfirmedVersions() {
 				c.Equal(version, n.Table().Version)
 			}
 		}
@@ -62,7 +62,7 @@
 		old.freeze(false)
 		c.True(!old.Valid())
 		c.True(!old.owns())
-		old.Learn(c.nodes["2"].Table())
+		old.UpdateTable(c.nodes["2"].Table())
 		c.True(!old.Valid())
 		c.until(DefaultTTL, func() bool { return old.Valid() })
 		c.True(!old.owns())
@@ -108,9 +108,9 @@
 		c.settle("1", "2", "3")
 		c.nodes["1"].faults.Cut(true)
 		c.always(60*time.Second, func() bool { return c.nodes["1"].owns() && c.owners() == 1 })
-		c.Equal(c.nodes["1"].Page().Basis, ByPromises)
+		c.Equal(c.nodes["1"].Status().Basis, ByPromises)
 		c.nodes["1"].faults.Cut(false)
-		c.until(10*time.Second, func() bool { return c.nodes["1"].Page().Basis == ByLease })
+		c.until(10*time.Second, func() bool { return c.nodes["1"].Status().Basis == ByLease })
 		c.True(c.nodes["1"].owns())
 		c.Equal(c.nodes["1"].Table().Epoch, int64(1))
 	})
@@ -126,9 +126,9 @@
 		time.Sleep(10 * time.Second)
 		c.partition("1", "3", true)
 		took := c.until(2*DefaultTTL, func() bool { c.True(c.owners() <= 1); return !c.nodes["1"].owns() })
-		c.True(took <= DefaultPromise)
+		c.True(took <= DefaultPromiseDuration)
 		c.until(2*DefaultTTL, func() bool { c.True(c.owners() <= 1); return c.owners() == 1 })
-		c.Equal(c.nodes["1"].Page().Basis, ByNothing)
+		c.Equal(c.nodes["1"].Status().Basis, ByNothing)
 	})
 }
 
@@ -161,7 +161,7 @@
 		c.partition("1", "2", true)
 		c.until(3*DefaultTTL, func() bool {
 			c.True(c.owners() <= 1)
-			return c.nodes["1"].Page().Basis == ByLease && c.nodes["1"].Page().Others[0].HeardMillis > 7000
+			return c.nodes["1"].Status().Basis == ByLease && c.nodes["1"].Status().Peers[0].LastHeardMillis > 7000
 		})
 		c.always(2*DefaultTTL, func() bool { return c.nodes["1"].owns() && !c.nodes["2"].owns() })
 		c.True(tried)
@@ -195,7 +195,7 @@
 		c.cutWay("2", "1", true)
 		c.nodes["1"].faults.Cut(true)
 		c.until(DefaultTTL, func() bool { return !c.nodes["1"].owns() })
-		c.always(30*time.Second, func() bool { return c.owners() == 0 && c.nodes["2"].Page().Others[0].GivenMillis > 0 })
+		c.always(30*time.Second, func() bool { return c.owners() == 0 && c.nodes["2"].Status().Peers[0].PromiseGivenMillis > 0 })
 		c.partition("1", "2", true)
 		c.until(DefaultTTL, func() bool { return c.nodes["2"].owns() })
 	})
@@ -233,7 +233,7 @@
 		c.partition("3", "2", true)
 		c.start("3")
 		c.list(false, "1", "2")
-		c.until(DefaultPromise+time.Second, func() bool { return c.owners() == 0 })
+		c.until(DefaultPromiseDuration+time.Second, func() bool { return c.owners() == 0 })
 		c.always(DefaultListLag, func() bool { return c.owners() == 0 })
 		c.until(DefaultTTL+DefaultListLag+2*time.Second, func() bool { c.True(c.owners() <= 1); return c.nodes["3"].owns() })
 		c.list(true, "1", "2")
--- a/member/options.go
+++ b/member/options.go
@@ -13,29 +13,29 @@
 type Options struct {
 	// TTL is the lease's length.
 	TTL time.Duration
-	// Drift is taken off the lease for clocks that run at different rates.
-	Drift time.Duration
-	// Beat is the interval of heartbeats.
-	Beat time.Duration
-	// Promise is how long a promise holds on the asker's clock.
-	Promise time.Duration
-	// Look is the longest time between two looks at the store.
-	Look time.Duration
-	// Elects says that the table has an owner.
-	Elects bool
+	// ClockDrift is taken off the lease for clocks that run at different rates.
+	ClockDrift time.Duration
+	// HeartbeatInterval is the interval of heartbeats.
+	HeartbeatInterval time.Duration
+	// PromiseDuration is how long a promise holds on the asker's clock.
+	PromiseDuration time.Duration
+	// PollInterval is the longest time between two looks at the store.
+	PollInterval time.Duration
+	// ElectsOwner says that the table has an owner.
+	ElectsOwner bool
 	// Call sends a heartbeat to a peer; the default is rpc "member.beat".
-	Call func(ctx context.Context, address string, b *Beat) (*BeatReply, error)
-	// Listed gives the VMs of the VM list by their Member.VM; known is false before the first list.
-	Listed func() (vms map[string]bool, known bool)
+	Call func(ctx context.Context, address string, b *Heartbeat) (*HeartbeatReply, error)
+	// ListedVMs gives the VMs of the VM list by their Member.VM; known is false before the first list.
+	ListedVMs func() (vms map[string]bool, known bool)
 	// ListLag is how late the VM list may be.
 	ListLag time.Duration
 	// Rules gives the version of the rules that this process has in force.
 	Rules func() int64
-	// Newer is told of a peer that has newer rules.
-	Newer    func(from Member, version int64)
-	OnChange func(Table)
-	Logger   *zap.Logger
-	Metrics  *metric.Registry
+	// OnNewerRules is told of a peer that has newer rules.
+	OnNewerRules func(from Member, version int64)
+	OnChange     func(Table)
+	Logger       *zap.Logger
+	Metrics      *metric.Registry
 }
 
 // Option changes Options.
@@ -43,32 +43,32 @@
 
 // TTL sets the lease's length; the drift allowance becomes a twentieth of it.
 func TTL(d time.Duration) Option {
-	return func(o *Options) { o.TTL, o.Drift = d, d/driftShare }
+	return func(o *Options) { o.TTL, o.ClockDrift = d, d/driftShare }
 }
 
-// Drift sets the drift allowance; give it after TTL.
-func Drift(d time.Duration) Option { return func(o *Options) { o.Drift = d } }
+// ClockDrift sets the drift allowance; give it after TTL.
+func ClockDrift(d time.Duration) Option { return func(o *Options) { o.ClockDrift = d } }
 
-// Interval sets the time between heartbeats.
-func Interval(d time.Duration) Option { return func(o *Options) { o.Beat = d } }
+// HeartbeatInterval sets the time between heartbeats.
+func HeartbeatInterval(d time.Duration) Option { return func(o *Options) { o.HeartbeatInterval = d } }
 
-// Promise sets how long a promise holds, at most half of the lease.
-func Promise(d time.Duration) Option { return func(o *Options) { o.Promise = d } }
+// PromiseDuration sets how long a promise holds, at most half of the lease.
+func PromiseDuration(d time.Duration) Option { return func(o *Options) { o.PromiseDuration = d } }
 
-// Look sets the longest time between two looks at the store.
-func Look(d time.Duration) Option { return func(o *Options) { o.Look = d } }
+// PollInterval sets the longest time between two looks at the store.
+func PollInterval(d time.Duration) Option { return func(o *Options) { o.PollInterval = d } }
 
-// Elects says whether the table has an owner; the default is true for schedulers alone.
-func Elects(yes bool) Option { return func(o *Options) { o.Elects = yes } }
+// ElectsOwner says whether the table has an owner; the default is true for schedulers alone.
+func ElectsOwner(yes bool) Option { return func(o *Options) { o.ElectsOwner = yes } }
 
 // Call sets how heartbeats are sent.
-func Call(f func(ctx context.Context, address string, b *Beat) (*BeatReply, error)) Option {
+func Call(f func(ctx context.Context, address string, b *Heartbeat) (*HeartbeatReply, error)) Option {
 	return func(o *Options) { o.Call = f }
 }
 
-// Listed sets where the VM list is read.
-func Listed(f func() (vms map[string]bool, known bool)) Option {
-	return func(o *Options) { o.Listed = f }
+// ListedVMs sets where the VM list is read.
+func ListedVMs(f func() (vms map[string]bool, known bool)) Option {
+	return func(o *Options) { o.ListedVMs = f }
 }
 
 // ListLag sets how late the VM list may be: a VM that it does not show counts as ended only after it.
@@ -76,7 +76,7 @@
 
 // Rules sets how rule versions are told to and learnt from peers.
 func Rules(version func() int64, newer func(from Member, version int64)) Option {
-	return func(o *Options) { o.Rules, o.Newer = version, newer }
+	return func(o *Options) { o.Rules, o.OnNewerRules = version, newer }
 }
 
 // OnChange is told the newest table after each change, from one goroutine.
--- a/member/owners_test.go
+++ b/member/owners_test.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		if owner != nil {
-			return fmt.Sprintf("two owners: %+v and %+v", owner.Page(), n.Page())
+			return fmt.Sprintf("two owners: %+v and %+v", owner.Status(), n.Status())
 		}
 		owner = n
 		if first, seen := epochs[epoch]; seen && first != n {
@@ -131,7 +131,7 @@
 func TestOneOwnerFindsPlanted(t *testing.T) {
 	plants := map[string]func(c *cell){
 		"promises that nobody keeps":    func(c *cell) { c.lie = true },
-		"lease counted from the answer": func(c *cell) { c.opts = []Option{Drift(-3 * time.Second)} },
+		"lease counted from the answer": func(c *cell) { c.opts = []Option{ClockDrift(-3 * time.Second)} },
 	}
 	for name, plant := range plants {
 		t.Run(name, func(t *testing.T) {
--- a/member/page.go
+++ b/member/page.go
@@ -28,54 +28,54 @@
 
 const unreachableBeats = 20
 
-// Row is another member as the page shows it; times are in milliseconds.
-type Row struct {
+// PeerStatus is another member as the page shows it; times are in milliseconds.
+type PeerStatus struct {
 	Member Member `json:"member"`
 	Health Health `json:"health"`
-	// HeardMillis is the time since its last heartbeat.
-	HeardMillis int64 `json:"heardMillis"`
-	Confirmed   int64 `json:"confirmed"`
-	Rules       int64 `json:"rules"`
-	// PromisedMillis is what is left of its promise to this process, GivenMillis of the one to it.
-	PromisedMillis int64 `json:"promisedMillis"`
-	GivenMillis    int64 `json:"givenMillis"`
+	// LastHeardMillis is the time since its last heartbeat.
+	LastHeardMillis int64 `json:"heardMillis"`
+	Confirmed       int64 `json:"confirmed"`
+	Rules           int64 `json:"rules"`
+	// PromiseReceivedMillis is what is left of its promise to this process, GivenMillis of the one to it.
+	PromiseReceivedMillis int64 `json:"promisedMillis"`
+	PromiseGivenMillis    int64 `json:"givenMillis"`
 	// KeyAbsent says that its lease-bound key was last seen to be absent.
 	KeyAbsent bool `json:"keyAbsent"`
 }
 
-// Page is the operators' page of this process's membership.
-type Page struct {
-	Self          Member `json:"self"`
-	Version       int64  `json:"version"`
-	Epoch         int64  `json:"epoch"`
-	EpochRevision int64  `json:"epochRevision"`
-	Owner         string `json:"owner"`
-	Owns          bool   `json:"owns"`
-	Valid         bool   `json:"valid"`
-	Basis         Basis  `json:"basis"`
-	LeaseMillis   int64  `json:"leaseMillis"`
-	Others        []Row  `json:"others"`
+// Status is the operators' page of this process's membership.
+type Status struct {
+	Self          Member       `json:"self"`
+	Version       int64        `json:"version"`
+	Epoch         int64        `json:"epoch"`
+	EpochRevision int64        `json:"epochRevision"`
+	Owner         string       `json:"owner"`
+	IsOwner       bool         `json:"owns"`
+	Valid         bool         `json:"valid"`
+	Basis         Basis        `json:"basis"`
+	LeaseMillis   int64        `json:"leaseMillis"`
+	Peers         []PeerStatus `json:"others"`
 }
 
-// Page gives the operators' page.
-func (g *Group) Page() Page {
+// Status gives the operators' page.
+func (g *Group) Status() Status {
 	_, _, owns := g.Owns()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	p := Page{
+	p := Status{
 		Self: g.self, Version: g.table.Version, Epoch: g.table.Epoch, EpochRevision: g.table.EpochRevision,
-		Owner: g.table.Owner, Owns: owns, Valid: g.valid(now), Basis: g.basis(now),
-		LeaseMillis: g.leaseLeft(now).Milliseconds(), Others: []Row{},
+		Owner: g.table.Owner, IsOwner: owns, Valid: g.valid(now), Basis: g.basis(now),
+		LeaseMillis: g.leaseLeft(now).Milliseconds(), Peers: []PeerStatus{},
 	}
 	for _, o := range g.peers {
-		p.Others = append(p.Others, Row{
-			Member: o.member, Health: g.health(o, now), HeardMillis: now.Sub(o.heard).Milliseconds(),
-			Confirmed: o.confirmed, Rules: o.rules, PromisedMillis: left(o.promised, now),
-			GivenMillis: left(o.given, now), KeyAbsent: !o.absent.IsZero(),
+		p.Peers = append(p.Peers, PeerStatus{
+			Member: o.member, Health: g.health(o, now), LastHeardMillis: now.Sub(o.heard).Milliseconds(),
+			Confirmed: o.confirmed, Rules: o.rules, PromiseReceivedMillis: left(o.promised, now),
+			PromiseGivenMillis: left(o.given, now), KeyAbsent: !o.absent.IsZero(),
 		})
 	}
-	slices.SortFunc(p.Others, func(a, b Row) int { return strings.Compare(a.Member.ID, b.Member.ID) })
+	slices.SortFunc(p.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Member.ID, b.Member.ID) })
 	return p
 }
 
@@ -92,9 +92,9 @@
 
 func (g *Group) health(p *peer, now time.Time) Health {
 	switch silent := now.Sub(p.heard); {
-	case silent > unreachableBeats*g.opts.Beat:
+	case silent > unreachableBeats*g.opts.HeartbeatInterval:
 		return Unreachable
-	case silent > suspectBeats*g.opts.Beat:
+	case silent > suspectBeats*g.opts.HeartbeatInterval:
 		return Suspect
 	default:
 		return Alive
--- a/member/plan_test.go
+++ b/member/plan_test.go
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &scene{
 				now: now, self: Member{ID: "2", Address: "a"}, since: ago(2 * time.Second), grace: 6 * time.Second,
-				promise: DefaultPromise, others: map[string]standing{"1": c.o}, keys: map[string]present{"0": {}},
+				promise: DefaultPromiseDuration, others: map[string]standing{"1": c.o}, keys: map[string]present{"0": {}},
 				table: Table{Members: []Member{{ID: "0"}, {ID: "1"}, {ID: "2"}}},
 			}
 			is.New(t).Equal(s.removable(Member{ID: "1", Address: c.address}), c.want)
@@ -47,26 +47,26 @@
 func TestRefusal(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(g *Group, b *Beat)
+		change func(g *Group, b *Heartbeat)
 		want   string
 	}{
-		{"promise", func(*Group, *Beat) {}, ""},
-		{"the asker knows an older table", func(_ *Group, b *Beat) { b.Version = 4 }, "tables differ"},
-		{"the asker knows a newer table", func(_ *Group, b *Beat) { b.Version = 6 }, "tables differ"},
-		{"a removal is under way or its answer was lost", func(g *Group, _ *Beat) { g.peers["1"].removing = 5 }, "a removal is under way"},
-		{"an older removal can not apply any more", func(g *Group, _ *Beat) { g.peers["1"].removing = 4 }, ""},
-		{"too long", func(_ *Group, b *Beat) { b.Ask = time.Hour }, "too long"},
-		{"another incarnation", func(_ *Group, b *Beat) { b.From.Incarnation = 2 }, "asker is not in the table"},
+		{"promise", func(*Group, *Heartbeat) {}, ""},
+		{"the asker knows an older table", func(_ *Group, b *Heartbeat) { b.Version = 4 }, "tables differ"},
+		{"the asker knows a newer table", func(_ *Group, b *Heartbeat) { b.Version = 6 }, "tables differ"},
+		{"a removal is under way or its answer was lost", func(g *Group, _ *Heartbeat) { g.peers["1"].removing = 5 }, "a removal is under way"},
+		{"an older removal can not apply any more", func(g *Group, _ *Heartbeat) { g.peers["1"].removing = 4 }, ""},
+		{"too long", func(_ *Group, b *Heartbeat) { b.Ask = time.Hour }, "too long"},
+		{"another incarnation", func(_ *Group, b *Heartbeat) { b.From.Incarnation = 2 }, "asker is not in the table"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			asker := Member{ID: "1", Incarnation: 1}
 			g := New(nil, Member{ID: "2"})
-			g.Learn(Table{Version: 5, Members: []Member{asker, g.self}})
-			b := &Beat{From: asker, Version: 5, Ask: time.Second}
+			g.UpdateTable(Table{Version: 5, Members: []Member{asker, g.self}})
+			b := &Heartbeat{From: asker, Version: 5, Ask: time.Second}
 			c.change(g, b)
-			r, err := g.Beat(context.Background(), b)
+			r, err := g.HandleHeartbeat(context.Background(), b)
 			is.NoErr(err)
 			is.Equal(r.Refused, c.want)
 			is.Equal(r.Promised, c.want == "")
@@ -81,8 +81,8 @@
 	is := is.New(t)
 	g := New(nil, Member{ID: "1"})
 	g.joined, g.asked = 5, time.Now().Add(time.Hour)
-	g.Learn(Table{Version: 5, Members: []Member{g.self}})
+	g.UpdateTable(Table{Version: 5, Members: []Member{g.self}})
 	is.True(g.Valid())
-	g.Learn(Table{Version: 6})
+	g.UpdateTable(Table{Version: 6})
 	is.True(!g.Valid())
 }
--- a/member/table.go
+++ b/member/table.go
@@ -12,10 +12,10 @@
 
 // Keys of the store.
 const (
-	CellPrefix    = "turmericgap/cell/"
-	TablePrefix   = CellPrefix + "table/"
-	PresentPrefix = CellPrefix + "member/"
-	journalPrefix = "/turmericgap/journal/"
+	CellPrefix     = "turmericgap/cell/"
+	TablePrefix    = CellPrefix + "table/"
+	PresencePrefix = CellPrefix + "member/"
+	journalPrefix  = "/turmericgap/journal/"
 )
 
 // Roles of members.
@@ -122,10 +122,10 @@
 // EpochKey gives the store's key of a zone's epoch, which the journal's commits compare.
 func EpochKey(zone string) string { return journalPrefix + zone + "/epoch" }
 
-// PresentKey gives the store's key that is bound to a member's lease.
-func PresentKey(zone, role, id string) string { return presentPrefix(zone, role) + id }
+// PresenceKey gives the store's key that is bound to a member's lease.
+func PresenceKey(zone, role, id string) string { return presentPrefix(zone, role) + id }
 
-func presentPrefix(zone, role string) string { return PresentPrefix + zone + "/" + role + "/" }
+func presentPrefix(zone, role string) string { return PresencePrefix + zone + "/" + role + "/" }
 
 // DecodeTable reads a table from the store's pair.
 func DecodeTable(p store.Pair) (Table, error) {
@@ -140,8 +140,8 @@
 	return t, nil
 }
 
-// DecodePresent reads a member from its lease-bound key.
-func DecodePresent(p store.Pair) (Member, error) {
+// DecodePresence reads a member from its lease-bound key.
+func DecodePresence(p store.Pair) (Member, error) {
 	var m Member
 	if err := json.Unmarshal(p.Value, &m); err != nil {
 		return m, eris.Wrap(err, "decode member key")
--- a/member/tend.go
+++ b/member/tend.go
@@ -28,8 +28,8 @@
 
 // tend joins the table and keeps it true: it wakes on changes, on suspicion and at long intervals.
 func (g *Group) tend(ctx context.Context) {
-	failures := retry.New(retry.Between(firstBackoff, lastBackoff))
-	looks := retry.New(retry.Between(firstBackoff, g.opts.Look))
+	failures := retry.New(retry.Bounds(firstBackoff, lastBackoff))
+	looks := retry.New(retry.Bounds(firstBackoff, g.opts.PollInterval))
 	for wait := time.Duration(0); g.pause(ctx, wait); {
 		again, err := g.step(ctx)
 		if err != nil {
@@ -68,7 +68,7 @@
 		return looks.Next()
 	}
 	looks.Reset()
-	return retry.Jitter(g.opts.Look)
+	return retry.Jitter(g.opts.PollInterval)
 }
 
 // step reads the store, plans and applies one change.
@@ -116,13 +116,13 @@
 func (g *Group) unlockTable() { <-g.writing }
 
 func (g *Group) txn(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, StoreCallTimeout)
 	defer cancel()
 	return g.store.Txn(ctx, t)
 }
 
 func (g *Group) read(ctx context.Context) (reading, error) {
-	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, StoreCallTimeout)
 	defer cancel()
 	r := reading{table: Table{Zone: g.self.Zone, Role: g.self.Role}, keys: make(map[string]present)}
 	got, err := g.store.Range(ctx, store.Range{Key: TableKey(g.self.Zone, g.self.Role)})
@@ -143,7 +143,7 @@
 		return r, eris.Wrap(err, "read member keys")
 	}
 	for _, p := range got.Pairs {
-		m, err := DecodePresent(p)
+		m, err := DecodePresence(p)
 		if err != nil {
 			return r, err
 		}
@@ -190,7 +190,7 @@
 	defer g.mu.Unlock()
 	s := &scene{
 		now: time.Now(), self: g.self, lease: lease, joined: g.joined != 0, since: g.since,
-		grace: g.opts.TTL + g.opts.Drift + g.opts.ListLag, elects: g.opts.Elects, promise: g.opts.Promise, table: r.table, keys: r.keys,
+		grace: g.opts.TTL + g.opts.ClockDrift + g.opts.ListLag, elects: g.opts.ElectsOwner, promise: g.opts.PromiseDuration, table: r.table, keys: r.keys,
 		others: make(map[string]standing, len(g.peers)), confirmed: g.allConfirmed(),
 	}
 	for id, p := range g.peers {
--- a/operate/operate.go
+++ b/operate/operate.go
@@ -33,7 +33,7 @@
 // State is what one scheduler knows.
 type State struct {
 	At      time.Time      `json:"at"`
-	Members member.Page    `json:"members"`
+	Members member.Status  `json:"members"`
 	InForce []view.Process `json:"inForce"`
 	// Zone is nil unless this scheduler owns its zone and was asked for it.
 	Zone *scheduler.State `json:"zone,omitempty"`
@@ -41,7 +41,7 @@
 
 // Source is where a scheduler's process finds its own state.
 type Source struct {
-	Members func() member.Page
+	Members func() member.Status
 	InForce func() []view.Process
 	Zone    func(context.Context) (*scheduler.State, error)
 	View    func() *view.View
--- a/operate/operate_test.go
+++ b/operate/operate_test.go
@@ -21,7 +21,7 @@
 	servers := map[string]*rpc.Server{"10.0.0.1:1": rpc.NewServer(), "10.0.0.2:1": rpc.NewServer()}
 	for address, server := range servers {
 		s := &Source{
-			Members: func() member.Page { return member.Page{Basis: member.ByNothing} }, InForce: func() []view.Process { return nil },
+			Members: func() member.Status { return member.Status{Basis: member.ByNothing} }, InForce: func() []view.Process { return nil },
 			Zone: func(context.Context) (*scheduler.State, error) {
 				if address == "10.0.0.2:1" {
 					return nil, &rpc.Fault{Code: rpc.CodeNotOwner}
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithCancel(g.ctx)
 	t := &Tenure{
-		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.holder.ValidFor,
+		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.holder.ValidWithGrace,
 		ReportLost: func() { go g.endTenure("reported lost") },
 	}
 	done := make(chan struct{})
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -144,8 +144,8 @@
 
 // Start joins the group.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.Renew(g.renew), lease.Overlap(), lease.Drift(DefaultDrift), lease.Logger(g.log),
-		lease.Lost(func(id int64) {
+	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultDrift), lease.Logger(g.log),
+		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the store says that the lease is gone", zap.Int64("lease", id))
 			g.endTenure("lease gone")
 		}))
@@ -265,7 +265,7 @@
 
 // follow keeps nodes and owner as the store tells them.
 func (g *Group) follow() {
-	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.apply, Logger: g.log}
+	f := follow.Follower{Store: g.store, Prefix: root, OnReset: g.reset, OnChange: g.apply, Logger: g.log}
 	f.Run(g.ctx)
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// DefaultOwn is how many workers a VM reaches by itself where nothing is said.
-	DefaultOwn = 128
+	// DefaultMaxDirect is how many workers a VM reaches by itself where nothing is said.
+	DefaultMaxDirect = 128
 	// workersMost is how many workers are reached by way of one relay: about a third of a weak VM's processor.
 	workersMost = 100
 	// restFor is how long a relay that was given up gets no worker.
@@ -30,15 +30,15 @@
 // Options are what Relays are made of.
 type Options struct {
 	// Self is this VM's ID, Own how many workers it reaches by itself.
-	Self string
-	Own  int
-	// Direct gives this VM's own calls to a worker.
-	Direct func(worker.Info) *worker.Agent
+	Self      string
+	MaxDirect int
+	// DirectAgent gives this VM's own calls to a worker.
+	DirectAgent func(worker.Info) *worker.Agent
 	// Nodes lists the VMs that may relay, Client opens a connection to one of them.
-	Nodes   func() []owner.Node
-	Client  func(address string) *rpc.Client
-	Logger  *zap.Logger
-	Metrics *metric.Registry
+	Nodes     func() []owner.Node
+	NewClient func(address string) *rpc.Client
+	Logger    *zap.Logger
+	Metrics   *metric.Registry
 }
 
 // Relays shares the workers of a cell out between the owner and relays.
@@ -54,14 +54,14 @@
 
 // New returns Relays without links. Without Nodes the VM reaches all workers by itself.
 func New(o Options) *Relays {
-	if o.Own == 0 {
-		o.Own = DefaultOwn
+	if o.MaxDirect == 0 {
+		o.MaxDirect = DefaultMaxDirect
 	}
 	if o.Nodes == nil {
 		o.Nodes = func() []owner.Node { return nil }
 	}
-	if o.Client == nil {
-		o.Client = func(address string) *rpc.Client { return rpc.NewClient(address) }
+	if o.NewClient == nil {
+		o.NewClient = func(address string) *rpc.Client { return rpc.NewClient(address) }
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -74,7 +74,7 @@
 
 // Agent gives the calls to one lifetime of a worker, by this VM or by way of a relay; Close ends them.
 func (r *Relays) Agent(info worker.Info) *worker.Agent {
-	a := &agent{relays: r, info: info, direct: r.o.Direct(info)}
+	a := &agent{relays: r, info: info, direct: r.o.DirectAgent(info)}
 	return &worker.Agent{Launch: a.launch, Halt: a.halt, Hold: a.hold, Relayed: a.relayed, Close: a.close}
 }
 
@@ -94,7 +94,7 @@
 func (r *Relays) assign(info worker.Info) (k *link, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.own < r.o.Own {
+	if r.own < r.o.MaxDirect {
 		r.own++
 		return nil, true
 	}
@@ -149,7 +149,7 @@
 }
 
 func (r *Relays) open(node owner.Node) *link {
-	k := newLink(node, r.o.Client(node.Address), r.o.Logger, r.broke)
+	k := newLink(node, r.o.NewClient(node.Address), r.o.Logger, r.broke)
 	r.links[node.ID] = k
 	r.wg.Go(k.run)
 	r.o.Logger.Info("relay: workers are reached by way of another VM", zap.String("relay", node.ID), zap.Int("relays", len(r.links)))
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -51,9 +51,9 @@
 // relays reach two workers by themselves.
 func (v *vms) relays() *Relays {
 	return New(Options{
-		Self: "self", Own: 2, Direct: func(worker.Info) *worker.Agent { return answering("self", nil) },
+		Self: "self", MaxDirect: 2, DirectAgent: func(worker.Info) *worker.Agent { return answering("self", nil) },
 		Nodes: func() []owner.Node { return v.nodes },
-		Client: func(address string) *rpc.Client {
+		NewClient: func(address string) *rpc.Client {
 			return rpc.NewClient(address, rpc.Dial(func(context.Context, string) (net.Conn, error) {
 				near, far := net.Pipe()
 				go v.rpc[address].ServeConn(far)
@@ -153,7 +153,7 @@
 			}}
 		}
 		r := v.relays()
-		r.o.Own = 0
+		r.o.MaxDirect = 0
 		a := r.Agent(worker.Info{ID: "w", Zone: "north"})
 		go func() {
 			time.Sleep(100 * time.Millisecond)
--- a/route/message.go
+++ b/route/message.go
@@ -7,42 +7,42 @@
 
 // The calls that a scheduler serves, by name.
 const (
-	CallSubmit = "job.submit"
-	CallStatus = "job.status"
-	CallWait   = "job.wait"
-	CallCancel = "job.cancel"
-	CallList   = "job.list"
-	CallWhy    = "job.why"
+	CallSubmit  = "job.submit"
+	CallStatus  = "job.status"
+	CallWait    = "job.wait"
+	CallCancel  = "job.cancel"
+	CallList    = "job.list"
+	CallExplain = "job.why"
 )
 
-// Submit asks the owner of a job's home zone to accept it.
-type Submit struct {
+// SubmitRequest asks the owner of a job's home zone to accept it.
+type SubmitRequest struct {
 	Spec job.Submission `msgpack:"s"`
 }
 
-// Ask names a job.
-type Ask struct {
+// JobRequest names a job.
+type JobRequest struct {
 	ID string `msgpack:"i"`
 }
 
-// Cancel names a job and why it is cancelled.
-type Cancel struct {
+// CancelRequest names a job and why it is cancelled.
+type CancelRequest struct {
 	ID     string `msgpack:"i"`
 	Reason string `msgpack:"r"`
 }
 
-// List asks for the jobs of a zone, Most at the most.
-type List struct {
-	Most int `msgpack:"m"`
+// ListRequest asks for the jobs of a zone, Most at the most.
+type ListRequest struct {
+	Limit int `msgpack:"m"`
 }
 
-// Listed is a zone's jobs, without answers.
-type Listed struct {
+// ListReply is a zone's jobs, without answers.
+type ListReply struct {
 	Jobs []job.Status `msgpack:"j"`
 }
 
-// Why tells where a job stands and for which reason.
-type Why struct {
+// Explanation tells where a job stands and for which reason.
+type Explanation struct {
 	Status      job.Status          `json:"status" msgpack:"s"`
 	Explanation planner.Explanation `json:"explanation" msgpack:"e"`
 }
--- a/route/route.go
+++ b/route/route.go
@@ -61,39 +61,39 @@
 	if l := spec.Check(); len(l) > 0 {
 		return nil, &rpc.Fault{Code: rpc.CodeInvalid, Reason: l.Error(), Findings: l}
 	}
-	st, err := send[Submit, job.Status](ctx, c, HomeZone(spec, c.Zones), CallSubmit, &Submit{Spec: *spec})
+	st, err := send[SubmitRequest, job.Status](ctx, c, HomeZone(spec, c.Zones), CallSubmit, &SubmitRequest{Spec: *spec})
 	if f := rpc.AsFault(err); f == nil || f.Code != rpc.CodeMoved {
 		return st, err
 	}
 	// The home zone has remembered for good where the key belongs, so that a repeat goes there too.
 	there := *spec
 	there.Zone = rpc.AsFault(err).Zone
-	return send[Submit, job.Status](ctx, c, there.Zone, CallSubmit, &Submit{Spec: there})
+	return send[SubmitRequest, job.Status](ctx, c, there.Zone, CallSubmit, &SubmitRequest{Spec: there})
 }
 
 // Status asks where a job stands.
 func (c *Client) Status(ctx context.Context, id string) (*job.Status, error) {
-	return send[Ask, job.Status](ctx, c, ZoneOf(id), CallStatus, &Ask{ID: id})
+	return send[JobRequest, job.Status](ctx, c, ZoneOf(id), CallStatus, &JobRequest{ID: id})
 }
 
 // Wait asks for the final status, or the latest when ctx is about to end.
 func (c *Client) Wait(ctx context.Context, id string) (*job.Status, error) {
-	return send[Ask, job.Status](ctx, c, ZoneOf(id), CallWait, &Ask{ID: id})
+	return send[JobRequest, job.Status](ctx, c, ZoneOf(id), CallWait, &JobRequest{ID: id})
 }
 
 // Cancel ends a job.
 func (c *Client) Cancel(ctx context.Context, id, reason string) (*job.Status, error) {
-	return send[Cancel, job.Status](ctx, c, ZoneOf(id), CallCancel, &Cancel{ID: id, Reason: reason})
+	return send[CancelRequest, job.Status](ctx, c, ZoneOf(id), CallCancel, &CancelRequest{ID: id, Reason: reason})
 }
 
-// Why explains where a job stands.
-func (c *Client) Why(ctx context.Context, id string) (*Why, error) {
-	return send[Ask, Why](ctx, c, ZoneOf(id), CallWhy, &Ask{ID: id})
+// Explain explains where a job stands.
+func (c *Client) Explain(ctx context.Context, id string) (*Explanation, error) {
+	return send[JobRequest, Explanation](ctx, c, ZoneOf(id), CallExplain, &JobRequest{ID: id})
 }
 
 // List gives the jobs of one zone.
 func (c *Client) List(ctx context.Context, zone string, most int) ([]job.Status, error) {
-	l, err := send[List, Listed](ctx, c, zone, CallList, &List{Most: most})
+	l, err := send[ListRequest, ListReply](ctx, c, zone, CallList, &ListRequest{Limit: most})
 	if err != nil {
 		return nil, err
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -15,7 +15,7 @@
 
 // owner answers the submissions of one zone; cut ends the connection in place of an answer.
 type owner struct {
-	answer func(s *Submit) (*job.Status, error)
+	answer func(s *SubmitRequest) (*job.Status, error)
 	cut    bool
 	absent bool
 	calls  int
@@ -31,7 +31,7 @@
 		}
 		near, far := net.Pipe()
 		s := rpc.NewServer()
-		rpc.Handle(s, CallSubmit, func(_ context.Context, r *Submit) (*job.Status, error) {
+		rpc.Handle(s, CallSubmit, func(_ context.Context, r *SubmitRequest) (*job.Status, error) {
 			o.calls++
 			if o.cut {
 				far.Close()
@@ -51,10 +51,12 @@
 	}
 }
 
-func done(s *Submit) (*job.Status, error) { return &job.Status{ID: "id", Zone: s.Spec.Zone}, nil }
+func done(s *SubmitRequest) (*job.Status, error) {
+	return &job.Status{ID: "id", Zone: s.Spec.Zone}, nil
+}
 
-func fails(err error) func(*Submit) (*job.Status, error) {
-	return func(*Submit) (*job.Status, error) { return nil, err }
+func fails(err error) func(*SubmitRequest) (*job.Status, error) {
+	return func(*SubmitRequest) (*job.Status, error) { return nil, err }
 }
 
 // The caller hears "not run" only if no owner can have taken the job, and "unknown" as soon as one
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -91,7 +91,7 @@
 // takeBack runs on the loop: it withdraws a job whose record has not begun its way to the store.
 func (t *term) takeBack(id string) bool {
 	e := t.jobs[id]
-	if e == nil || e.saved == nil || !e.ticket.Withdraw() {
+	if e == nil || e.saved == nil || !e.ticket.Cancel() {
 		return false
 	}
 	delete(t.jobs, id)
@@ -133,7 +133,7 @@
 	e := newEntry(id, jobRecord{Spec: *spec, Accepted: now.UTC(), Parent: parent})
 	e.durable, e.decision = false, d
 	wait := make(chan error, waitersMost)
-	ticket, err := t.journal.Offer([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
+	ticket, err := t.journal.AppendCancelable([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
 		if err != nil {
 			wait <- err
 			t.fail(err)
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -13,29 +13,29 @@
 
 // Register serves the calls about jobs.
 func (s *Scheduler) Register(server *rpc.Server) {
-	rpc.Handle(server, route.CallSubmit, func(ctx context.Context, r *route.Submit) (*job.Status, error) {
+	rpc.Handle(server, route.CallSubmit, func(ctx context.Context, r *route.SubmitRequest) (*job.Status, error) {
 		return s.Submit(ctx, &r.Spec, tracing.Parent(ctx))
 	})
-	rpc.Handle(server, route.CallStatus, func(ctx context.Context, r *route.Ask) (*job.Status, error) {
+	rpc.Handle(server, route.CallStatus, func(ctx context.Context, r *route.JobRequest) (*job.Status, error) {
 		return s.Status(ctx, r.ID)
 	})
-	rpc.Handle(server, route.CallWait, func(ctx context.Context, r *route.Ask) (*job.Status, error) {
+	rpc.Handle(server, route.CallWait, func(ctx context.Context, r *route.JobRequest) (*job.Status, error) {
 		return s.Wait(ctx, r.ID)
 	})
-	rpc.Handle(server, route.CallCancel, func(ctx context.Context, r *route.Cancel) (*job.Status, error) {
+	rpc.Handle(server, route.CallCancel, func(ctx context.Context, r *route.CancelRequest) (*job.Status, error) {
 		return s.Cancel(ctx, r.ID, r.Reason)
 	})
-	rpc.Handle(server, route.CallList, func(ctx context.Context, r *route.List) (*route.Listed, error) {
-		jobs, err := s.List(ctx, r.Most)
-		return &route.Listed{Jobs: jobs}, err
+	rpc.Handle(server, route.CallList, func(ctx context.Context, r *route.ListRequest) (*route.ListReply, error) {
+		jobs, err := s.List(ctx, r.Limit)
+		return &route.ListReply{Jobs: jobs}, err
 	})
-	rpc.Handle(server, route.CallWhy, func(ctx context.Context, r *route.Ask) (*route.Why, error) {
+	rpc.Handle(server, route.CallExplain, func(ctx context.Context, r *route.JobRequest) (*route.Explanation, error) {
 		return s.Why(ctx, r.ID)
 	})
 }
 
 // Why tells where a job stands, which rule decided, and what it waits for.
-func (s *Scheduler) Why(ctx context.Context, id string) (*route.Why, error) {
+func (s *Scheduler) Why(ctx context.Context, id string) (*route.Explanation, error) {
 	status, err := s.Status(ctx, id)
 	if err != nil {
 		return nil, err
@@ -48,5 +48,5 @@
 	if err != nil {
 		return nil, lookFault(err)
 	}
-	return &route.Why{Status: *status, Explanation: e}, nil
+	return &route.Explanation{Status: *status, Explanation: e}, nil
 }
--- a/status/status.go
+++ b/status/status.go
@@ -208,7 +208,7 @@
 	}
 	if present != nil {
 		out.Lease = "there"
-		if !present[member.PresentKey(m.Zone, m.Role, m.ID)] {
+		if !present[member.PresenceKey(m.Zone, m.Role, m.ID)] {
 			out.Lease = "absent"
 			p.alarm("%s %s in zone %s: its lease is absent.", m.Role, m.ID, m.Zone)
 		}
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -45,7 +45,7 @@
 		id := fmt.Sprint("scheduler-", z)
 		m := member.Member{ID: id, Role: member.RoleScheduler, Zone: zone, Address: fmt.Sprintf("10.0.0.%d:7000", z), VM: "entry", State: member.Ready}
 		c.View.Tables = append(c.View.Tables, member.Table{Zone: zone, Role: m.Role, Epoch: 2, Owner: id, Members: []member.Member{m}})
-		c.View.Present[member.PresentKey(zone, m.Role, id)] = true
+		c.View.Present[member.PresenceKey(zone, m.Role, id)] = true
 		c.InForce = append(c.InForce, view.Process{Address: m.Address, Rules: 7, Heard: now.Add(-time.Second)})
 		c.Zones = append(c.Zones, operate.Zone{Name: zone, Owner: id, Address: m.Address, Basis: member.ByLease, State: s})
 	}
@@ -58,7 +58,7 @@
 	c.Zones[1].State, c.Zones[1].Problem = nil, "its owner gave no answer: timeout"
 	c.InForce[1].Heard, c.InForce[1].Rules = now.Add(-time.Hour), 6
 	clear(c.View.Present)
-	c.View.Present[member.PresentKey("alappuzha-hall", member.RoleScheduler, "scheduler-0")] = true
+	c.View.Present[member.PresenceKey("alappuzha-hall", member.RoleScheduler, "scheduler-0")] = true
 	s := c.Zones[0].State
 	c.Zones[0].Basis = member.ByNothing
 	s.Stats.Open = 1
--- a/view/board.go
+++ b/view/board.go
@@ -128,7 +128,7 @@
 	b.update(func(v *View) bool { return v.merge(tables) })
 	for _, g := range b.groups {
 		for _, t := range tables {
-			g.Learn(t)
+			g.UpdateTable(t)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	for _, g := range b.groups {
 		self := g.Self()
 		for _, m := range g.Table().Members {
-			g.Presence(m.ID, present[member.PresentKey(self.Zone, self.Role, m.ID)])
+			g.UpdatePresence(m.ID, present[member.PresenceKey(self.Zone, self.Role, m.ID)])
 		}
 	}
 }
--- a/view/cell_test.go
+++ b/view/cell_test.go
@@ -111,12 +111,12 @@
 // wire makes the group of a process, and gives the options of its view.
 func (c *cell) wire(p *process, self member.Member, heard func(member.Member, int64)) []Option {
 	p.group = member.New(c.svc.Client(&p.faults), self,
-		member.Listed(func() (map[string]bool, bool) { return p.view().Listed() }),
+		member.ListedVMs(func() (map[string]bool, bool) { return p.view().Listed() }),
 		member.Rules(func() int64 { return p.view().Rules.Version }, heard),
-		member.Call(func(ctx context.Context, to string, b *member.Beat) (*member.BeatReply, error) {
-			return call[member.Beat, member.BeatReply](ctx, c, [2]string{self.Address, to}, member.BeatMethod, b)
+		member.Call(func(ctx context.Context, to string, b *member.Heartbeat) (*member.HeartbeatReply, error) {
+			return call[member.Heartbeat, member.HeartbeatReply](ctx, c, [2]string{self.Address, to}, member.HeartbeatMethod, b)
 		}))
-	rpc.Handle(p.server, member.BeatMethod, p.group.Beat)
+	rpc.Handle(p.server, member.HeartbeatMethod, p.group.HandleHeartbeat)
 	return []Option{
 		Self(self), Groups(p.group),
 		Call(func(ctx context.Context, to string, q *RulesCall) (*RulesReply, error) {
--- a/view/view.go
+++ b/view/view.go
@@ -201,7 +201,7 @@
 	}
 	present := make(map[string]bool)
 	for _, p := range got.Pairs {
-		if strings.HasPrefix(p.Key, member.PresentPrefix) {
+		if strings.HasPrefix(p.Key, member.PresencePrefix) {
 			present[p.Key] = true
 			continue
 		}
@@ -229,7 +229,7 @@
 			return
 		}
 		k.board.offerTables(t)
-	case strings.HasPrefix(key, member.PresentPrefix):
+	case strings.HasPrefix(key, member.PresencePrefix):
 		k.board.offerPresence(key, !e.Deleted)
 	}
 }
@@ -252,4 +252,4 @@
 	return k.opts.List(ctx)
 }
 
-func newBackoff() *retry.Backoff { return retry.New(retry.Between(firstBackoff, lastBackoff)) }
+func newBackoff() *retry.Backoff { return retry.New(retry.Bounds(firstBackoff, lastBackoff)) }
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -258,7 +258,7 @@
 		c.True(owns(c.vms[0].scheduler))
 		c.kill(c.vms[0].scheduler)
 		c.kill(c.vms[0].gate)
-		key := store.Range{Key: member.PresentKey(zones[0], member.RoleScheduler, "0")}
+		key := store.Range{Key: member.PresenceKey(zones[0], member.RoleScheduler, "0")}
 		lapse := c.until(member.DefaultTTL, func() bool { r, _ := c.svc.Store().Range(context.Background(), key); return len(r.Pairs) == 0 })
 		took := c.until(300*time.Millisecond, func() bool { return owns(c.vms[3].scheduler) || owns(c.vms[6].scheduler) })
 		shares := c.until(time.Second, func() bool { return len(c.vms[3].gate.group.Table().Members) == 2 })
