--- a/member/heartbeat.go
+++ b/member/heartbeat.go
@@ -54,7 +54,7 @@
 	}
 	p := g.peers[b.From.ID]
 	if p == nil || !p.member.sameProcess(b.From) {
-		r.Refused = "sender is not in the table"
+		r.Refused = "asker is not in the table"
 		return r, nil
 	}
 	g.recordHeard(p, b.Version, b.Rules, now)
@@ -82,7 +82,7 @@
 	case p.removalVersion != 0 && p.removalVersion >= g.table.Version:
 		return "a removal is under way"
 	case b.Ask > g.opts.PromiseDuration:
-		return "requested promise is too long"
+		return "too long"
 	default:
 		return ""
 	}
--- a/member/status.go
+++ b/member/status.go
@@ -33,13 +33,13 @@
 	Member Member `json:"member"`
 	Health Health `json:"health"`
 	// LastHeardMillis is the time since the peer's last heartbeat.
-	LastHeardMillis int64 `json:"heardMillis"`
+	LastHeardMillis int64 `json:"heardMillis" msgpack:"HeardMillis"`
 	Confirmed       int64 `json:"confirmed"`
 	Rules           int64 `json:"rules"`
 	// PromiseReceivedMillis is the time left of the peer's promise to this process, and PromiseGivenMillis of this
 	// process's promise to the peer.
-	PromiseReceivedMillis int64 `json:"promisedMillis"`
-	PromiseGivenMillis    int64 `json:"givenMillis"`
+	PromiseReceivedMillis int64 `json:"promisedMillis" msgpack:"PromisedMillis"`
+	PromiseGivenMillis    int64 `json:"givenMillis" msgpack:"GivenMillis"`
 	// KeyAbsent reports whether the peer's presence key was missing when last read.
 	KeyAbsent bool `json:"keyAbsent"`
 }
@@ -51,11 +51,11 @@
 	Epoch         int64        `json:"epoch"`
 	EpochRevision int64        `json:"epochRevision"`
 	Owner         string       `json:"owner"`
-	IsOwner       bool         `json:"owns"`
+	IsOwner       bool         `json:"owns" msgpack:"Owns"`
 	Valid         bool         `json:"valid"`
 	Basis         Basis        `json:"basis"`
 	LeaseMillis   int64        `json:"leaseMillis"`
-	Peers         []PeerStatus `json:"others"`
+	Peers         []PeerStatus `json:"others" msgpack:"Others"`
 }
 
 // Status returns the current status of the membership.
--- a/rule/explain.go
+++ b/rule/explain.go
@@ -9,19 +9,19 @@
 type Explanation struct {
 	Version int64 `json:"version"`
 	// DecidedBy is the id of the rule that decided; empty if no rule matches.
-	DecidedBy string `json:"decided"`
+	DecidedBy string `json:"decided" msgpack:"Decided"`
 	// Results lists the evaluated rules in order, up to the deciding one.
-	Results []RuleResult `json:"asked"`
+	Results []RuleResult `json:"asked" msgpack:"Asked"`
 }
 
 // RuleResult is the result of evaluating one rule.
 type RuleResult struct {
 	Rule    string `json:"rule"`
-	Matched bool   `json:"holds"`
+	Matched bool   `json:"holds" msgpack:"Holds"`
 	// FailedCondition is the first part of the condition that was not met.
-	FailedCondition string `json:"failed,omitempty"`
+	FailedCondition string `json:"failed,omitempty" msgpack:"Failed"`
 	// FieldValues lists the values that the failed part read, such as `class is "sweep"`.
-	FieldValues string `json:"values,omitempty"`
+	FieldValues string `json:"values,omitempty" msgpack:"Values"`
 }
 
 // Explain evaluates the rules like Decide, for a past or hypothetical request.
