--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -210,8 +210,8 @@
 	}
 	a := &r.Asked
 	fmt.Printf("\nasked %s: valid %t by %s, lease left %s\n", a.Self.ID, a.Valid, a.Basis, time.Duration(a.LeaseMillis)*time.Millisecond)
-	for _, o := range a.Peers {
-		fmt.Printf("  %s is %s, heard %s ago\n", plain(o.Member.ID), o.Health, time.Duration(o.LastHeardMillis)*time.Millisecond)
+	for _, p := range a.Peers {
+		fmt.Printf("  %s is %s, heard %s ago\n", plain(p.Member.ID), p.Health, time.Duration(p.LastHeardMillis)*time.Millisecond)
 	}
 	return nil
 }
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -80,14 +80,14 @@
 
 func printExplanation(x *rule.Explanation) {
 	fmt.Printf("rules, version %d:\n", x.Version)
-	for _, v := range x.Results {
+	for _, r := range x.Results {
 		switch {
-		case v.Matched:
-			fmt.Printf("  %s holds and decides\n", v.Rule)
-		case v.FieldValues != "":
-			fmt.Printf("  %s does not hold: %s, but %s\n", v.Rule, v.FailedCondition, v.FieldValues)
+		case r.Matched:
+			fmt.Printf("  %s holds and decides\n", r.Rule)
+		case r.FieldValues != "":
+			fmt.Printf("  %s does not hold: %s, but %s\n", r.Rule, r.FailedCondition, r.FieldValues)
 		default:
-			fmt.Printf("  %s does not hold: %s\n", v.Rule, v.FailedCondition)
+			fmt.Printf("  %s does not hold: %s\n", r.Rule, r.FailedCondition)
 		}
 	}
 	if x.DecidedBy == "" {
--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -75,12 +75,12 @@
 		if w.cell.JSON {
 			return printJSON(x)
 		}
-		printWhy(x)
+		printJobExplanation(x)
 		return nil
 	})
 }
 
-func printWhy(x *route.Explanation) {
+func printJobExplanation(x *route.Explanation) {
 	e := &x.Explanation
 	fmt.Printf("job %s: %s %s %s\n", x.Status.ID, x.Status.State, x.Status.Outcome, x.Status.Reason)
 	if !e.Known {
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -81,7 +81,7 @@
 	p.dispatch = dispatch.New(
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Workers(platform.WorkersPrefix, platform.DecodeWorker, p.relays.Agent),
 		dispatch.Config(func() *job.Config { return p.config.Current() }), dispatch.Rules(p.rules.Current),
-		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.askFrom(ask)),
+		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.requestPermitFrom(ask)),
 		dispatch.Upkeep(waves(p.client, s)),
 		dispatch.Limits(s.MostHold, s.StopWithin, s.KeepEnded),
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
@@ -214,8 +214,8 @@
 		zap.Duration("took", took), zap.Error(err))
 }
 
-// askFrom puts a question to the policy service from a VM of the cell.
-func (p *parts) askFrom(local permit.AskFunc) func(context.Context, owner.Node, *permit.Request) (*permit.Response, error) {
+// requestPermitFrom returns a function that sends a permit request to the policy service from a VM of the cell.
+func (p *parts) requestPermitFrom(local permit.AskFunc) func(context.Context, owner.Node, *permit.Request) (*permit.Response, error) {
 	return func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
 		if from.ID == p.settings.ID {
 			return local(ctx, q)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -44,8 +44,8 @@
 	refreshInterval = 100 * time.Millisecond
 	turnInterval    = 10 * time.Millisecond
 	sessionKeyBytes = 32
-	// driftPart is how much of a loan's life, one in so many, its lender adds for the drift of clocks.
-	driftPart = 20
+	// driftDivisor sets the clock drift allowance: a lender adds 1/driftDivisor of the TTL to a loan.
+	driftDivisor = 20
 )
 
 // Gate faces the callers of one entry VM.
@@ -85,7 +85,7 @@
 	g := &Gate{
 		opts: o, log: o.Logger, meters: newMeters(o.Metrics), budget: budget.New(),
 		pools: make(map[string]*pool), zones: make(map[string][]string),
-		lanes: make(map[string]*lane), tokens: newSigner(o.Keys), shares: newHolder(&o),
+		lanes: make(map[string]*lane), tokens: newSigner(o.Keys), shares: newAllocator(&o),
 		kick: make(chan struct{}, 1), need: make(chan struct{}, 1),
 		tables: make(chan struct{}, 1), stop: make(chan struct{}),
 	}
@@ -101,20 +101,20 @@
 	return g
 }
 
-// newHolder makes the holder of this gate's shares. A loan lives for two thirds of the longest
-// deadline, so that most checks fit into it; a removed gate's last requests and loans have ended when
-// the longest of both is over.
-func newHolder(o *Options) *share.Allocator {
+// newAllocator returns the allocator of this gate's shares. The TTL of a loan is two thirds of the longest deadline,
+// which is enough for most checks. The removal grace period covers the last requests and the last loans of a removed
+// gate, whichever end later.
+func newAllocator(o *Options) *share.Allocator {
 	if o.Valid != nil {
-		life := o.Limits.MaxTimeout * 2 / 3
-		drift := life / driftPart
-		settle := max(o.Limits.MaxTimeout+o.Limits.Grace, life+drift)
-		return share.New(o.ID, share.RemovalGrace(settle), share.LoanTTL(life, drift), share.Valid(o.Valid), share.MemberSince(o.Since))
+		ttl := o.Limits.MaxTimeout * 2 / 3
+		drift := ttl / driftDivisor
+		grace := max(o.Limits.MaxTimeout+o.Limits.Grace, ttl+drift)
+		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift), share.Valid(o.Valid), share.MemberSince(o.Since))
 	}
-	// Alone in its zone, with nobody before it, it has nothing to wait for.
-	h := share.New(o.ID, share.RemovalGrace(0))
-	h.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
-	return h
+	// A gate that is alone in its zone and has no predecessor needs no removal grace period.
+	a := share.New(o.ID, share.RemovalGrace(0))
+	a.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
+	return a
 }
 
 // newSigner makes a key of its own where the settings give none; no other gate then knows it.
--- a/gate/options.go
+++ b/gate/options.go
@@ -18,7 +18,7 @@
 
 // Siblings reach the other gates of this zone, by the ids of the gate table.
 type Siblings struct {
-	Borrow  func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error)
+	Borrow  func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error)
 	Return  func(ctx context.Context, gate string, r *share.LoanReturn) error
 	Confirm func(ctx context.Context, gate string, c *share.Confirmation) (*share.Confirmation, error)
 }
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -79,13 +79,13 @@
 
 // confirm tells the siblings what they have not yet heard, and asks again while they lag.
 func (g *Gate) confirm(ctx context.Context, told map[string]share.Confirmation) {
-	others := g.shares.Peers()
+	peers := g.shares.Peers()
 	for gate := range told {
-		if !slices.Contains(others, gate) {
+		if !slices.Contains(peers, gate) {
 			delete(told, gate)
 		}
 	}
-	for _, gate := range others {
+	for _, gate := range peers {
 		own := g.shares.Confirmation(time.Now())
 		if told[gate] == own && g.shares.Agreed() {
 			continue
@@ -133,15 +133,15 @@
 }
 
 // Lend serves a sibling's request for idle slots.
-func (g *Gate) Lend(_ context.Context, ask *share.LoanRequest) (*share.LoanReply, error) {
-	loans := g.shares.Lend(ask, time.Now())
+func (g *Gate) Lend(_ context.Context, r *share.LoanRequest) (*share.LoanReply, error) {
+	loans := g.shares.Lend(r, time.Now())
 	for _, l := range loans.Loans {
 		g.meters.lent.Inc(int64(l.Slots))
 	}
 	return &loans, nil
 }
 
-// AcceptReturn serves a sibling's return of loans.
+// AcceptReturn serves the return of loans by a sibling.
 func (g *Gate) AcceptReturn(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
 	g.shares.AcceptReturn(r, time.Now())
 	signal(g.kick)
@@ -159,7 +159,7 @@
 		case <-g.stop:
 			return
 		case <-t.C:
-			g.giveBack(ctx)
+			g.returnIdleLoans(ctx)
 			g.renewLoans(ctx)
 		case <-g.need:
 			g.borrow(ctx)
@@ -175,45 +175,44 @@
 	}
 }
 
-func (g *Gate) giveBack(ctx context.Context) {
+func (g *Gate) returnIdleLoans(ctx context.Context) {
 	for gate, r := range g.shares.ReturnIdle(time.Now()) {
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		if err := g.opts.Siblings.Return(in, gate, r); err != nil {
-			// The loan ends by itself at its lender.
+			// The loan expires at the lender.
 			g.log.Debug("gate: loan not returned", zap.String("gate", gate), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// renewLoans lengthens the loans in use before they end, so that the checks they serve need not
-// queue for new ones.
+// renewLoans renews the loans in use before they expire, so that the checks they serve need not queue for new ones.
 func (g *Gate) renewLoans(ctx context.Context) {
-	for gate, ask := range g.shares.Renewals(time.Now()) {
-		g.ask(ctx, gate, ask)
+	for gate, r := range g.shares.Renewals(time.Now()) {
+		g.requestLoan(ctx, gate, r)
 	}
 }
 
-// ask asks one sibling and gives how many slots it lent.
-func (g *Gate) ask(ctx context.Context, gate string, ask *share.LoanRequest) int {
+// requestLoan sends a loan request to one sibling and returns how many slots it lent.
+func (g *Gate) requestLoan(ctx context.Context, gate string, r *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	asked := time.Now()
-	loans, err := g.opts.Siblings.Borrow(in, gate, ask)
+	sent := time.Now()
+	loans, err := g.opts.Siblings.Borrow(in, gate, r)
 	if err != nil {
 		g.log.Debug("gate: nothing borrowed", zap.String("gate", gate), zap.Error(err))
 		return 0
 	}
-	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
+	n := g.shares.AddBorrowed(gate, loans, sent, time.Now())
 	g.meters.borrowed.Inc(int64(n))
 	return n
 }
 
-// borrow asks each sibling in turn for what the waiting checks need.
+// borrow sends loan requests to one sibling after the other until the waiting checks have the slots they need.
 func (g *Gate) borrow(ctx context.Context) {
-	for _, ask := range g.wants() {
+	for _, r := range g.loanRequests() {
 		for _, gate := range g.shares.Peers() {
-			if ask.Want -= g.ask(ctx, gate, ask); ask.Want <= 0 {
+			if r.Want -= g.requestLoan(ctx, gate, r); r.Want <= 0 {
 				break
 			}
 		}
@@ -221,15 +220,15 @@
 	}
 }
 
-// wants lists one request for each service whose checks wait.
-func (g *Gate) wants() []*share.LoanRequest {
+// loanRequests returns one loan request for each service whose checks wait.
+func (g *Gate) loanRequests() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var asks []*share.LoanRequest
+	var requests []*share.LoanRequest
 	for _, p := range g.pools {
 		if n := p.len(); n > 0 {
-			asks = append(asks, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
+			requests = append(requests, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
 		}
 	}
-	return asks
+	return requests
 }
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -28,8 +28,8 @@
 
 func siblingsOverRPC(pool *rpc.Pool, address func(gate string) (string, bool)) Siblings {
 	return Siblings{
-		Borrow: func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
-			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, ask)
+		Borrow: func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error) {
+			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, r)
 		},
 		Return: func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := callGate[share.LoanReturn, share.LoanReturnReply](ctx, pool, address, gate, MethodReturn, r)
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -68,9 +68,9 @@
 // direct gives the siblings among some gates, reached by calls that take a while.
 func direct(gates map[string]*Gate, takes time.Duration) Option {
 	return Neighbours(Siblings{
-		func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
+		func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error) {
 			time.Sleep(takes)
-			return gates[gate].Lend(ctx, ask)
+			return gates[gate].Lend(ctx, r)
 		},
 		func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := gates[gate].AcceptReturn(ctx, r)
--- a/job/work.go
+++ b/job/work.go
@@ -96,9 +96,9 @@
 	Permit *PermitCost `msgpack:"c,omitempty"`
 }
 
-// PermitCost is what one question to a queue's policy service takes.
+// PermitCost describes how long a permit request to a queue's policy service takes.
 type PermitCost struct {
-	// Base and PerWorker give the time of an answer, Valid how long it may be used.
+	// Base and PerWorker determine the response time; Valid is how long a response may be used.
 	Base, PerWorker, Valid time.Duration
 }
 
