--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// fitCount counts how many times need goes into has.
+// fitCount returns how many times need fits into has.
 func fitCount(has, need resources) int {
 	if has.Millicores < need.Millicores || has.MemoryMB < need.MemoryMB || has.Accelerators < need.Accelerators {
 		return 0
 	}
-	return min(quotient(has.Millicores, need.Millicores), quotient(has.MemoryMB, need.MemoryMB), quotient(has.Accelerators, need.Accelerators))
+	return min(quotient(has.Millicores, need.Millicores), quotient(has.MemoryMB, need.MemoryMB),
+		quotient(has.Accelerators, need.Accelerators))
 }
 
-// quotient counts how many quotient a part of what is needed goes into what is there.
+// quotient returns how many times need fits into has for one resource.
 func quotient(has, need int64) int {
 	switch {
 	case has < 0:
@@ -27,7 +28,8 @@
 	return int(min(has/need, math.MaxInt32))
 }
 
-// taskResources is what one task holds.
+// taskResources returns the resources that one task is charged for. Filler tasks run on CPU that others leave unused
+// and are not charged for it.
 func (s *stage) taskResources() resources {
 	need := s.spec.Each
 	if s.spec.Filler {
@@ -36,33 +38,33 @@
 	return need
 }
 
-// matches reports whether the worker is one that the stage may run on, but for its room and permits.
+// matches reports whether the stage may run on the worker, regardless of capacity and permits.
 func (t *term) matches(s *stage, n *node) bool {
 	return n.listing.Pool == s.entry.queue.Pool && (s.spec.Label == "" || slices.Contains(n.listing.Labels, s.spec.Label))
 }
 
-// tasksFitting counts the tasks of a stage that fit a worker now.
+// tasksFitting returns how many tasks of a stage fit on a worker now.
 func (t *term) tasksFitting(s *stage, n *node, now time.Time) int {
 	if fitCount(n.free.Minus(n.setAside), s.taskResources()) == 0 {
-		return 0 // most workers of a full cell, told without their reservations and limits
+		return 0 // a cheap check that suffices for most workers of a full cell
 	}
 	return t.limitTasks(s, n, fitCount(n.roomUntil(s.taskEndBound(now)), s.taskResources()))
 }
 
-// tasksFittingBesideClaims counts those that fit beside the claims of gangs.
+// tasksFittingBesideClaims returns how many fit without using capacity claimed by gangs.
 func (t *term) tasksFittingBesideClaims(s *stage, n *node, now time.Time) int {
 	return t.limitTasks(s, n, fitCount(n.roomBesideClaims(s.taskEndBound(now)), s.taskResources()))
 }
 
-// taskEndBound is when a task of the stage that starts now has surely ended, for the use of reserved room.
+// taskEndBound returns an upper bound for the end of a task that starts now, used for backfilling reserved capacity.
 func (s *stage) taskEndBound(now time.Time) time.Time {
 	return now.Add(time.Duration(backfillMargin * float64(s.spec.Estimate)))
 }
 
-// limitTasks bounds the tasks that fit a worker by what else the stage and the worker allow.
+// limitTasks bounds a number of tasks by the stage's limit per worker and by the worker's trial.
 func (t *term) limitTasks(s *stage, n *node, k int) int {
-	if most := s.spec.MostPerWorker; most > 0 {
-		k = min(k, most-s.tasksOn(n))
+	if limit := s.spec.MostPerWorker; limit > 0 {
+		k = min(k, limit-s.tasksOn(n))
 	}
 	if n.isOnTrial() {
 		k = min(k, 1)
@@ -73,7 +75,7 @@
 	return max(k, 0)
 }
 
-// tasksOn counts the stage's tasks tasksOn a worker.
+// tasksOn returns how many of the stage's tasks run on a worker.
 func (s *stage) tasksOn(n *node) int {
 	count := 0
 	for i := range s.tasks {
@@ -84,7 +86,7 @@
 	return count
 }
 
-// allowedNodes gives the workers that are known to be allowed for a stage, of all where it needs no permit.
+// allowedNodes returns the workers that are known to be allowed for a stage: all if it needs no permit.
 func (t *term) allowedNodes(s *stage) []*node {
 	if !s.needsPermit() {
 		return t.sortedNodes
@@ -100,18 +102,18 @@
 	return s.allowedNodes
 }
 
-// nodesWithRoom gives the workers on which a task of the stage fits now, in the order of choice.
+// nodesWithRoom returns the workers on which a task of the stage fits now, best first.
 func (t *term) nodesWithRoom(s *stage, now time.Time) []*node {
 	return t.sortedCandidates(s, now, func(n *node) bool { return t.tasksFitting(s, n, now) > 0 })
 }
 
-// anyNode lets every worker into an order of choice.
+// anyNode is a filter for sortedCandidates that keeps all workers.
 func anyNode(*node) bool { return true }
 
-// choice is a worker with what decides whether others go before it.
+// choice is a worker with its sort keys.
 type choice struct {
 	node *node
-	// suspicion, dataDistance and outsideZone are the worker's ranks for the stage, room is its processors.
+	// suspicion, dataDistance and outsideZone are penalties of the worker for the stage; room is its available CPU.
 	suspicion, dataDistance, outsideZone int
 	room                                 int64
 }
@@ -130,9 +132,10 @@
 	return cmp.Or(cmp.Compare(c.room, o.room), strings.Compare(c.node.id, o.node.id))
 }
 
-// sortedCandidates gives the usable workers that may run the stage: doubtful workers and those away from its data
-// last, then those outside of its caller's zone, then those with less room first, so that large rooms stay whole. A gang takes the large rooms, so
-// that it needs few workers. The list holds until the next one is asked for.
+// sortedCandidates returns the usable workers that may run the stage and that keep accepts, best first. Suspect workers
+// come last, before them workers away from the stage's data, before them workers outside the caller's zone. Among
+// equals, workers with less room come first, so that large blocks of capacity stay whole. Gangs and rules with the
+// spread strategy prefer the most room. The list is valid until the next call.
 func (t *term) sortedCandidates(s *stage, now time.Time, keep func(*node) bool) []*node {
 	p := &t.pass
 	choices := p.choices[:0]
@@ -153,7 +156,7 @@
 	return list
 }
 
-// suspicion ranks workers by the trust that they deserve for this stage, 0 the best.
+// suspicion returns how much a worker is to be avoided for this stage because of failures; 0 is best.
 func (s *stage) suspicion(n *node) int {
 	d := 2 * s.failuresByWorker[n.id]
 	if n.isSuspect() {
@@ -162,7 +165,7 @@
 	return d
 }
 
-// dataDistance is 1 for a worker away from the stage's data, where its tasks run several times slower.
+// dataDistance is 1 for a worker outside the rack of the stage's data, where its tasks run several times slower.
 func (s *stage) dataDistance(n *node) int {
 	if s.spec.DataRack != "" && s.spec.DataRack != n.listing.Rack {
 		return 1
@@ -170,9 +173,9 @@
 	return 0
 }
 
-// outsideZone is 1 for a worker in another availability zone than the work's caller. When a zone is cut off, the
-// callers in it are lost for that time, and with them all work that has a task on a worker there: with tasks in
-// their callers' zone, the cut loses the work of its own callers alone.
+// outsideZone is 1 for a worker outside the availability zone of the work's caller. When a zone is cut off, its callers
+// are lost for that time, and with them all works that have a task on a worker there. With tasks placed in their
+// caller's zone, only works of the zone's own callers are lost.
 func (s *stage) outsideZone(n *node) int {
 	if zone := s.entry.work.Zone; zone != "" && zone != n.listing.Zone {
 		return 1
@@ -180,8 +183,8 @@
 	return 0
 }
 
-// interferes reports whether a stage and what runs on a worker should not meet: tasks that fill what others
-// leave push the tails of those with a bound over it, and nothing paces them yet.
+// interferes reports whether a stage should not share a worker with the tasks that run there. Filler tasks push the
+// tail latency of tasks with a latency bound over that bound, and nothing throttles them yet.
 func (s *stage) interferes(n *node) bool {
 	if !s.spec.Filler && s.spec.Tail == 0 {
 		return false
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// gangWaitReason is why a gang waits, in the words of the log.
+// gangWaitReason is why a gang waits, as written to the log.
 type gangWaitReason string
 
 const (
-	gangWaitPermit   gangWaitReason = "answer"  // of the policy service
-	gangWaitService  gangWaitReason = "service" // no VM is free to ask the policy service
-	gangWaitLastRun  gangWaitReason = "rest"    // the last run has not ended everywhere
-	gangWaitRule     gangWaitReason = "rule"    // as many tasks run as its rule allows
-	gangWaitReserved gangWaitReason = "reserved"
-	gangWaitRoom     gangWaitReason = "room" // and none is kept for it
+	gangWaitPermit   gangWaitReason = "answer"   // a permit request is pending
+	gangWaitService  gangWaitReason = "service"  // no VM is free to send a permit request
+	gangWaitLastRun  gangWaitReason = "rest"     // members of the last run may still be running
+	gangWaitRule     gangWaitReason = "rule"     // its rule's limit of running tasks is reached
+	gangWaitReserved gangWaitReason = "reserved" // capacity is reserved for it
+	gangWaitRoom     gangWaitReason = "room"     // there is no capacity, and none is reserved for it
 )
 
-// placeGang starts all tasks of a gang together, or keeps their room while it asks for tickets.
+// placeGang starts all tasks of a gang together. If it lacks permits, it sets capacity aside and requests them; if it
+// lacks capacity, it makes a reservation.
 func (t *term) placeGang(s *stage, now time.Time) {
 	if s.gang != nil {
 		s.waitReason = gangWaitLastRun
-		return // members of a broken run have not ended yet
+		return // members of the aborted run have not ended yet
 	}
 	if !s.attemptsLeft(now) {
 		s.waitReason = gangWaitLastRun
-		return // a run that may have failed is not known to have lapsed
+		return // a run that may still be reported as failed has not lapsed yet
 	}
 	if !t.ruleAllows(s.entry, len(s.tasks)) {
 		s.waitReason = gangWaitRule
@@ -72,21 +73,23 @@
 	t.sendPermitRequest(s, names, now)
 }
 
-// planGang finds room for all tasks of a gang; for one that wants a single rack it tries rack by rack.
-func (t *term) planGang(s *stage, nodes []*node, now time.Time, may func(*node) bool) []allocation {
+// planGang assigns all tasks of a gang to eligible nodes, or returns nil if they do not fit. A gang that wants a single
+// rack gets several only if no rack fits it.
+func (t *term) planGang(s *stage, nodes []*node, now time.Time, eligible func(*node) bool) []allocation {
 	if s.spec.SameRack {
 		for _, rack := range racks(nodes) {
-			if plan := t.planGangOn(s, nodes, now, func(n *node) bool { return n.listing.Rack == rack && may(n) }); plan != nil {
+			if plan := t.planGangOn(s, nodes, now, func(n *node) bool { return n.listing.Rack == rack && eligible(n) }); plan != nil {
 				return plan
 			}
 		}
 		if s.openRequests > 0 {
-			return nil // a rack may be found once all that were asked for are known
+			return nil // a single rack may fit once the pending requests are answered
 		}
 	}
-	return t.planGangOn(s, nodes, now, may)
+	return t.planGangOn(s, nodes, now, eligible)
 }
 
+// racks returns the distinct racks of the nodes, in the order of the nodes.
 func racks(nodes []*node) []string {
 	var out []string
 	for _, n := range nodes {
@@ -97,12 +100,13 @@
 	return out
 }
 
-func (t *term) planGangOn(s *stage, nodes []*node, now time.Time, may func(*node) bool) []allocation {
+// planGangOn assigns all tasks of a gang to eligible nodes in the given order, or returns nil if they do not fit.
+func (t *term) planGangOn(s *stage, nodes []*node, now time.Time, eligible func(*node) bool) []allocation {
 	left := len(s.tasks)
 	var plan []allocation
 	for _, n := range nodes {
 		k := min(t.tasksFitting(s, n, now), left)
-		if k == 0 || !may(n) {
+		if k == 0 || !eligible(n) {
 			continue
 		}
 		plan = append(plan, allocation{n, k})
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -9,78 +9,81 @@
 )
 
 const (
-	// suspectFailures is how many failures, beside fewer good ends, make a worker doubtful. Work fails by its
-	// own fault in up to one run of twenty.
+	// suspectFailures is how many recent failures, if they outnumber the successes, make a worker suspect. Up to one
+	// run in twenty fails through the fault of its work.
 	suspectFailures = 2
-	// endsWindow is how many ends of runs count before older ones fade; a worker sees about three a second.
+	// endsWindow is the number of recent ends after which all counts are halved. A worker has about three ends a
+	// second.
 	endsWindow = 16
-	// quarantineAfter is how many works in a row must have failed on a worker before it rests. Where one run of
-	// twenty fails by its own fault, a sound worker rests after one of 8,000.
+	// quarantineAfter is the number of consecutive failures of different works after which a worker is quarantined. If
+	// one run in twenty fails through the fault of its work, three failures in a row occur by chance once in 8,000
+	// runs.
 	quarantineAfter = 3
-	// quarantineMin and quarantineMax bound how long a worker rests before it is tried again, twice as long after
-	// each trial that failed. Workers that fail everything do so for several seconds.
+	// quarantineMin and quarantineMax bound the duration of a quarantine, which doubles after each failed trial run.
+	// Workers on which everything fails do so for several seconds.
 	quarantineMin = time.Second
 	quarantineMax = 4 * time.Second
-	// quarantineShare is the part of the workers, one of so many, that may rest at a time: where more of them
-	// fail, the fault is not theirs, and work must not wait for a worker to be trusted.
+	// quarantineShare is the divisor that limits quarantine: at most one worker in quarantineShare. If more of them
+	// fail, the workers are not the cause, and work must not wait for a quarantine to end.
 	quarantineShare = 4
 )
 
-// health is what the ends of runs have shown of a worker.
+// health is the state of a worker derived from the ends of its runs.
 type health struct {
-	// failures and successes count the ends of runs lately, halved as they grow.
+	// failures and successes count recent ends of runs. Both are halved when their sum exceeds endsWindow.
 	failures, successes float64
-	// failedInARow counts the works that have failedInARow there since one was done, lastFailedWork is the latest of them.
+	// failedInARow counts the works that have failed on the worker since the last success; lastFailedWork is the latest
+	// one.
 	failedInARow   int
 	lastFailedWork string
-	// quarantine is how long the latest quarantine lasts, quarantinedUntil its end.
+	// quarantine is the duration of the latest quarantine, quarantinedUntil its end.
 	quarantine       time.Duration
 	quarantinedUntil time.Time
-	// trialRun is the one run that is to show whether the worker may be trusted again.
+	// trialRun is the current run that decides whether the worker leaves quarantine.
 	trialRun *run
 }
 
 // isSuspect reports whether other workers are to be preferred.
-func (u *health) isSuspect() bool { return u.failures > suspectFailures && u.failures > u.successes }
+func (h *health) isSuspect() bool { return h.failures > suspectFailures && h.failures > h.successes }
 
-// isOnTrial reports whether the worker gets one run at a time until one is done.
-func (u *health) isOnTrial() bool { return u.failedInARow >= quarantineAfter }
+// isOnTrial reports whether the worker gets only one run at a time until one succeeds.
+func (h *health) isOnTrial() bool { return h.failedInARow >= quarantineAfter }
 
-// isQuarantined reports whether the worker gets nothing new. A worker that fails all that it starts always has
-// room: without a rest the work of a full cell would go there and use up its attempts.
-func (u *health) isQuarantined(now time.Time) bool {
-	return u.isOnTrial() && (u.trialRun != nil || now.Before(u.quarantinedUntil))
+// isQuarantined reports whether the worker gets no new runs. A worker on which every start fails always has free
+// capacity: without quarantine, the works of a full cell would go there and use up their attempts.
+func (h *health) isQuarantined(now time.Time) bool {
+	return h.isOnTrial() && (h.trialRun != nil || now.Before(h.quarantinedUntil))
 }
 
-// acceptsTrial reports whether a stage may have a run on a worker that is on trial: one that has not failed yet,
-// so that the trial does not cost its last attempt, and that needs no other worker beside this one.
-func (u *health) acceptsTrial(s *stage) bool {
-	return u.trialRun == nil && !s.spec.Gang && len(s.failuresByWorker) == 0
+// acceptsTrial reports whether a stage may start a trial run on this worker. The stage must not have failed yet, so
+// that the trial cannot cost its last attempt, and must not be a gang, which needs other workers too.
+func (h *health) acceptsTrial(s *stage) bool {
+	return h.trialRun == nil && !s.spec.Gang && len(s.failuresByWorker) == 0
 }
 
-// noteEnding takes in how a run has ended.
-func (t *term) noteEnding(r *run, how worker.Ending) {
-	u := &r.node.health
-	if u.trialRun == r {
-		u.trialRun = nil
+// noteEnding updates the health of a worker after the end of a run.
+func (t *term) noteEnding(r *run, ending worker.Ending) {
+	h := &r.node.health
+	if h.trialRun == r {
+		h.trialRun = nil
 	}
-	switch how {
+	switch ending {
 	case worker.EndingDone:
-		u.successes++
-		u.failedInARow, u.quarantine = 0, 0
+		h.successes++
+		h.failedInARow, h.quarantine = 0, 0
 	case worker.EndingFailed:
-		u.failures++
-		t.noteFailure(r)
+		h.failures++
+		t.countFailure(r)
 	default:
 	}
-	if u.successes+u.failures > endsWindow {
-		u.successes, u.failures = u.successes/2, u.failures/2
+	if h.successes+h.failures > endsWindow {
+		h.successes, h.failures = h.successes/2, h.failures/2
 	}
 }
 
-// noteFailure counts a failure, and lets a worker rest on which several works have failed in a row. The tasks of
-// one work count once, as they may fail by their own fault.
-func (t *term) noteFailure(r *run) {
+// countFailure counts a failure, and quarantines a worker on which several works have failed in a row. Failures of the
+// same work count once, as they may be the work's own fault.
+func (t *term) countFailure(r *run) {
 	n, id := r.node, r.stage.entry.work.ID
 	if n.lastFailedWork == id && !n.isOnTrial() {
 		return
@@ -97,13 +100,13 @@
 	t.log.Info("dispatch: worker rests", zap.String("worker", n.id), zap.Int("failedInARow", n.failedInARow), zap.Duration("rest", n.quarantine))
 }
 
-// canQuarantine reports whether one more worker may rest.
+// canQuarantine reports whether one more worker may be quarantined.
 func (t *term) canQuarantine() bool {
-	resting := 1
+	quarantined := 1
 	for _, n := range t.nodes {
 		if n.isOnTrial() {
-			resting++
+			quarantined++
 		}
 	}
-	return resting*quarantineShare <= len(t.nodes)
+	return quarantined*quarantineShare <= len(t.nodes)
 }
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -10,10 +10,10 @@
 	"turmericgap/worker"
 )
 
-// mostEnds is how many ends a worker lists at a time.
-const mostEnds = 500
+// maxListedEnds is the maximum number of ends that a worker lists in one answer.
+const maxListedEnds = 500
 
-// holdOrder tells the goroutine of a worker's lease what to send next.
+// holdOrder is the next hold for the goroutine that keeps a worker's lease, to be sent after a pause.
 type holdOrder struct {
 	hold  worker.Hold
 	pause time.Duration
@@ -27,17 +27,18 @@
 	}
 	ctx, cancel := context.WithCancel(t.ctx)
 	n.stop = cancel
-	// The first hold raises the fence and tells the clock; it extends nothing, as no clock is known.
+	// The first hold raises the fencing token and returns the worker's clock. It cannot extend the lease, as the clock
+	// is not known yet.
 	n.holding, n.holdDue = true, time.Now().Add(holdLateAfter)
 	n.holdOrders <- holdOrder{hold: worker.Hold{Fence: t.tenure.Fence}}
 	t.wg.Go(func() { t.sendHolds(ctx, n) })
 }
 
-// initialLeaseEnd is when a worker that this term has never reached holds nothing of a former owner, who
-// may have gone on extending its lease for extendGrace.
+// initialLeaseEnd returns when a worker that this term has never reached holds no lease from a former owner, which may
+// have extended it for extendGrace.
 func (t *term) initialLeaseEnd() time.Time { return t.startedAt.Add(extendGrace + t.maxLeaseSpan()) }
 
-// maxLeaseSpan is how long after a hold was sent the lease may last on the worker's clock.
+// maxLeaseSpan returns how long after a hold was sent the lease may last, with the drift of the worker's clock.
 func (t *term) maxLeaseSpan() time.Duration {
 	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + lapseMargin
 }
@@ -61,7 +62,8 @@
 	}
 }
 
-// hold sends a hold; one that is answered at once waits for its turn, one that waits at the worker does not keep it.
+// hold sends a hold. One that is answered at once uses a slot of the call limiter. One that waits at the worker does
+// not, as it would block the slot.
 func (t *term) hold(ctx context.Context, n *node, h *worker.Hold) (held *worker.Held, err error) {
 	if h.Wait == 0 {
 		err = t.call(ctx, n.agent, holdTimeoutSlack, func(ctx context.Context) error {
@@ -75,13 +77,13 @@
 	return n.agent.Hold(ctx, h)
 }
 
-// sendNextHold sends the following hold. It extends the lease unless the worker has been silent or this
-// owner's own tenure was not confirmed for too long.
+// sendNextHold orders the next hold. It extends the lease unless the worker has been silent or this owner's tenure has
+// not been confirmed for too long.
 func (t *term) sendNextHold(n *node, wait, pause time.Duration) {
 	now := time.Now()
 	h := worker.Hold{Fence: t.tenure.Fence, Observed: n.lastEndObserved, Wait: wait}
 	if n.synced && n.misses < extendMissLimit && t.tenure.Confirmed(extendGrace) {
-		// The order is sent after the pause; the lease then ends that much earlier.
+		// The hold is sent after the pause; the lease then lasts that much shorter from its arrival.
 		h.Until = n.clockNow(now) + t.o.MaxHold
 		n.leaseEnd = now.Add(pause + t.maxLeaseSpan())
 	}
@@ -89,7 +91,7 @@
 	n.holdOrders <- holdOrder{hold: h, pause: pause}
 }
 
-// onHold takes in the answer to a hold.
+// onHold processes the answer to a hold.
 func (t *term) onHold(n *node, held *worker.Held, err error) {
 	now := time.Now()
 	n.holding = false
@@ -110,19 +112,21 @@
 		t.scheduleHold(n)
 		return
 	}
-	// The worker is told of the ends once they are durable; the lease must not wait for a slow store.
+	// The worker is told that the ends were observed once they are durable, but its lease must not wait for a slow
+	// store.
 	n.observeWait++
-	waiting := n.observeWait
+	wait := n.observeWait
 	time.AfterFunc(observeTimeout, func() {
 		t.post(func() {
-			if n.observeWait == waiting {
+			if n.observeWait == wait {
 				t.continueHolds(n)
 			}
 		})
 	})
 }
 
-// applyHeld takes in what a worker tells, unless it has told of later meanwhile, beside the hold.
+// applyHeld processes the runs and ends that a worker lists, unless a later answer, to a hold or a probe, was processed
+// before.
 func (t *term) applyHeld(n *node, held *worker.Held, now time.Time) {
 	if held.Clock < n.clock {
 		return
@@ -133,7 +137,7 @@
 	t.onActive(n, held)
 }
 
-// continueHolds sends the hold that waited for ends to become durable.
+// continueHolds sends the hold that was waiting for ends to become durable.
 func (t *term) continueHolds(n *node) {
 	n.observeWait++
 	if !n.isRemoved(t) && n.noHoldInFlight() {
@@ -141,13 +145,13 @@
 	}
 }
 
-// noHoldInFlight reports whether no hold is under way or ordered. There is one at a time.
+// noHoldInFlight reports whether no hold is pending or ordered. There is at most one at a time.
 func (n *node) noHoldInFlight() bool { return !n.holding }
 
-// isRemoved reports whether the worker's goroutine has been ended.
+// isRemoved reports whether the node was removed and its goroutine ended.
 func (n *node) isRemoved(t *term) bool { return t.nodes[n.id] != n }
 
-// observeAfterSave keeps the worker from being told of an end before the entry that it changed is durable.
+// observeAfterSave delays telling the worker that an end was observed until the entry that the end changed is durable.
 func (t *term) observeAfterSave(n *node, e *entry) {
 	if e.pendingSave == nil {
 		return
@@ -166,6 +170,7 @@
 	})
 }
 
+// onHoldFailed processes the error of a hold.
 func (t *term) onHoldFailed(n *node, err error) {
 	var refused *worker.Refusal
 	switch {
@@ -187,7 +192,7 @@
 	t.sendNextHold(n, 0, pause)
 }
 
-// onEnds takes in the ends that are new.
+// onEnds processes the ends that are new.
 func (t *term) onEnds(n *node, ended []worker.End) {
 	for i := range ended {
 		e := &ended[i]
@@ -208,25 +213,25 @@
 func (t *term) onActive(n *node, held *worker.Held) {
 	now := time.Now()
 	listed := make(map[runKey]bool, len(held.Active))
-	unknown := 0
+	unknownRuns := 0
 	for i := range held.Active {
 		a := &held.Active[i]
 		key := runKey{a.Task, a.Run}
 		listed[key] = true
 		r := n.runs[key]
 		if r == nil {
-			unknown++
+			unknownRuns++
 			t.haltUnknown(n, a)
 			continue
 		}
 		t.updateRun(r, a, now)
 	}
-	if unknown != n.unknownRuns {
-		t.log.Info("dispatch: runs that nobody asked for are being stopped", zap.String("worker", n.id), zap.Int("runs", unknown))
-		n.unknownRuns, t.passNeeded = unknown, true
+	if unknownRuns != n.unknownRuns {
+		t.log.Info("dispatch: stopping unknown runs", zap.String("worker", n.id), zap.Int("runs", unknownRuns))
+		n.unknownRuns, t.passNeeded = unknownRuns, true
 	}
-	if len(held.Ended) >= mostEnds {
-		// More ends may follow, that of a run which is not listed as active among them.
+	if len(held.Ended) >= maxListedEnds {
+		// More ends may follow, including that of a run not listed as active.
 		return
 	}
 	for key, r := range n.runs {
@@ -236,7 +241,7 @@
 	}
 }
 
-// updateRun notes what a worker tells of a run.
+// updateRun updates a run with what the worker reports.
 func (t *term) updateRun(r *run, a *worker.Active, now time.Time) {
 	r.confirm()
 	r.recovered = false
@@ -248,7 +253,7 @@
 	}
 }
 
-// confirm notes that the worker has the run.
+// confirm records that the worker has the run.
 func (r *run) confirm() {
 	if !r.confirmed {
 		r.confirmedAt = time.Now()
@@ -260,7 +265,7 @@
 // cannotStart reports whether a run that the worker does not list can never start there.
 func (r *run) cannotStart(n *node, clock time.Duration) bool {
 	if r.recovered {
-		// This term's fence was raised by the hold, so that an older order is refused from now on.
+		// The hold raised the fencing token, so that the worker now rejects older orders.
 		return true
 	}
 	return r.uncertain && clock > r.startExpires
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -14,87 +14,90 @@
 	"turmericgap/worker"
 )
 
-// runKey names a run on a worker.
+// runKey identifies a run on a worker.
 type runKey struct {
 	task   worker.Task
 	number int64
 }
 
-// node is one lifetime of a worker.
+// node is the owner's state of one lifetime of a worker.
 type node struct {
 	id      string
 	listing worker.Listing
-	// listed says that the worker's entry is in the store now.
+	// listed is true while the worker's entry is in the store.
 	listed bool
-	// unreadable says that the entry is there and cannot be read: it names no worker for new tasks, and
-	// what was proved of the worker before holds on.
+	// unreadable is true while the entry exists but cannot be decoded. The worker then gets no new tasks; what its
+	// holds have shown stays valid.
 	unreadable bool
 	agent      *worker.Agent
 	stop       context.CancelFunc
 	holdOrders chan holdOrder
-	// roomWantedPass is the latest pass after which work waited for room here; hurry ends the pause before a hold.
+	// roomWantedPass is the latest pass after which a stage waited for capacity here; wake ends the pause before a
+	// hold.
 	roomWantedPass int64
 	wake           chan struct{}
-	// usablePart is the part of a pass for which usableNow holds, sortedPart that for which runsByEnd is in order.
+	// usablePart is the slice of a pass for which usableNow is valid, sortedPart the one for which runsByEnd is sorted.
 	usablePart, sortedPart int64
 	usableNow              bool
 	runsByEnd              []*run
 	position               indexPosition
-	// ownerLag is the owner's.
+	// ownerLag is the lag of the owner's loop, nil in tests without an owner.
 	ownerLag *lag
-	// free is the capacity less what is charged; held is the part of free kept for a stage that waits
-	// for its permits.
+	// free is the capacity less what is charged. setAside is the part of free that stages have set aside while their
+	// permit requests are pending.
 	free     job.Resources
 	setAside job.Resources
-	// reserved is room that the present pass keeps for gangs, reservedUntil when the first of them
-	// is expected to start.
+	// reserved is the capacity that the current pass has reserved for gangs; reservedUntil is when the first of them is
+	// expected to start.
 	reserved      job.Resources
 	reservedUntil time.Time
-	// claimed is what the pass before has kept, until claimedUntil. What is more urgent than those gangs
-	// leaves it alone as long as there is room elsewhere.
+	// claimed is the capacity that the previous pass had reserved, until claimedUntil. More urgent stages use it only
+	// if there is no other capacity.
 	claimed      job.Resources
 	claimedUntil time.Time
 	runs         map[runKey]*run
-	// unknownRuns counts runs on the worker that this term does not know; their size is unknown, so that
+	// unknownRuns is the number of runs on the worker that this term does not know. As their resources are unknown,
 	// nothing new is placed beside them.
 	unknownRuns int
-	// synced says that the worker has answered a hold of this term: older starts are void there.
+	// synced is true once the worker has answered a hold of this term. From then on it rejects older orders to start.
 	synced bool
-	// clock is the worker's clock as it was at clockAt.
+	// clock is the worker's clock at the local time clockAt.
 	clock   time.Duration
 	clockAt time.Time
 	heardAt time.Time
-	// silentAt is when an order to the worker last had no answer; until it is heard again it gets
-	// nothing new. holdDue is when the hold under way should have been answered.
+	// silentAt is when an order to the worker last got no answer. The worker gets nothing new until it answers again.
+	// holdDue is when the pending hold should have been answered.
 	silentAt, holdDue time.Time
-	// lastEndSeen is the highest number of an end that was taken in, lastEndObserved the highest that is durable.
+	// lastEndSeen is the highest number of an end that was processed, lastEndObserved the highest that is durable.
 	lastEndSeen, lastEndObserved int64
-	// unsaved counts the ends that were taken in and are not durable yet.
+	// unsaved is the number of entries with processed ends that are not durable yet.
 	unsaved int
-	// holding says that a hold is under way, waiting numbers the waits for durable ends.
+	// holding is true while a hold is pending. observeWait identifies the current wait for durable ends.
 	holding     bool
 	observeWait int
-	// holdSentAt is when the latest hold was sent, probedAt when the worker was asked beside one.
+	// holdSentAt is when the latest hold was sent, probedAt when the worker was last probed beside a hold.
 	holdSentAt, probedAt time.Time
-	misses               int
-	// leaseEnd is when all that ran there has surely ended if the worker stays silent.
+	// misses is the number of consecutive holds without an answer.
+	misses int
+	// leaseEnd is when everything on the worker has surely ended if the worker stays silent.
 	leaseEnd    time.Time
 	unwellUntil time.Time
-	// draining says that the VM under the worker is to have its upkeep: nothing new is placed there.
+	// draining is true while the VM below the worker is prepared for maintenance; nothing new is placed there.
 	draining bool
 	health
 }
 
-// clockNow estimates the worker's clock; it errs to the early side by the way of the last answer.
+// clockNow estimates the worker's clock. The estimate is early by the travel time of the last answer.
 func (n *node) clockNow(now time.Time) time.Duration { return n.clock + now.Sub(n.clockAt) }
 
 // usable reports whether new runs may be placed on the worker.
 func (n *node) usable(now time.Time) bool {
 	return n.listed && !n.unreadable && n.synced && !n.listing.Leaving && n.unknownRuns == 0 && n.misses == 0 &&
-		now.After(n.unwellUntil) && n.heardAt.After(n.silentAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) && !n.isQuarantined(now) && !n.draining
+		now.After(n.unwellUntil) && n.heardAt.After(n.silentAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) &&
+		!n.isQuarantined(now) && !n.draining
 }
 
-// slack is by how much the owner's own lag makes an answer late; a worker that no owner has met has none.
+// slack returns how much the owner's own lag may delay an answer, or 0 without an owner.
 func (n *node) slack() time.Duration {
 	if n.ownerLag == nil {
 		return 0
@@ -102,7 +105,7 @@
 	return n.ownerLag.slack()
 }
 
-// usable is n.usable, worked out once for each pass.
+// usable returns n.usable, cached for each slice of a pass.
 func (t *term) usable(n *node, now time.Time) bool {
 	if n.usablePart != t.pass.part {
 		n.usablePart, n.usableNow = t.pass.part, n.usable(now)
@@ -110,9 +113,10 @@
 	return n.usableNow
 }
 
-// room gives the capacity for new runs.
+// room returns the free capacity for new runs.
 func (n *node) room() job.Resources { return n.free.Minus(n.setAside).Minus(n.reserved) }
 
+// charge charges the resources of a run to the worker.
 func (n *node) charge(r *run) {
 	n.runs[runKey{r.task(), r.number}] = r
 	n.free = n.free.Minus(r.need)
@@ -120,21 +124,21 @@
 	n.updateIndex()
 }
 
-// release frees what a run held.
+// release releases the resources of a run.
 func (n *node) release(r *run) {
 	delete(n.runs, runKey{r.task(), r.number})
 	n.free = n.free.Plus(r.need)
 	n.updateIndex()
 }
 
-// workersPause is kept between two answers of the watch over workers, each of which writes its entry
-// every second or two. A worker that leaves must get nothing new after two seconds.
-const workersPause = 300 * time.Millisecond
+// minWatchInterval is the minimum interval between updates from the watch of workers, as each worker writes its entry every
+// second or two. A leaving worker must get nothing new after two seconds.
+const minWatchInterval = 300 * time.Millisecond
 
-// followWorkers hears of the workers' entries.
+// followWorkers watches the workers' entries.
 func (t *term) followWorkers() {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: t.o.WorkersPrefix, Pause: workersPause, Logger: t.log,
+		Store: t.o.Store, Prefix: t.o.WorkersPrefix, Pause: minWatchInterval, Logger: t.log,
 		Reset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
 		Change: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
 	}
@@ -166,9 +170,9 @@
 			id := idFromKey(e.Pair.Key, t.o.WorkersPrefix)
 			delete(t.unreadable, id)
 			if n := t.nodes[id]; n != nil {
-				left := n.hasLeft(time.Now())
+				hasLeft := n.hasLeft(time.Now())
 				t.onUnlisted(n)
-				if left {
+				if hasLeft {
 					t.endLifetime(n, worker.EndingLapsed, "it has left")
 				}
 			}
@@ -178,10 +182,9 @@
 	}
 }
 
-// onListing takes in an entry of a worker, which another writer may have written. One that cannot be
-// read names no worker, so that nothing new starts on a worker that was known; its runs, its lease and
-// the ends that it lists are facts that the entry does not change. The log tells of it once, not each
-// time that the entry is written.
+// onListing processes an entry of a worker, which another writer may have written. If it cannot be decoded, nothing new
+// starts on the worker; its runs, its lease and the ends that it lists stay valid, as they do not depend on the entry.
+// This is logged once, not for each write of the entry.
 func (t *term) onListing(key string, raw []byte) {
 	id := idFromKey(key, t.o.WorkersPrefix)
 	l, err := t.o.DecodeWorker(key, raw)
@@ -204,18 +207,18 @@
 	t.nodes[l.ID].unreadable = false
 }
 
-// maxLeavingEntryAge is how old the last entry of a leaving worker may be when it is removed. Entries of silent
-// workers are removed only after three intervals of a second and a half.
+// maxLeavingEntryAge is the maximum age of a leaving worker's last entry for its removal to count as the worker's own.
+// Entries of silent workers are removed only after three intervals of a second and a half.
 const maxLeavingEntryAge = 2500 * time.Millisecond
 
-// hasLeft reports whether a worker whose entry is being removed took it away itself as it left, and with
-// it all that ran there. Without this its last tasks would wait for a lease that nobody holds. An entry
-// that lapsed is older, by the worker's own clock, however late the watch tells of it.
+// hasLeft reports whether a worker whose entry was deleted has deleted it itself on leaving, so that nothing runs there
+// any more. Otherwise its last tasks would wait for the end of a lease that nobody holds. An entry that expired is
+// older by the worker's own clock, no matter how late the watch reports it.
 func (n *node) hasLeft(now time.Time) bool {
 	return n.listing.Leaving && !n.clockAt.IsZero() && n.listing.Clock > 0 && n.clockNow(now)-n.listing.Clock < maxLeavingEntryAge
 }
 
-// nodeFor gives the node of that ID, which may not be listed.
+// nodeFor returns the node with that ID, and adds one that is not listed if there is none.
 func (t *term) nodeFor(id string) *node {
 	n := t.nodes[id]
 	if n == nil {
@@ -266,7 +269,7 @@
 	t.passNeeded = true
 }
 
-// onUnlisted notes that the worker's entry has gone. What runs there goes on as long as the worker answers.
+// onUnlisted processes the removal of the worker's entry. Its runs continue as long as the worker answers.
 func (t *term) onUnlisted(n *node) {
 	n.listed = false
 	t.unlistedAt = time.Now()
@@ -274,9 +277,9 @@
 	t.forgetIfIdle(n)
 }
 
-// forgetIfIdle forgets a worker that is not listed and holds nothing. One with ends that are not durable yet is kept:
-// if its entry came back it would be met as a new one, tell of those ends again, and be told that they were
-// taken note of, since nothing of its own waits to be saved.
+// forgetIfIdle removes a worker that is not listed and has no runs. It keeps a worker with ends that are not durable
+// yet. If the entry of such a worker came back, the worker would be added as a new one, list these ends again, and be
+// told that they were observed, since the new node has no pending save.
 func (t *term) forgetIfIdle(n *node) {
 	if n.listed || len(n.runs) > 0 || n.unsaved > 0 {
 		return
@@ -288,16 +291,16 @@
 	t.removeNode(n)
 }
 
-// endLifetime ends all runs of a lifetime that is over.
-func (t *term) endLifetime(n *node, how worker.Ending, reason string) {
+// endLifetime ends all runs of a worker whose lifetime is over.
+func (t *term) endLifetime(n *node, ending worker.Ending, reason string) {
 	t.log.Info("dispatch: worker's runs are over", zap.String("worker", n.id), zap.String("reason", reason), zap.Int("runs", len(n.runs)))
 	for _, r := range n.runs {
-		t.endRun(r, how, "")
+		t.endRun(r, ending, "")
 	}
 	t.forgetIfIdle(n)
 }
 
-// endLapsed ends what ran on workers that were silent for longer than any lease that they may hold.
+// endLapsed ends the runs on workers that were silent for longer than any lease that they may hold.
 func (t *term) endLapsed(now time.Time) {
 	for _, n := range t.nodes {
 		if len(n.runs) > 0 && (n.misses > 0 || !n.synced) && now.After(n.leaseEnd) {
--- a/dispatch/pass.go
+++ b/dispatch/pass.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// pass is one look over all that waits, and the room that it works in.
+// pass is one scheduling pass over all waiting stages, with buffers that passes reuse.
 type pass struct {
-	// number counts the passes; what was worked out for an earlier one holds no longer.
+	// number counts the passes; it marks values as computed by a certain pass.
 	number int64
-	// part counts the parts of passes: what holds only while no other event is taken in holds for one of them.
+	// part counts the slices of passes. The loop handles no event during a slice, so that values cached for it stay
+	// valid.
 	part int64
-	// since is when what it takes in had changed, rest what it has not come to yet.
+	// since is the time of the oldest change that led to this pass. remaining holds the stages that it has yet to try.
 	since     time.Time
 	remaining []urgency
-	// examinedReported is how many of the looks were told to Spend.
+	// examinedReported is the part of examined that was already passed to OnExamined.
 	examinedReported int
-	// triedStages and examined count the stages that were triedStages and the workers that were looked at for them.
+	// triedStages counts the stages tried, examined the workers examined for them.
 	triedStages, examined int
-	// took is how long it took by now.
+	// took is the time spent on this pass so far.
 	took time.Duration
-	// plannedMillicores is the processors, in millicores, that are plannedMillicores for gangs which gather room.
+	// plannedMillicores is the CPU reserved for gangs that wait for capacity.
 	plannedMillicores int64
-	// reservedNodes and claimedNodes list the workers with room that this pass and the one before have kept for gangs.
+	// reservedNodes lists the workers on which this pass reserved capacity for gangs, claimedNodes those on which the
+	// previous pass did.
 	reservedNodes, claimedNodes []*node
 	order                       []urgency
 	choices                     []choice
@@ -32,19 +34,19 @@
 
 func newPass() pass { return pass{number: 1, part: 1} }
 
-// begin makes a new pass of the one before.
+// begin resets the pass for the next one.
 func (p *pass) begin(now time.Time) {
 	p.number++
 	p.since, p.took = now, 0
 	p.triedStages, p.examined, p.examinedReported, p.plannedMillicores = 0, 0, 0, 0
 }
 
-// expiredPerPass is how many of the steps that are worth nothing any more are tried in each pass.
+// expiredPerPass is the number of expired stages tried in each pass.
 const expiredPerPass = 64
 
-// limitExpired keeps of the steps that are worth nothing any more, which stand last, a few at a time, others in each pass:
-// all are done in the end. After an overload there are thousands of them, and a pass over all of them would keep what
-// can still be in time waiting for its turn.
+// limitExpired drops most of the expired stages, which come last, and keeps a different few in each pass, so that all
+// of them run in the end. After an overload there are thousands, and trying all of them would delay the stages that can
+// still be on time.
 func (p *pass) limitExpired(order []urgency) []urgency {
 	first := len(order)
 	for first > 0 && order[first-1].lateness == latenessExpired {
@@ -53,11 +55,11 @@
 	if len(order)-first <= expiredPerPass {
 		return order
 	}
-	// Those with room that is kept for them have their turn: it is free for nobody before.
-	var some, others []urgency
+	// Always try expired stages that hold capacity set aside, since only their own turn releases it.
+	var holding, others []urgency
 	for _, u := range order[first:] {
 		if len(u.stage.setAside) > 0 {
-			some = append(some, u)
+			holding = append(holding, u)
 		} else {
 			others = append(others, u)
 		}
@@ -66,10 +68,10 @@
 		from := int(p.number) * expiredPerPass % n
 		others = slices.Concat(others[from:], others[:from])[:expiredPerPass]
 	}
-	return append(append(order[:first], some...), others...)
+	return append(append(order[:first], holding...), others...)
 }
 
-// end clears what would keep works and workers in memory that are gone.
+// end clears the buffers, so that they do not keep finished works and removed workers in memory.
 func (p *pass) end() {
 	clear(p.order)
 	p.remaining = nil
--- a/dispatch/permitrequest.go
+++ b/dispatch/permitrequest.go
@@ -10,15 +10,16 @@
 	"turmericgap/permit"
 )
 
-// candidate is a worker that was not named yet, and how many tasks of a stage it has room for.
+// candidate is a worker that may be named in a permit request for a stage, and was not named in an earlier one.
 type candidate struct {
 	node *node
+	// fits is how many tasks of the stage have room now, or -1 if the worker is not usable.
 	fits int
-	// sortKey is where it stands among the others.
+	// sortKey orders the candidates, smallest first.
 	sortKey int
 }
 
-// zoneRank orders candidates: those with room in the caller's zone, with room elsewhere, without.
+// zoneRank is 0 for a candidate with room in the caller's zone, 1 for one with room elsewhere, 2 for one without room.
 func (c *candidate) zoneRank(s *stage) int {
 	if c.fits <= 0 {
 		return 2
@@ -26,17 +27,19 @@
 	return s.outsideZone(c.node)
 }
 
-// maxFullScan is up to how many workers all are looked at for each first question. In a larger cell that alone would
-// take more of the owner's processor than all else, and a part of them does as well where room is not scarce.
+// maxFullScan is the largest number of workers that are all examined for a first request. In larger cells a full scan
+// would use more of the owner's CPU than everything else, and a partial one is as good where capacity is not scarce.
 const maxFullScan = 400
 
-// scansAll reports whether all workers are looked at: the few that are near the data may be anywhere.
+// scansAll reports whether unnamedCandidates examines all workers. For a stage with local data it does in any cell, as
+// the few workers near the data may be anywhere.
 func (t *term) scansAll(s *stage) bool {
 	return len(t.sortedNodes) <= maxFullScan || s.spec.DataRack != ""
 }
 
-// unnamedCandidates gives workers that were not named yet, those near the data, in the caller's zone and with the most room
-// first: all of a small cell, of a large one as many as a question may need.
+// unnamedCandidates returns workers that were not yet named, sorted by distance from the data, caller's zone and free
+// capacity. In a small cell it returns all of them, in a large one as many as a request may need. The list is valid
+// until the next call.
 func (t *term) unnamedCandidates(s *stage, now time.Time) []candidate {
 	list := t.pass.unnamed[:0]
 	if t.scansAll(s) {
@@ -52,7 +55,7 @@
 	return list
 }
 
-// appendCandidate adds a worker to the candidates if it may be named; i tells apart those that are alike.
+// appendCandidate appends a worker to the candidates if it may be named; i breaks ties between equal candidates.
 func (t *term) appendCandidate(list []candidate, s *stage, n *node, i int, now time.Time) []candidate {
 	if _, known := s.tickets[n.id]; known || !t.matches(s, n) || !n.listed || n.listing.Leaving {
 		return list
@@ -69,39 +72,40 @@
 	return append(list, c)
 }
 
-// findCandidates looks for candidates where there is room, until there are as many as a question may need.
+// findCandidates searches the workers with the most free capacity first, until it has as many candidates as a request
+// may need.
 func (t *term) findCandidates(list []candidate, s *stage, now time.Time) []candidate {
 	names, tasks := t.wantedNames(s)
-	found, free, looks := 0, 0, 0
-	find := func(enough func() bool) func(*node) bool {
+	withRoom, free, visited := 0, 0, 0
+	collectUntil := func(enough func() bool) func(*node) bool {
 		return func(n *node) bool {
-			looks++
+			visited++
 			before := len(list)
-			if list = t.appendCandidate(list, s, n, looks, now); len(list) > before && list[before].fits > 0 {
-				found++
+			if list = t.appendCandidate(list, s, n, visited, now); len(list) > before && list[before].fits > 0 {
+				withRoom++
 				free += list[before].fits
 			}
 			return !enough()
 		}
 	}
-	turn := int(t.pass.number)
-	fullest := bucketOf(s.taskResources().Millicores)
-	t.roomIndex.visit(s.entry.work.Zone, fullest, turn, find(func() bool { return found >= names && free >= tasks }))
-	if found < names || free < tasks {
-		// Workers without room, which gangs must know of to wait for: the ones found before are not found again.
+	offset := int(t.pass.number)
+	minBucket := bucketOf(s.taskResources().Millicores)
+	t.roomIndex.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withRoom >= names && free >= tasks }))
+	if withRoom < names || free < tasks {
+		// Gangs must also know workers without room in order to wait for them. Skip the ones already found.
 		seen := make(map[*node]bool, len(list))
 		for _, c := range list {
 			seen[c.node] = true
 		}
-		more := find(func() bool { return len(list) >= names+permit.MaxWorkers })
-		t.roomIndex.visit(s.entry.work.Zone, 0, turn, func(n *node) bool { return seen[n] || more(n) })
+		more := collectUntil(func() bool { return len(list) >= names+permit.MaxWorkers })
+		t.roomIndex.visit(s.entry.work.Zone, 0, offset, func(n *node) bool { return seen[n] || more(n) })
 	}
-	t.pass.examined += looks
+	t.pass.examined += visited
 	return list
 }
 
-// The parts of a candidate's order: its distance, its rank, how many tasks fit, and its place among the workers,
-// which are listed by ID.
+// The parts of a sort key from its highest bits: data distance, zone rank, maxFits minus the number of tasks that fit,
+// and position among the workers, which are sorted by ID.
 const (
 	fitsShift     = 24
 	maxFits       = 1 << 16
@@ -109,15 +113,15 @@
 	distanceShift = rankShift + 2
 )
 
-// sendFirstRequests names workers that were not named yet, in several questions at the same time where one
-// would take longer: each entry VM has its own turn at the service. One question after the other kept a
-// gang in a cell of 350 workers waiting for five to seven seconds.
+// sendFirstRequests requests permits for workers that were not yet named. It splits a long list into several concurrent
+// requests, as the service handles requests from different entry VMs in parallel. Sent one after another, they would
+// keep a gang in a cell of 350 workers waiting for five to seven seconds.
 func (t *term) sendFirstRequests(s *stage, now time.Time) {
 	list := t.unnamedCandidates(s, now)
 	list = list[:t.nameCount(s, list)]
-	each := requestSize(s.entry.queue.Permit, len(list))
+	perRequest := requestSize(s.entry.queue.Permit, len(list))
 	for len(list) > 0 {
-		part := list[:min(each, len(list))]
+		part := list[:min(perRequest, len(list))]
 		names := make([]string, 0, len(part))
 		for _, c := range part {
 			names = append(names, c.node.id)
@@ -129,20 +133,20 @@
 	}
 }
 
-// requestSize divides names evenly into questions each of which spends about as long on its names as on
-// being answered at all. Smaller ones would cost more time at the service than they save.
+// requestSize returns how many workers to name in each request. It splits them evenly into requests in which the cost
+// per worker is about as high as the fixed cost. Smaller requests would take more of the service's time than they save.
 func requestSize(p *job.PermitCost, names int) int {
-	most := permit.MaxWorkers
+	limit := permit.MaxWorkers
 	if p.PerWorker > 0 {
-		most = min(max(int(p.Base/p.PerWorker), minNamedWorkers), permit.MaxWorkers)
+		limit = min(max(int(p.Base/p.PerWorker), minNamedWorkers), permit.MaxWorkers)
 	}
-	if questions := (names + most - 1) / most; questions > 1 {
-		return (names + questions - 1) / questions
+	if requests := (names + limit - 1) / limit; requests > 1 {
+		return (names + requests - 1) / requests
 	}
-	return most
+	return limit
 }
 
-// wantedNames is how many workers a question should name at least, with room for how many tasks among them.
+// wantedNames returns the minimum number of workers to name, and for how many tasks they should have room.
 func (t *term) wantedNames(s *stage) (names, tasks int) {
 	room := namingFactor * float64(s.waiting) / t.expectedGrantShare(s.entry.queue.Name)
 	if s.spec.Gang {
@@ -151,8 +155,8 @@
 	return max(int(room/float64(max(t.maxTasksPerWorker(s)/2, 1))), minNamedWorkers), 0
 }
 
-// nameCount is how many of the unnamed workers are named at once. More cost time at the service, fewer may
-// not be enough once some of them are refused or full.
+// nameCount returns how many of the unnamed workers to name at once. More cost time at the service; fewer may not
+// suffice once some are denied or full.
 func (t *term) nameCount(s *stage, list []candidate) int {
 	p := s.entry.queue.Permit
 	left := len(list)
@@ -160,15 +164,15 @@
 		left = len(t.sortedNodes) - len(s.tickets)
 	}
 	if time.Duration(left)*p.PerWorker < p.Base {
-		// Naming all costs less than asking twice.
+		// Naming all is cheaper than a second request.
 		return len(list)
 	}
 	names, tasks := t.wantedNames(s)
 	if !s.spec.Gang {
 		return min(names, len(list))
 	}
-	// All tasks of a gang need room at the same time, so that what is free now counts. Where it is not
-	// enough, the gang waits for room on workers that are full now, and must know some that it may have.
+	// All tasks of a gang need capacity at the same time, so that only workers with room now count. If these do not
+	// suffice, the gang waits for capacity on full workers, and must know some that are allowed.
 	n, free := 0, 0
 	for n < len(list) && list[n].fits > 0 && free < tasks {
 		free += list[n].fits
@@ -180,7 +184,7 @@
 	return min(max(n, names), len(list))
 }
 
-// maxTasksPerWorker is how many tasks of a stage fit the maxTasksPerWorker worker when it is empty.
+// maxTasksPerWorker returns how many tasks of a stage fit on the largest worker when it is empty.
 func (t *term) maxTasksPerWorker(s *stage) int {
 	t.refreshCapacities()
 	most := 0
@@ -190,7 +194,7 @@
 	return most
 }
 
-// refreshCapacities notes what the workers have when they are empty, if that has changed.
+// refreshCapacities recomputes the distinct and total capacities of the workers if these have changed.
 func (t *term) refreshCapacities() {
 	if t.capacitiesVersion == t.nodesVersion {
 		return
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -12,60 +12,62 @@
 )
 
 const (
-	// requestTimeoutSlack is added to the time that a question should take before it is given up.
+	// requestTimeoutSlack is added to the expected duration of a permit request to get its timeout.
 	requestTimeoutSlack = 350 * time.Millisecond
-	// requestRetryMin is the pause after a question without an answer, doubled after each further one up to
+	// requestRetryMin is the pause after a request without a response. It doubles with each further one, up to
 	// requestRetryMax.
 	requestRetryMin = 20 * time.Millisecond
 	requestRetryMax = 400 * time.Millisecond
-	// ticketMargin is what must be left of a ticket's time when a start is decided: the commit of the
-	// intent and the way to the worker come after.
+	// ticketMargin is the minimum remaining validity of a ticket when a start is decided, as the intent must still be
+	// committed and the order must reach the worker.
 	ticketMargin = 80 * time.Millisecond
-	// defaultGrantShare is the share of workers that are expected to be allowed before any answer is known.
+	// defaultGrantShare is the expected fraction of allowed workers before any response is known.
 	defaultGrantShare = 0.4
-	// namingFactor is how many times the room that should just do is named, as some fills up meanwhile.
+	// namingFactor is how many times the capacity needed is named, as some of it is taken while the request is pending.
 	namingFactor = 1.6
-	// minNamedWorkers is the least number of workers that a first question names.
+	// minNamedWorkers is the minimum number of workers that a first request names.
 	minNamedWorkers = 24
 )
 
-// permits is what a stage knows of the workers that may run it. What is allowed for a step does not
-// change; only tickets expire.
+// permits is what a stage knows about the workers that may run it. A permit does not change during the life of a step;
+// only its ticket expires.
 type permits struct {
-	// tickets holds the ticket of each worker that is allowed, and an empty one for the others.
+	// tickets holds the ticket of each worker that is allowed, and an empty one for each worker that is not.
 	tickets map[string]ticket
-	// openRequests counts the questions under way.
+	// openRequests is the number of pending requests.
 	openRequests int
-	// retryQuestionAt is when a question may be put again after a failure.
-	retryQuestionAt  time.Time
-	questionFailures int
-	// earlyRequests counts the questions that were put before there was room.
+	// requestRetryAt is the earliest time of the next request after a failure.
+	requestRetryAt  time.Time
+	requestFailures int
+	// earlyRequests counts the requests sent before there was capacity.
 	earlyRequests int
-	// setAside holds the capacity that is setAside while a question is under way, until the stage's turn after it.
+	// setAside holds the capacity set aside while a request is pending, until the stage's turn after it.
 	setAside []allocation
-	// allowedNodes lists the workers that answers allow, as they were at the term's allowedVersion-th change of workers.
+	// allowedNodes caches the workers with allowed tickets as of version allowedVersion of the term's nodes.
 	allowedNodes   []*node
 	allowedVersion int
 }
 
+// ticket is the state of a worker's permit; it may be sent with orders before the time until.
 type ticket struct {
 	value   string
 	until   time.Time
 	allowed bool
 }
 
+// allocation assigns a number of a stage's tasks to a node.
 type allocation struct {
 	node  *node
 	tasks int
 }
 
-// allowedStale says that the answers have changed since the allowed workers were listed.
+// allowedStale as allowedVersion invalidates allowedNodes after a response.
 const allowedStale = -1
 
-// ticket gives the ticket to send to a worker.
+// ticket returns the ticket to send to a worker.
 func (s *stage) ticket(workerID string) string { return s.tickets[workerID].value }
 
-// expireTicket drops a ticket that a worker did not take; whether it is allowed stays known.
+// expireTicket invalidates a ticket that a worker rejected. The worker still counts as allowed.
 func (s *stage) expireTicket(workerID string) {
 	if a, ok := s.tickets[workerID]; ok {
 		a.until = time.Time{}
@@ -76,7 +78,7 @@
 // needsPermit reports whether the stage's queue has a policy service.
 func (s *stage) needsPermit() bool { return s.entry.queue.Permit != nil }
 
-// permitted reports whether a start on the worker may be sent now.
+// permitted reports whether a task may be started on the worker now with the permits known.
 func (s *stage) permitted(n *node, now time.Time) bool {
 	if !s.needsPermit() {
 		return true
@@ -85,14 +87,14 @@
 	return a.allowed && now.Add(ticketMargin).Before(a.until)
 }
 
-// setAsideRoom sets room aside while a question is under way.
+// setAsideRoom sets capacity aside for tasks while a permit request is pending.
 func (s *stage) setAsideRoom(n *node, tasks int) {
 	n.setAside = n.setAside.Plus(s.taskResources().Times(tasks))
 	n.updateIndex()
 	s.setAside = append(s.setAside, allocation{n, tasks})
 }
 
-// releaseSetAside gives back the room that was set aside.
+// releaseSetAside releases the capacity that was set aside for a stage.
 func (t *term) releaseSetAside(s *stage) {
 	for _, k := range s.setAside {
 		k.node.setAside = k.node.setAside.Minus(s.taskResources().Times(k.tasks))
@@ -104,12 +106,13 @@
 	s.setAside = s.setAside[:0]
 }
 
-// permitVMs is the entry VMs that may put questions, read again when there are others.
+// permitVMs caches the entry VMs that may send permit requests.
 type permitVMs struct {
 	nodes []owner.Node
 	ids   []string
 }
 
+// refreshPermitVMs updates permitVMs and the VM selector if the list of VMs has changed.
 func (t *term) refreshPermitVMs() {
 	nodes := t.o.Nodes()
 	if sameSlice(nodes, t.permitVMs.nodes) {
@@ -123,18 +126,19 @@
 	t.vmSelector.RetainVMs(t.permitVMs.ids)
 }
 
-// sameSlice reports whether two lists are one and the sameSlice.
+// sameSlice reports whether a and b are the same slice; it does not compare their elements.
 func sameSlice(a, b []owner.Node) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// canRequest reports whether a stage may put a question now. Where no VM is free for it, it waits for its
+// canRequest reports whether a stage may send a permit request now. If no VM is free for it, the stage waits for its
 // turn among all stages.
 func (t *term) canRequest(s *stage, now time.Time) bool {
-	return s.openRequests == 0 && !now.Before(s.retryQuestionAt) && t.vmSelector.CanPick(t.permitVMs.ids, s.entry.queue.Permit.Base, now)
+	return s.openRequests == 0 && !now.Before(s.requestRetryAt) &&
+		t.vmSelector.CanPick(t.permitVMs.ids, s.entry.queue.Permit.Base, now)
 }
 
-// sendPermitRequest puts a sendPermitRequest to the service from the entry VM that can answer first; false where none is
+// sendPermitRequest sends a permit request from the entry VM that gets a response first. It returns false if no VM is
 // free for it.
 func (t *term) sendPermitRequest(s *stage, names []string, now time.Time) bool {
 	p := s.entry.queue.Permit
@@ -157,27 +161,27 @@
 	return true
 }
 
-// onPermitResponse notes what the service allows.
-func (t *term) onPermitResponse(s *stage, from owner.Node, q *permit.Request, asked time.Time, a *permit.Response, err error) {
+// onPermitResponse records the permits of a response, or schedules a retry after an error.
+func (t *term) onPermitResponse(s *stage, from owner.Node, q *permit.Request, requestedAt time.Time, a *permit.Response, err error) {
 	now := time.Now()
 	s.openRequests--
 	t.passNeeded = true
 	if err != nil {
 		t.releaseSetAside(s)
 		t.vmSelector.RecordFailure(from.ID, now)
-		s.retryQuestionAt = now.Add(min(requestRetryMin<<min(s.questionFailures, 8), requestRetryMax))
-		s.questionFailures++
+		s.requestRetryAt = now.Add(min(requestRetryMin<<min(s.requestFailures, 8), requestRetryMax))
+		s.requestFailures++
 		t.log.Info("dispatch: question without an answer", zap.String("id", q.Work), zap.Int("step", q.Step),
 			zap.String("from", from.ID), zap.Int("workers", len(q.Workers)), zap.Error(err))
 		return
 	}
 	t.vmSelector.RecordSuccess(from.ID)
-	s.questionFailures = 0
+	s.requestFailures = 0
 	if s.tickets == nil {
 		s.tickets = make(map[string]ticket, len(q.Workers))
 	}
 	for _, id := range q.Workers {
-		if known := s.tickets[id]; !known.allowed {
+		if old := s.tickets[id]; !old.allowed {
 			s.tickets[id] = ticket{}
 		}
 	}
@@ -187,11 +191,11 @@
 	s.allowedVersion = allowedStale
 	t.updateGrantShare(s.entry.queue.Name, len(a.Grants), len(q.Workers))
 	t.log.Info("dispatch: permits", zap.String("id", q.Work), zap.Int("step", q.Step), zap.String("from", from.ID),
-		zap.Int("named", len(q.Workers)), zap.Int("allowed", len(a.Grants)), zap.Duration("took", now.Sub(asked)),
+		zap.Int("named", len(q.Workers)), zap.Int("allowed", len(a.Grants)), zap.Duration("took", now.Sub(requestedAt)),
 		zap.Duration("waited", now.Sub(s.readySince)), zap.Int("tasks", s.waiting), zap.Int("room", t.tasksFittingAllowed(s, now)))
 }
 
-// tasksFittingAllowed counts the waiting tasks of a stage that fit the workers that it may have now.
+// tasksFittingAllowed returns how many waiting tasks of a stage fit on its allowed workers now.
 func (t *term) tasksFittingAllowed(s *stage, now time.Time) int {
 	room := 0
 	for _, n := range t.allowedNodes(s) {
@@ -202,9 +206,10 @@
 	return min(room, s.waiting)
 }
 
-// grantShareWeight is the weight of the newest answer in the share of workers that a queue is allowed.
+// grantShareWeight is the weight of the newest response in a queue's moving average of allowed workers.
 const grantShareWeight = 0.1
 
+// updateGrantShare updates the average fraction of named workers that a queue is allowed.
 func (t *term) updateGrantShare(queue string, allowed, named int) {
 	if named == 0 {
 		return
@@ -213,6 +218,7 @@
 	t.grantShares[queue] = share + grantShareWeight*(float64(allowed)/float64(named)-share)
 }
 
+// expectedGrantShare returns the fraction of named workers that a queue will probably be allowed.
 func (t *term) expectedGrantShare(queue string) float64 {
 	if share, ok := t.grantShares[queue]; ok {
 		return max(share, minGrantShare)
@@ -220,5 +226,5 @@
 	return defaultGrantShare
 }
 
-// minGrantShare bounds how few workers a queue is expected to be allowed.
+// minGrantShare is the lowest expected fraction of allowed workers, which bounds how many are named.
 const minGrantShare = 0.1
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -11,18 +11,18 @@
 
 type resources = job.Resources
 
-// passPauseFactor times what a pass took is the pause before the next one. In a large cell whose queues are
-// long a pass takes milliseconds and each end of a task asks for one: without the pause passes take all
-// of the processor, and holds and orders come late.
+// passPauseFactor times the duration of a pass is the pause before the next one. In a large cell with long queues a
+// pass takes milliseconds, and each end of a task triggers one. Without the pause, passes would use all of the CPU and
+// delay holds and orders.
 const (
 	passPauseFactor = 2
-	// passBudget is how long a pass goes on before what has come meanwhile is heard: a fifth of what a check has to spare.
+	// passBudget is how long a pass runs before it yields to pending events: a fifth of the slack of a check.
 	passBudget = 20 * time.Millisecond
-	// minPacedPass is how long a pass must take for that; shorter ones cost less than a timer and its wake.
+	// minPacedPass is the shortest pass that is followed by a pause. A shorter one costs less than a timer.
 	minPacedPass = time.Millisecond
 )
 
-// isPassDue says whether a pass may be made now, and sees to it that one is made when its time has come.
+// isPassDue reports whether a pass may run now. If not, it sets a timer that triggers the pass.
 func (t *term) isPassDue(now time.Time) bool {
 	left := t.nextPassAt.Sub(now)
 	if left <= 0 {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// runPassIfDue makes a pass, or goes on with one, if its time has come; something has changed that asks for one.
+// runPassIfDue runs or continues a pass if its time has come, and records since when one is needed.
 func (t *term) runPassIfDue(now time.Time) {
 	if t.passNeededSince.IsZero() {
 		t.passNeededSince = now
@@ -45,8 +45,9 @@
 	}
 }
 
-// passLatency is how long what changes waits for the end of the pass that takes it in: as long as for the one that has
-// just ended, or as it has waited by now.
+// passLatency returns how long a change waits until the end of the pass that takes it into account. This is the latency
+// of the last pass if that ended recently, or the age of the oldest change not yet taken into account if that is
+// longer.
 func (t *term) passLatency(now time.Time) time.Duration {
 	wait := time.Duration(0)
 	if now.Sub(t.passEndedAt) < 2*tickInterval {
@@ -61,8 +62,8 @@
 	return wait
 }
 
-// runPass starts what can start, in the order of urgency, and puts questions to the policy service. It stops when it has
-// taken passBudget, and goes on there the next time: what was decided is sent, and what has come is heard, before that.
+// runPass starts what can start, in order of urgency, and sends permit requests. It returns once it has used
+// passBudget, and continues with the next call, so that the loop can send its decisions and handle events in between.
 func (t *term) runPass(now time.Time) {
 	t.passNeeded = false
 	p := &t.pass
@@ -108,7 +109,7 @@
 	t.o.Metrics.Histogram("dispatch.passLooks").Update(int64(t.pass.examined))
 }
 
-// reportExamined tells of the workers that were looked at since it last did.
+// reportExamined reports the number of workers examined since the last call to OnExamined.
 func (t *term) reportExamined() {
 	p := &t.pass
 	if t.o.OnExamined != nil {
@@ -117,7 +118,7 @@
 	p.examinedReported = p.examined
 }
 
-// scheduleNextPass notes what a part of a pass took, and how long the next one waits for that.
+// scheduleNextPass records the duration of a slice of a pass, and sets when the next one may run.
 func (t *term) scheduleNextPass(began time.Time, took time.Duration) {
 	if took > minPacedPass {
 		t.nextPassAt = began.Add((passPauseFactor + 1) * took)
@@ -126,7 +127,7 @@
 	t.o.Metrics.Histogram("dispatch.passMicros").Update(took.Microseconds())
 }
 
-// orderedStages gives the stages that wait in the order in which they are tried.
+// orderedStages returns the waiting stages in the order in which to try them.
 func (t *term) orderedStages(now time.Time) []urgency {
 	order := t.pass.order[:0]
 	for s := range t.waitingStages {
@@ -140,7 +141,7 @@
 	return order
 }
 
-// placeStage starts what it can of one stage.
+// placeStage starts as many tasks of a stage as possible.
 func (t *term) placeStage(s *stage, now time.Time) {
 	s.reservedRoom = nil
 	if s.waiting == 0 || s.entry.state.Final() {
@@ -151,8 +152,8 @@
 		s.waitReason = gangWaitPermit
 		return
 	}
-	// Room that was kept for the stage is free for nobody before its own turn: what is more urgent would
-	// take it, and the stage ask in vain for as long as there is such work.
+	// Release the capacity set aside only at the stage's own turn. Otherwise more urgent stages would take it, and the
+	// stage's permit requests would be useless as long as there are such stages.
 	t.releaseSetAside(s)
 	if s.needsPermit() && s.tickets == nil {
 		s.waitReason = gangWaitService
@@ -175,8 +176,7 @@
 	}
 }
 
-// placeTasks starts single tasks wherever there is room: beside what gangs have claimed as long as that does,
-// then there as well.
+// placeTasks starts single tasks. It uses capacity claimed by gangs only after all other capacity.
 func (t *term) placeTasks(s *stage, now time.Time) {
 	if t.fitsNowhere(s) {
 		return
@@ -193,8 +193,8 @@
 	}
 }
 
-// placeOn starts single tasks on workers with such room. The order of choice is made once: the worker that
-// got a task has less room than before and stays the first choice until it is full.
+// placeOn starts single tasks on the nodes as far as room allows. The nodes need no sorting in between: a node that got
+// a task has less room than before and stays the first choice until it is full.
 func (t *term) placeOn(s *stage, nodes []*node, now time.Time, room func(*stage, *node, time.Time) int) {
 	for i := range s.tasks {
 		if s.tasks[i].phase != phaseWaiting {
@@ -213,7 +213,7 @@
 	}
 }
 
-// renewPermits asks for new tickets of allowed workers with room, or for workers that were not named yet.
+// renewPermits requests new tickets for allowed workers with room, or permits for workers not yet named.
 func (t *term) renewPermits(s *stage, now time.Time) {
 	if !s.needsPermit() || !t.canRequest(s, now) {
 		return
@@ -240,7 +240,7 @@
 	}
 }
 
-// hasUnnamedRoom reports whether a worker that was not named has room.
+// hasUnnamedRoom reports whether a worker that was not yet named in a permit request has room.
 func (t *term) hasUnnamedRoom(s *stage, now time.Time) bool {
 	if t.fitsNowhere(s) {
 		return false
@@ -250,7 +250,7 @@
 		if fitCount(n.room(), need) == 0 || !t.usable(n, now) || !t.matches(s, n) {
 			continue
 		}
-		if _, known := s.tickets[n.id]; !known {
+		if _, named := s.tickets[n.id]; !named {
 			t.pass.examined += i
 			return true
 		}
@@ -264,7 +264,7 @@
 	return e.lastRun
 }
 
-// startRun decides a run: its capacity is charged at once, its order sent when the intent is durable.
+// startRun decides a run. Its capacity is charged at once; its order is sent when the intent is durable.
 func (t *term) startRun(s *stage, index int, n *node, number int64) {
 	e, k := s.entry, &s.tasks[index]
 	t.noteFirstStart(s.occurrence)
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -7,46 +7,47 @@
 )
 
 const (
-	// overrunShare of its estimate is what a run that has outlived it is expected to take still.
+	// overrunShare is the fraction of its estimate that a run is still expected to take once it has exceeded the
+	// estimate.
 	overrunShare = 0.25
-	// backfillMargin multiplies the estimate of a task that is to end before a reservation's time.
+	// backfillMargin multiplies the estimate of a task that must end before a reservation starts.
 	backfillMargin = 1.2
-	// requestLead is how much earlier than it takes a question is put, so that the tickets are there when
-	// the room is.
+	// requestLead is added to the duration of an early permit request, so that the tickets arrive before the capacity
+	// is free.
 	requestLead = 100 * time.Millisecond
-	// maxEarlyRequests bounds the questions that a gang puts before there is room. Where its room comes later
-	// than expected each of them is in vain, and takes time that other gangs need at the policy service.
+	// maxEarlyRequests limits the permit requests that a gang sends before there is capacity. If the capacity becomes
+	// free later than expected, each of them is wasted and takes time from other gangs at the policy service.
 	maxEarlyRequests = 2
 )
 
-// reservation is room that becomes free for a gang at a time.
+// reservation is capacity that is expected to be free for a gang at a time.
 type reservation struct {
 	startAt time.Time
 	plan    []allocation
 }
 
-// release is room on a worker that is expected to become free.
+// release is capacity on a worker that is expected to become free.
 type release struct {
 	node *node
 	at   time.Time
-	// tasks is how many of the gang's tasks the worker will hold then, beside those that it held before.
+	// tasks is the number of additional tasks of the gang that fit on the worker from then on.
 	tasks int
 }
 
-// plannedEnd is when a run is expected to end.
+// plannedEnd returns when a run is expected to end.
 func (r *run) plannedEnd(now time.Time) time.Time {
 	estimate := r.stage.spec.Estimate
-	begun := r.sentAt
-	if begun.IsZero() {
-		begun = now
+	start := r.sentAt
+	if start.IsZero() {
+		start = now
 	}
-	if end := begun.Add(estimate); end.After(now) {
+	if end := start.Add(estimate); end.After(now) {
 		return end
 	}
 	return now.Add(time.Duration(overrunShare * float64(estimate)))
 }
 
-// earliestStart finds when and where all tasks of a gang are expected to fit.
+// earliestStart returns when and where all tasks of a gang are expected to fit, or false if they never do.
 func (t *term) earliestStart(s *stage, nodes []*node, now time.Time) (reservation, bool) {
 	var releases []release
 	for _, n := range nodes {
@@ -66,6 +67,7 @@
 	return res, false
 }
 
+// add assigns further tasks to a node.
 func (r *reservation) add(n *node, tasks int) {
 	for i := range r.plan {
 		if r.plan[i].node == n {
@@ -76,33 +78,34 @@
 	r.plan = append(r.plan, allocation{n, tasks})
 }
 
-// releases adds the times at which a worker has room for more of a gang's tasks.
+// releases appends the times from which more of a gang's tasks fit on a worker.
 func (t *term) releases(out []release, s *stage, n *node, now time.Time) []release {
 	need := s.taskResources()
-	most := len(s.tasks)
+	limit := len(s.tasks)
 	if s.spec.MostPerWorker > 0 {
-		most = min(most, s.spec.MostPerWorker-s.tasksOn(n))
+		limit = min(limit, s.spec.MostPerWorker-s.tasksOn(n))
 	}
 	room := n.room()
-	had := min(fitCount(room, need), most)
-	if had > 0 {
-		out = append(out, release{n, now, had})
+	fitting := min(fitCount(room, need), limit)
+	if fitting > 0 {
+		out = append(out, release{n, now, fitting})
 	}
 	for _, r := range t.runsByEnd(n, now) {
-		if had >= most {
+		if fitting >= limit {
 			break
 		}
 		room = room.Plus(r.need)
-		if fit := min(fitCount(room, need), most); fit > had {
-			out = append(out, release{n, r.plannedEnd(now), fit - had})
-			had = fit
+		if fits := min(fitCount(room, need), limit); fits > fitting {
+			out = append(out, release{n, r.plannedEnd(now), fits - fitting})
+			fitting = fits
 		}
 	}
 	return out
 }
 
-// runsByEnd gives the runs of a worker that end by themselves, the first to end first. Several gangs look at the same
-// workers in a pass; no run ends meanwhile, and one that begins has them put in order again.
+// runsByEnd returns the runs of a worker that end by themselves, sorted by their expected end. Several gangs examine
+// the same workers in a slice of a pass. The order is cached for that time, as no run ends meanwhile; a start
+// invalidates it.
 func (t *term) runsByEnd(n *node, now time.Time) []*run {
 	if n.sortedPart == t.pass.part {
 		return n.runsByEnd
@@ -119,8 +122,8 @@
 	return n.runsByEnd
 }
 
-// reserve keeps room for a gang that does not fit yet, until the next pass. Without it small tasks that
-// come later fill each hole at once, and a gang starves although its turn has come.
+// reserve reserves capacity until the next pass for a gang that does not fit yet. Otherwise, smaller tasks that come
+// later would take all capacity as soon as it is free, and the gang would starve.
 func (t *term) reserve(s *stage, nodes []*node, now time.Time) (reservation, bool) {
 	if !t.canReserve(s, now) {
 		return reservation{}, false
@@ -144,15 +147,15 @@
 	return res, true
 }
 
-// canReserve reports whether room may be kept for this gang: until all that the cell has is planned for gangs before
-// it. A bound on their number would leave the gathering of room to a few of them, and those that fit no hole by
-// chance, the large ones, would wait in vain.
+// canReserve reports whether capacity may be reserved for this gang. The limit is the total capacity of the cell, not a
+// number of gangs: with that, a few gangs would hold all reservations, and large ones, which rarely fit by chance,
+// would starve.
 func (t *term) canReserve(s *stage, now time.Time) bool {
 	t.refreshCapacities()
 	return t.pass.plannedMillicores < t.totalMillicores && t.urgencyOf(s, now).lateness == latenessOnTime
 }
 
-// minResources gives the smaller of each part, none below zero.
+// minResources returns the smaller value of each resource, but at least 0.
 func minResources(a, b resources) resources {
 	return resources{
 		Millicores:   max(min(a.Millicores, b.Millicores), 0),
@@ -161,7 +164,7 @@
 	}
 }
 
-// clearReservations forgets the reservations of the last pass.
+// clearReservations turns the reservations of the previous pass into claims, and drops its claims.
 func (t *term) clearReservations() {
 	p := &t.pass
 	for _, n := range p.claimedNodes {
@@ -174,8 +177,8 @@
 	}
 }
 
-// roomUntil gives the room for a task that is expected to take so long: reserved room may be used by
-// what ends before the reservation's time.
+// roomUntil returns the capacity for a task that is expected to end at a time. It includes reserved capacity if the
+// task ends before the reservation starts.
 func (n *node) roomUntil(end time.Time) resources {
 	if !n.reservedUntil.IsZero() && end.Before(n.reservedUntil) {
 		return n.free.Minus(n.setAside)
@@ -183,9 +186,9 @@
 	return n.room()
 }
 
-// roomBesideClaims gives the room for such a task beside what the pass before has kept for gangs. Gangs that are
-// less urgent have not kept theirs yet in this pass: without their claims each small task that comes would
-// take a hole that they wait for, although others would do.
+// roomBesideClaims returns the same capacity without the claims of the previous pass. Less urgent gangs have not
+// reserved theirs yet in this pass; if their claims were ignored, small tasks would take capacity that the gangs wait
+// for although other capacity would do.
 func (n *node) roomBesideClaims(end time.Time) resources {
 	room := n.roomUntil(end)
 	if !n.claimedUntil.IsZero() && end.Before(n.claimedUntil) {
@@ -194,7 +197,7 @@
 	return room.Minus(n.claimed)
 }
 
-// requestEarly puts the question for a reservation early enough that its tickets are there in time.
+// requestEarly requests permits for a reservation in time for its start.
 func (t *term) requestEarly(s *stage, res *reservation, now time.Time) {
 	if s.openRequests > 0 || !s.needsPermit() || s.earlyRequests >= maxEarlyRequests {
 		return
@@ -206,8 +209,8 @@
 		names = append(names, k.node.id)
 		valid = valid && s.tickets[k.node.id].until.After(res.startAt.Add(ticketMargin))
 	}
-	takes := p.Base + time.Duration(len(names))*p.PerWorker + requestLead
-	if !valid && res.startAt.Sub(now) < takes {
+	duration := p.Base + time.Duration(len(names))*p.PerWorker + requestLead
+	if !valid && res.startAt.Sub(now) < duration {
 		t.sendPermitRequest(s, names, now)
 		s.earlyRequests++
 	}
--- a/dispatch/roomindex.go
+++ b/dispatch/roomindex.go
@@ -5,67 +5,68 @@
 	"slices"
 )
 
-// bucketMillicores is how much more room, in thousandths of a core, the workers of one shelf have than those of the one
-// below; bucketCount is how many shelves there are, the last one for all that have more.
+// bucketMillicores is the width of a bucket. bucketCount is the number of buckets; the last one holds all workers with
+// more free CPU.
 const (
 	bucketMillicores = 500
 	bucketCount      = 130
 )
 
-// roomIndex files workers by availability zone and by the processors that are free on them, so that those with room for
-// a task are found without a look at the others. It follows each change of a worker's room.
+// roomIndex indexes workers by availability zone and free CPU, so that those with room for a task are found without
+// examining the others. It is updated with each change of a worker's free capacity.
 type roomIndex struct {
 	zones map[string]*zoneBuckets
-	// counts is how many workers of any zone are on each shelf.
+	// counts is the number of workers of all zones in each bucket.
 	counts [bucketCount]int
 }
 
-// zoneBuckets are the workers of one zone, by room.
+// zoneBuckets holds the workers of one zone by free CPU.
 type zoneBuckets [bucketCount][]*node
 
-// indexPosition is where a worker is filed.
+// indexPosition is the position of a worker in the index.
 type indexPosition struct {
 	index *roomIndex
 	zone  string
-	// bucket and slot are its bucket and its place there; filed says that it is on one.
+	// bucket and slot are valid if indexed is true.
 	bucket, slot int
 	indexed      bool
 }
 
+// bucketOf returns the bucket for an amount of free CPU.
 func bucketOf(millicores int64) int {
 	return int(min(max(millicores/bucketMillicores, 0), bucketCount-1))
 }
 
-// updateIndex puts a worker where its room belongs.
+// updateIndex moves a worker to the bucket for its free CPU.
 func (n *node) updateIndex() {
 	p := &n.position
 	if p.index == nil {
 		return
 	}
-	shelf := bucketOf(n.free.Millicores - n.setAside.Millicores)
-	if p.indexed && p.bucket == shelf && p.zone == n.listing.Zone {
+	bucket := bucketOf(n.free.Millicores - n.setAside.Millicores)
+	if p.indexed && p.bucket == bucket && p.zone == n.listing.Zone {
 		return
 	}
 	n.leaveIndex()
 	z := p.index.zone(n.listing.Zone)
-	p.zone, p.bucket, p.slot, p.indexed = n.listing.Zone, shelf, len(z[shelf]), true
-	z[shelf] = append(z[shelf], n)
-	p.index.counts[shelf]++
+	p.zone, p.bucket, p.slot, p.indexed = n.listing.Zone, bucket, len(z[bucket]), true
+	z[bucket] = append(z[bucket], n)
+	p.index.counts[bucket]++
 }
 
-// leaveIndex takes a worker off its shelf.
+// leaveIndex removes a worker from the index.
 func (n *node) leaveIndex() {
 	p := &n.position
 	if !p.indexed {
 		return
 	}
 	p.indexed = false
-	shelf := &p.index.zone(p.zone)[p.bucket]
-	last := len(*shelf) - 1
-	(*shelf)[p.slot] = (*shelf)[last]
-	(*shelf)[p.slot].position.slot = p.slot
-	(*shelf)[last] = nil
-	*shelf = (*shelf)[:last]
+	bucket := &p.index.zone(p.zone)[p.bucket]
+	last := len(*bucket) - 1
+	(*bucket)[p.slot] = (*bucket)[last]
+	(*bucket)[p.slot].position.slot = p.slot
+	(*bucket)[last] = nil
+	*bucket = (*bucket)[:last]
 	p.index.counts[p.bucket]--
 }
 
@@ -79,24 +80,24 @@
 	return r.zones[name]
 }
 
-// maxFree gives no less than the free processors of any worker.
+// maxFree returns an upper bound for the free CPU of any worker.
 func (r *roomIndex) maxFree() int64 {
-	for shelf := bucketCount - 1; shelf >= 0; shelf-- {
+	for bucket := bucketCount - 1; bucket >= 0; bucket-- {
 		switch {
-		case r.counts[shelf] == 0:
-		case shelf == bucketCount-1:
+		case r.counts[bucket] == 0:
+		case bucket == bucketCount-1:
 			return math.MaxInt64
 		default:
-			return int64(shelf+1)*bucketMillicores - 1
+			return int64(bucket+1)*bucketMillicores - 1
 		}
 	}
 	return 0
 }
 
-// visit gives the workers with no less room than a shelf holds to take, those with the most first: first the zone
-// that is named, then the others. It begins at another worker of a shelf each time, so that not all that look at the
-// same time find the same ones. It stops when take gives false.
-func (r *roomIndex) visit(zone string, shelf, turn int, take func(*node) bool) {
+// visit calls fn for the workers with at least the free CPU of minBucket, those with the most first: first in the given
+// zone, then in the others. It starts at a different worker of a bucket for each offset, so that concurrent searches do
+// not all find the same workers. It stops if fn returns false.
+func (r *roomIndex) visit(zone string, minBucket, offset int, fn func(*node) bool) {
 	order := []string{zone}
 	for name := range r.zones {
 		if name != zone {
@@ -109,9 +110,9 @@
 		if z == nil {
 			continue
 		}
-		for at := bucketCount - 1; at >= shelf; at-- {
+		for at := bucketCount - 1; at >= minBucket; at-- {
 			for i := range z[at] {
-				if !take(z[at][(i+turn)%len(z[at])]) {
+				if !fn(z[at][(i+offset)%len(z[at])]) {
 					return
 				}
 			}
@@ -119,8 +120,8 @@
 	}
 }
 
-// fitsNowhere reports whether a task of the stage surely fits no worker. In a full cell it spares the stages that wait
-// a look at their workers each.
+// fitsNowhere reports whether a task of the stage surely fits on no worker. In a full cell this saves waiting stages
+// from examining all their workers.
 func (t *term) fitsNowhere(s *stage) bool {
 	return t.roomIndex.maxFree() < s.taskResources().Millicores
 }
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -2,12 +2,12 @@
 
 import "go.uber.org/zap"
 
-// applyRules puts the first of the operators' rules that holds for a work in force for it. What the rule leaves
-// open is as the work's queue says.
+// applyRules sets the effect of the first of the operators' rules that matches a work. The configuration of the work's
+// queue applies to what the rule leaves open.
 func (t *term) applyRules(e *entry) {
-	was := e.effect.Rule
+	previous := e.effect.Rule
 	e.effect = t.rules.DecideWork(e.work)
-	if e.effect.Rule != was {
+	if e.effect.Rule != previous {
 		t.log.Info("dispatch: rule decides", zap.String("id", e.work.ID), zap.String("rule", e.effect.Rule),
 			zap.Int64("rules", t.rulesVersion()), zap.Int("priority", e.priority()), zap.Int("mostRunning", e.effect.MostRunning))
 	}
@@ -27,34 +27,34 @@
 	return t.config.Version
 }
 
-// priority orders works, the lowest first: that of the queue, raised by as much as the rule says.
+// priority returns the priority of the queue, raised by the amount that the rule sets; lower values go first.
 func (e *entry) priority() int { return e.queue.Priority - e.effect.Priority }
 
-// strategySpread is the strategy by which a rule has tasks placed on the emptiest workers.
+// strategySpread is the strategy of a rule that places tasks on the emptiest workers.
 const strategySpread = "spread"
 
-// emptiestFirst reports whether a stage's tasks go to the workers with the most room: a gang then needs few
-// of them, and what a rule spreads shares its worker with little else.
+// emptiestFirst reports whether a stage prefers the workers with the most room: a gang, which then needs fewer workers,
+// and tasks spread by a rule, which then share their workers with fewer others.
 func (s *stage) emptiestFirst() bool { return s.spec.Gang || s.entry.effect.Strategy == strategySpread }
 
-// refreshRuleLimits counts, for each rule with a bound, how many more tasks may run under it.
+// refreshRuleLimits computes for each rule with a limit how many more tasks may run under it.
 func (t *term) refreshRuleLimits() {
 	clear(t.ruleCapacity)
 	if t.rules == nil {
 		return
 	}
 	for _, e := range t.entries {
-		if most := e.effect.MostRunning; most > 0 {
-			left, known := t.ruleCapacity[e.effect.Rule]
+		if limit := e.effect.MostRunning; limit > 0 {
+			remaining, known := t.ruleCapacity[e.effect.Rule]
 			if !known {
-				left = most
+				remaining = limit
 			}
-			t.ruleCapacity[e.effect.Rule] = left - e.activeRuns
+			t.ruleCapacity[e.effect.Rule] = remaining - e.activeRuns
 		}
 	}
 }
 
-// ruleAllows reports whether so many more tasks of a work may run under its rule.
+// ruleAllows reports whether this many more tasks of a work may run under its rule.
 func (t *term) ruleAllows(e *entry, tasks int) bool {
 	return e.effect.MostRunning == 0 || t.ruleCapacity[e.effect.Rule] >= tasks
 }
--- a/dispatch/schedulehold.go
+++ b/dispatch/schedulehold.go
@@ -7,31 +7,31 @@
 	"turmericgap/heartbeat"
 )
 
-// scheduleHold sends the next hold to a worker that has answered, when its news will be of use.
+// scheduleHold schedules the next hold to a worker that has answered, for when its answer will be of use.
 func (t *term) scheduleHold(n *node) {
 	now := time.Now()
 	select {
-	case <-n.wake: // meant for a pause that was over
+	case <-n.wake: // sent for an earlier pause
 	default:
 	}
 	t.sendNextHold(n, holdWait, heartbeat.PollDelay(now, t.isRoomWanted(n), n.heartbeatRuns()))
 }
 
-// heartbeatRuns tells what the worker's runs mean to those who wait.
+// heartbeatRuns returns the worker's runs with what the poll delay depends on.
 func (n *node) heartbeatRuns() []heartbeat.Run {
 	list := make([]heartbeat.Run, 0, len(n.runs))
 	for _, r := range n.runs {
 		if r.ended || r.stage.spec.Service {
 			continue
 		}
-		last := r.stopping || r.isLastOfStage()
-		list = append(list, heartbeat.Run{ExpectedEnd: r.likelyEnd(), Awaited: last})
+		awaited := r.stopping || r.isLastOfStage()
+		list = append(list, heartbeat.Run{ExpectedEnd: r.likelyEnd(), Awaited: awaited})
 	}
 	return list
 }
 
-// likelyEnd is when a run is expected to end: as it got on when it was last seen, else by its estimate, which may
-// be twice too long.
+// likelyEnd returns when a run is expected to end, for the poll delay: by its progress when it was last seen, or by
+// half of its estimate, which may be twice too long.
 func (r *run) likelyEnd() time.Time {
 	if r.sentAt.IsZero() || r.stopping {
 		return time.Time{}
@@ -42,8 +42,8 @@
 	return r.sentAt.Add(r.stage.spec.Estimate / 2)
 }
 
-// isLastOfStage reports whether its caller or the next step waits for a run: it is the one of its stage that is expected
-// to end isLastOfStage. One end stands for all members of a gang, so that the first of them is asked.
+// isLastOfStage reports whether the caller or the next step waits for this run: it is expected to end last of its
+// stage. The members of a gang end together, so that its first member stands for all.
 func (r *run) isLastOfStage() bool {
 	s := r.stage
 	if s.waiting > 0 {
@@ -52,21 +52,21 @@
 	if s.spec.Gang {
 		return r.index == 0
 	}
-	ends := r.likelyEnd()
+	end := r.likelyEnd()
 	for i := range s.tasks {
 		o := s.tasks[i].run
 		if o == nil || o == r || o.ended {
 			continue
 		}
-		if other := o.likelyEnd(); other.After(ends) || other.Equal(ends) && i > r.index {
+		if otherEnd := o.likelyEnd(); otherEnd.After(end) || otherEnd.Equal(end) && i > r.index {
 			return false
 		}
 	}
 	return true
 }
 
-// waitPause waits before a hold is sent, until the waitPause is over or the worker's news is wanted at once; false
-// means that ctx has ended.
+// waitPause waits before a hold is sent, until the pause is over or wakeHold is called. It returns false if ctx has
+// ended.
 func (n *node) waitPause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -79,22 +79,22 @@
 	return true
 }
 
-// markWantedRoom notes on which workers the end of a task would give room that work waits for, and ends the pauses
-// of those on which it has just come to.
+// markWantedRoom marks the workers whose capacity is wanted by waiting stages, and ends the pauses of workers that were
+// not marked in the previous pass.
 func (t *term) markWantedRoom() {
-	left := len(t.sortedNodes)
+	unmarked := len(t.sortedNodes)
 	for s := range t.waitingStages {
-		if left == 0 {
+		if unmarked == 0 {
 			return
 		}
 		if s.waiting > 0 && s.openRequests == 0 && !s.entry.state.Final() {
-			left -= t.markWantedBy(s)
+			unmarked -= t.markWantedBy(s)
 		}
 	}
 }
 
-// markWantedBy marks the workers that a stage waits for: those on which room is kept for it, else all that it
-// may run on. It gives how many were not marked before.
+// markWantedBy marks the workers that a stage waits for: those with a reservation for it, or all that it may run on if
+// it has none. It returns the number of newly marked workers.
 func (t *term) markWantedBy(s *stage) int {
 	marked := 0
 	if len(s.reservedRoom) > 0 {
@@ -109,7 +109,7 @@
 	return marked
 }
 
-// markWanted marks a worker, and gives 1 if it was not marked in this pass before.
+// markWanted marks a worker, and returns 1 if it was not marked in this pass before.
 func (t *term) markWanted(n *node) int {
 	if n.roomWantedPass == t.pass.number {
 		return 0
@@ -121,10 +121,10 @@
 	return 1
 }
 
-// isRoomWanted reports whether work waits for room on a worker since the latest pass.
+// isRoomWanted reports whether a stage has been waiting for capacity on the worker since the latest pass.
 func (t *term) isRoomWanted(n *node) bool { return n.roomWantedPass == t.pass.number }
 
-// wakeHold ends the pause of a worker.
+// wakeHold ends the pause before the worker's next hold.
 func (n *node) wakeHold() {
 	select {
 	case n.wake <- struct{}{}:
--- a/dispatch/size.go
+++ b/dispatch/size.go
@@ -9,10 +9,10 @@
 	"turmericgap/job"
 )
 
-// acceleratorCores is how many cores an accelerator counts as in the size of a work.
+// acceleratorCores is the number of cores that an accelerator counts as in the size of a work.
 const acceleratorCores = 8
 
-// size is what a work takes, in core-seconds by its caller's estimates.
+// size returns the resource use of a work in core-seconds, by its caller's estimates.
 func size(w *job.Work) float64 {
 	sum := 0.0
 	for i := range w.Steps {
@@ -23,39 +23,39 @@
 	return sum
 }
 
-// workOutcome is what became of a work, in the words of the log.
+// workOutcome is the outcome of a work, as written to logs and metrics.
 type workOutcome string
 
 const (
 	outcomeTaken     workOutcome = "taken"
 	outcomeInTime    workOutcome = "inTime"
 	outcomeLate      workOutcome = "late"
-	outcomeLost      workOutcome = "lost" // worth nothing any more before it was done
+	outcomeLost      workOutcome = "lost" // expired before it was done
 	outcomeFailed    workOutcome = "failed"
 	outcomeCancelled workOutcome = "cancelled"
 )
 
-// sizeClass is the works of one class of sizes in one queue.
+// sizeClass identifies the works of one size class in one queue.
 type sizeClass struct {
 	queue string
 	class aging.Class
 }
 
-// tally counts what became of the works of a class under this owner.
+// tally counts the outcomes of a class of works under this owner.
 type tally struct {
 	counts map[workOutcome]int
-	// logged says that the log has logged of all of it: the queues of a cell come and go, and a line each second for
-	// each that was ever there would fill the log.
+	// logged is true if all counts were logged. The queues of a cell come and go, and a line each second for every
+	// queue that ever existed would fill the log.
 	logged bool
 }
 
-// countOutcome counts what countOutcome of a work, for the log by queue and for the metrics by class alone.
-func (t *term) countOutcome(e *entry, what workOutcome) {
+// countOutcome counts an outcome of a work, by queue for the log and by class alone for the metrics.
+func (t *term) countOutcome(e *entry, outcome workOutcome) {
 	key := sizeClass{e.work.Queue.Name, e.class}
 	tally := t.tallyOf(key)
-	tally.counts[what]++
+	tally.counts[outcome]++
 	tally.logged = false
-	t.o.Metrics.Counter("dispatch.works." + e.class.String() + "." + string(what)).Inc(1)
+	t.o.Metrics.Counter("dispatch.works." + e.class.String() + "." + string(outcome)).Inc(1)
 }
 
 func (t *term) tallyOf(key sizeClass) *tally {
@@ -65,7 +65,7 @@
 	return t.tallies[key]
 }
 
-// recordSize takes in how large a work is that the term did not know.
+// recordSize records the size and class of a work that is new to the term.
 func (t *term) recordSize(e *entry) {
 	name := e.work.Queue.Name
 	t.sizes.Observe(name, e.size)
@@ -80,16 +80,16 @@
 		zap.Duration("objective", e.objective), zap.Duration("age", time.Since(e.work.Accepted)))
 }
 
-// countOutcomeOnce tells once what became of a work.
-func (t *term) countOutcomeOnce(e *entry, what workOutcome) {
+// countOutcomeOnce counts the outcome of a work unless one was counted before.
+func (t *term) countOutcomeOnce(e *entry, outcome workOutcome) {
 	if e.outcomeCounted {
 		return
 	}
 	e.outcomeCounted = true
-	t.countOutcome(e, what)
+	t.countOutcome(e, outcome)
 }
 
-// countEnded takes in how a work has ended.
+// countEnded counts the outcome of a work that has ended.
 func (t *term) countEnded(e *entry, now time.Time) {
 	switch {
 	case e.state == job.WorkCancelled:
@@ -103,10 +103,11 @@
 	}
 }
 
-// countExpired notes the works that are worth nothing any more.
+// countExpired counts the works that have expired as lost.
 func (t *term) countExpired(now time.Time) {
 	for _, e := range t.entries {
-		if !e.outcomeCounted && e.work.Occurrences == 0 && !e.state.Final() && now.After(e.work.Due(0).Add(expiryFactor*e.objective)) {
+		if !e.outcomeCounted && e.work.Occurrences == 0 && !e.state.Final() &&
+			now.After(e.work.Due(0).Add(expiryFactor*e.objective)) {
 			t.log.Info("dispatch: work is worth nothing any more", zap.String("id", e.work.ID),
 				zap.Stringer("class", e.class), zap.Bool("started", e.started))
 			t.countOutcomeOnce(e, outcomeLost)
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -11,53 +11,56 @@
 	"turmericgap/maintenance"
 )
 
-// Waves tells where waves of upkeep lie in the store, how one is read and answered, and who carries it out.
+// Waves configures where maintenance waves are stored, how they are decoded and reported, and which service carries
+// them out.
 type Waves struct {
 	Prefix string
 	Decode func(key string, raw []byte) (maintenance.Wave, error)
 	Status func(number int64, completed bool) (key string, value []byte)
 	Cloud  maintenance.Cloud
-	// Self names this VM towards the platform.
+	// Self is the ID of this VM at the platform.
 	Self string
-	// Lease is how long a former owner's orders may still arrive: a new owner gives none before that.
+	// Lease is how long orders of a former owner may still arrive. A new owner gives none before that.
 	Lease time.Duration
-	// UpkeepDuration is how long a VM is away for its upkeep.
+	// UpkeepDuration is how long a VM is unavailable during its maintenance.
 	UpkeepDuration time.Duration
-	// SinceBoot is a clock that counts the time for which this VM was suspended.
+	// SinceBoot is a clock that includes the time for which this VM was suspended.
 	SinceBoot func() time.Duration
 }
 
 const (
-	// vmListInterval is the pause between two readings of the list of VMs while a wave is open.
+	// vmListInterval is the pause between two requests for the list of VMs while a wave is open.
 	vmListInterval = 500 * time.Millisecond
-	// cloudTimeout bounds one call of the platform's service for VMs.
+	// cloudTimeout bounds one call of the platform's VM service.
 	cloudTimeout = 2 * time.Second
-	// maxOwnershipAge is how old the store's word that this VM owns the cell may be when an order for upkeep is
-	// sent, by a clock that counts suspends. It is a third of the shortest lease that the platform grants.
+	// maxOwnershipAge is the maximum age of the store's confirmation that this VM owns the cell when a maintenance
+	// order is sent, by a clock that includes suspends. It is a third of the shortest lease that the platform grants.
 	maxOwnershipAge = 300 * time.Millisecond
-	// upkeepOverhead is what an upkeep takes beside the VM's absence: the calls, and the first hold afterwards.
+	// upkeepOverhead is the duration of a maintenance in addition to the VM's absence: the calls, and the first hold
+	// afterwards.
 	upkeepOverhead = time.Second
-	// readyPercent is the percent of a service task that is at work.
+	// readyPercent is the progress of a service task that is ready.
 	readyPercent = 100
 )
 
-// upkeep is what the owner knows of waves and VMs.
+// upkeep is the owner's state of maintenance waves and VMs.
 type upkeep struct {
 	waves map[int64]*wave
-	// vms is the last list, asked when it was asked for; listing says that one is under way, listed when the
-	// last came.
-	vms                   map[string]maintenance.VM
-	listInFlight          bool
-	listAskedAt, listedAt time.Time
+	// vms is the last list of VMs, which was requested at listRequestedAt. listInFlight is true while a request is pending;
+	// listAnsweredAt is when the last one ended.
+	vms                             map[string]maintenance.VM
+	listInFlight                    bool
+	listRequestedAt, listAnsweredAt time.Time
 }
 
-// advanceWaves gets on with the open waves.
+// advanceWaves requests the list of VMs if a wave is open and the list is due.
 func (t *term) advanceWaves(now time.Time) {
 	open := false
 	for _, w := range t.upkeep.waves {
 		open = open || w.loaded && !w.completionSaved
 	}
-	if !open || t.upkeep.listInFlight || now.Sub(t.upkeep.listedAt) < vmListInterval || now.Sub(t.startedAt) < t.o.Waves.Lease {
+	if !open || t.upkeep.listInFlight || now.Sub(t.upkeep.listAnsweredAt) < vmListInterval ||
+		now.Sub(t.startedAt) < t.o.Waves.Lease {
 		return
 	}
 	t.upkeep.listInFlight = true
@@ -69,14 +72,15 @@
 	})
 }
 
-func (t *term) onVMs(asked time.Time, vms []maintenance.VM, err error) {
+// onVMs processes a list of VMs and advances the open waves.
+func (t *term) onVMs(requestedAt time.Time, vms []maintenance.VM, err error) {
 	now := time.Now()
-	t.upkeep.listInFlight, t.upkeep.listedAt = false, now
+	t.upkeep.listInFlight, t.upkeep.listAnsweredAt = false, now
 	if err != nil {
-		t.log.Info("dispatch: no list of VMs", zap.Error(err))
+		t.log.Info("dispatch: listing VMs failed", zap.Error(err))
 		return
 	}
-	t.upkeep.listAskedAt, t.upkeep.vms = asked, make(map[string]maintenance.VM, len(vms))
+	t.upkeep.listRequestedAt, t.upkeep.vms = requestedAt, make(map[string]maintenance.VM, len(vms))
 	for _, vm := range vms {
 		t.upkeep.vms[vm.ID] = vm
 	}
@@ -87,52 +91,53 @@
 	}
 }
 
-// advanceWave clears and orders what may be away now, and completes a wave of which every VM that is still there
-// has begun.
+// advanceWave drains VMs and orders their maintenance as far as the wave's limit allows. It completes the wave once
+// maintenance has begun on every VM that still exists.
 func (t *term) advanceWave(w *wave, now time.Time) {
-	waiting, away := t.pendingVMs(w)
-	if len(waiting) == 0 && len(w.orderPending) == 0 {
+	pending, unavailable := t.pendingVMs(w)
+	if len(pending) == 0 && len(w.orderPending) == 0 {
 		t.completeWave(w)
 		return
 	}
-	slices.SortFunc(waiting, func(a, b maintenance.VM) int { return t.runsOn(a) - t.runsOn(b) })
-	for _, vm := range waiting {
+	slices.SortFunc(pending, func(a, b maintenance.VM) int { return t.runCount(a) - t.runCount(b) })
+	for _, vm := range pending {
 		since, clearing := w.draining[vm.ID]
-		if !clearing && (away >= w.Most || vm.State != maintenance.Up) {
+		if !clearing && (unavailable >= w.Most || vm.State != maintenance.Up) {
 			continue
 		}
 		if !clearing {
-			away++
+			unavailable++
 			since = now
 			w.draining[vm.ID] = now
-			t.log.Info("dispatch: VM is cleared for its upkeep", zap.Int64("wave", w.Number), zap.String("vm", vm.ID), zap.Int("runs", t.runsOn(vm)))
+			t.log.Info("dispatch: VM is cleared for its upkeep", zap.Int64("wave", w.Number), zap.String("vm", vm.ID), zap.Int("runs", t.runCount(vm)))
 		}
 		t.drainVM(w, vm, now.Sub(since))
 	}
 }
 
-// pendingVMs gives the VMs of a wave that have not begun, and counts those that are away or will be soon.
-func (t *term) pendingVMs(w *wave) (waiting []maintenance.VM, away int) {
-	away = len(w.draining) + len(w.orderPending)
+// pendingVMs returns the VMs of a wave whose maintenance has not begun, and counts those that are unavailable or will
+// be soon.
+func (t *term) pendingVMs(w *wave) (pending []maintenance.VM, unavailable int) {
+	unavailable = len(w.draining) + len(w.orderPending)
 	for _, id := range w.VMs {
-		vm, there := t.upkeep.vms[id]
+		vm, exists := t.upkeep.vms[id]
 		switch {
-		case !there:
-			t.stopDraining(w, id) // it was taken away
+		case !exists:
+			t.stopDraining(w, id) // it was removed from the platform
 		case w.begun[id]:
 			t.stopDraining(w, id)
-			if vm.State != maintenance.Up || t.upkeep.listAskedAt.Before(t.earliestReturn(w, id)) {
-				away++
+			if vm.State != maintenance.Up || t.upkeep.listRequestedAt.Before(t.earliestReturn(w, id)) {
+				unavailable++
 			}
 		case !w.orderPending[id]:
-			waiting = append(waiting, vm)
+			pending = append(pending, vm)
 		}
 	}
-	return waiting, away
+	return pending, unavailable
 }
 
-// earliestReturn is when a VM whose upkeep has begun is back at the earliest. A list that was made before the order was
-// carried out would show it as up.
+// earliestReturn returns when a VM whose maintenance has begun is back at the earliest. A list requested before that
+// may still show the VM as up, as of a time before the order was carried out.
 func (t *term) earliestReturn(w *wave, id string) time.Time {
 	at, known := w.answeredAt[id]
 	if !known {
@@ -141,23 +146,23 @@
 	return at.Add(t.o.Waves.UpkeepDuration)
 }
 
-// runsOn counts what runs on a VM.
-func (t *term) runsOn(vm maintenance.VM) int {
+// runCount returns the number of runs on a VM.
+func (t *term) runCount(vm maintenance.VM) int {
 	if n := t.nodes[vm.Worker]; n != nil {
 		return len(n.runs)
 	}
 	return 0
 }
 
-// drainTimeout is how long a VM may be waited for until it is empty, so that the wave is done in time.
-func (w *wave) drainTimeout(away time.Duration) time.Duration {
+// drainTimeout returns how long a VM may take to become empty if the wave is to finish in time.
+func (w *wave) drainTimeout(upkeepDuration time.Duration) time.Duration {
 	rounds := (len(w.VMs) + w.Most - 1) / w.Most
-	return max(w.Within/time.Duration(max(rounds, 1))-away-upkeepOverhead, upkeepOverhead)
+	return max(w.Within/time.Duration(max(rounds, 1))-upkeepDuration-upkeepOverhead, upkeepOverhead)
 }
 
-// drainVM empties a VM and orders its upkeep. For the first half of its time what runs there may end; then what
-// saves its progress, and what lasts as far as it may be away, goes on elsewhere; after its time the order
-// ends the rest, but nothing that may not be away.
+// drainVM drains a VM and orders its maintenance. In the first half of the timeout, runs may end by themselves. In the
+// second half, runs with checkpoints are moved, and services as far as they may be unavailable. After the timeout, the
+// maintenance ends all remaining runs, but it waits for services that may not be unavailable.
 func (t *term) drainVM(w *wave, vm maintenance.VM, waited time.Duration) {
 	n := t.nodes[vm.Worker]
 	if n == nil {
@@ -165,39 +170,39 @@
 		return
 	}
 	n.draining = true
-	most := w.drainTimeout(t.o.Waves.UpkeepDuration)
-	bound := false
+	timeout := w.drainTimeout(t.o.Waves.UpkeepDuration)
+	blocked := false
 	for _, r := range n.runs {
-		if r.stage.spec.Service && !t.canBeAway(r) {
-			bound = true
+		if r.stage.spec.Service && !t.canBeUnavailable(r) {
+			blocked = true
 			continue
 		}
-		if !r.stopping && waited >= most/2 && (r.stage.spec.Service || r.stage.spec.Checkpoints) {
+		if !r.stopping && waited >= timeout/2 && (r.stage.spec.Service || r.stage.spec.Checkpoints) {
 			t.halt(r)
 		}
 	}
-	if len(n.runs) == 0 || waited >= most && !bound {
+	if len(n.runs) == 0 || waited >= timeout && !blocked {
 		t.orderUpkeep(w, vm)
 	}
 }
 
-// canBeAway reports whether a task that lasts may be made unavailable: so many others of its step as the
-// caller allows are not away for any other cause.
-func (t *term) canBeAway(r *run) bool {
-	most := r.stage.spec.MostAway
-	if most == 0 || r.stopping {
+// canBeUnavailable reports whether a service task may be made unavailable. The number of other unavailable tasks of its step
+// must be below the limit that the caller set.
+func (t *term) canBeUnavailable(r *run) bool {
+	limit := r.stage.spec.MostAway
+	if limit == 0 || r.stopping {
 		return true
 	}
-	away := 0
+	unavailable := 0
 	for i := range r.stage.tasks {
 		if o := r.stage.tasks[i].run; i != r.index && (o == nil || o.stopping || o.percent < readyPercent) {
-			away++
+			unavailable++
 		}
 	}
-	return away < most
+	return unavailable < limit
 }
 
-// stopDraining gives up the clearing of a VM.
+// stopDraining stops the draining of a VM.
 func (t *term) stopDraining(w *wave, id string) {
 	delete(w.draining, id)
 	if n := t.nodes[t.upkeep.vms[id].Worker]; n != nil {
@@ -205,9 +210,9 @@
 	}
 }
 
-// orderUpkeep orders the upkeep of a VM. The platform may not compare fences, and this VM may have been suspended
-// since it last heard that it owns the cell: the store confirms that first, and the orderUpkeep is sent only if
-// that is fresh by a clock that counts suspends.
+// orderUpkeep orders the maintenance of a VM. The platform may not compare fencing tokens, and this VM may have been
+// suspended since its ownership was last confirmed. The store therefore confirms it first, and the order is sent only
+// if that confirmation is fresh by a clock that includes suspends.
 func (t *term) orderUpkeep(w *wave, vm maintenance.VM) {
 	if w.orderPending[vm.ID] {
 		return
@@ -217,9 +222,9 @@
 	record := encode(&waveRecord{Begun: w.begun})
 	waves := t.o.Waves
 	t.wg.Go(func() {
-		asked := waves.SinceBoot()
+		confirmStart := waves.SinceBoot()
 		err := t.writeAsOwner(w.key(), record)
-		if err == nil && waves.SinceBoot()-asked > maxOwnershipAge {
+		if err == nil && waves.SinceBoot()-confirmStart > maxOwnershipAge {
 			err = errOwnershipStale
 		}
 		if err == nil {
@@ -233,13 +238,14 @@
 
 var errOwnershipStale = errors.New("the store took too long to confirm the ownership")
 
+// onUpkeepOrdered processes the answer to a maintenance order.
 func (t *term) onUpkeepOrdered(w *wave, vm maintenance.VM, err error) {
 	delete(w.orderPending, vm.ID)
 	t.log.Info("dispatch: upkeep ordered", zap.Int64("wave", w.Number), zap.String("vm", vm.ID), zap.String("worker", vm.Worker), zap.Error(err))
 	switch {
 	case err == nil:
-		// What ran there is over only if this very order was carried out, and not one before it: the next
-		// hold of the worker tells.
+		// The runs on the VM have ended only if this order was carried out and not an earlier one; the worker's next
+		// hold shows that.
 		w.begun[vm.ID], w.answeredAt[vm.ID] = true, time.Now()
 		t.recordWave(w)
 	case errors.Is(err, maintenance.ErrFenced), errors.Is(err, errTermClosed):
@@ -248,11 +254,11 @@
 		w.VMs = slices.DeleteFunc(slices.Clone(w.VMs), func(id string) bool { return id == vm.ID })
 		t.stopDraining(w, vm.ID)
 	default:
-		w.draining[vm.ID] = time.Now() // it may have been done; the same order again says so
+		w.draining[vm.ID] = time.Now() // it may have been carried out; repeating the order shows that
 	}
 }
 
-// completeWave tells the operators that every VM of a wave that is still there has begun its upkeep.
+// completeWave reports to the operators that maintenance has begun on every VM of a wave that still exists.
 func (t *term) completeWave(w *wave) {
 	w.completionSaved = true
 	key, value := t.o.Waves.Status(w.Number, true)
--- a/dispatch/urgency.go
+++ b/dispatch/urgency.go
@@ -8,64 +8,64 @@
 	"turmericgap/aging"
 )
 
-// urgency orders stages: lower goes first.
+// urgency is the sort key of a stage; the lowest goes first.
 type urgency struct {
 	stage *stage
-	// service is 1 for a stage whose tasks run until they are cancelled.
+	// service is 1 for a stage whose tasks run until they are cancelled, and goes before 0.
 	service  int
 	lateness lateness
 	priority int
-	// turn orders works of like hope and priority; nanoseconds of the calendar.
-	turn int64
+	// sortTime orders stages with equal other fields: due time plus the wait for its size, in Unix nanoseconds.
+	sortTime int64
 }
 
-// lateness tells what a work can still earn.
+// lateness classifies a stage by the earliest time at which its work can be done.
 type lateness int
 
-// The lower goes first.
+// Values in order of urgency.
 const (
 	latenessOnTime lateness = iota
-	// latenessLate means that the work will be done after its goal.
+	// latenessLate means that the work will be done after its deadline.
 	latenessLate
-	// latenessExpired means that it is worth nothing any more; it is done all the same.
+	// latenessExpired means that the result will be worth nothing to the caller; the work still runs.
 	latenessExpired
 )
 
-// urgencyOf tells what a stage can still earn if it started now.
+// urgencyOf returns the urgency of a stage if it starts now.
 func (t *term) urgencyOf(s *stage, now time.Time) urgency {
 	e := s.entry
-	goal := s.occurrence.deadline(e)
+	deadline := s.occurrence.deadline(e)
 	wait := time.Duration(t.sizes.WaitFactor(e.work.Queue.Name, e.size) * float64(e.objective))
-	u := urgency{stage: s, priority: e.priority(), turn: e.work.Due(s.occurrence.number).Add(wait).UnixNano()}
+	u := urgency{stage: s, priority: e.priority(), sortTime: e.work.Due(s.occurrence.number).Add(wait).UnixNano()}
 	if s.spec.Service {
 		u.service = 1
 	}
 	switch end := now.Add(s.minRemaining()); {
 	case end.After(s.occurrence.expiry(e)):
 		u.lateness = latenessExpired
-	case end.After(goal):
+	case end.After(deadline):
 		u.lateness = latenessLate
 	}
 	return u
 }
 
-// minRemaining is how long it minRemaining at least from now until the work is done, if the stage has its turn now. A gang ends
-// with its slowest task; a single task may be well below its estimate. Were the question and the later steps left out,
-// gangs that can no longer be in time would have turns before those that can.
+// minRemaining returns the least time until the work is done if the stage starts now. A gang ends with its slowest
+// task, while a single task may take much less than its estimate. It includes the permit request and the later steps;
+// without them, gangs that can no longer be on time would go before those that can.
 func (s *stage) minRemaining() time.Duration {
-	takes := s.spec.Estimate / 2
+	duration := s.spec.Estimate / 2
 	if s.spec.Gang {
-		takes = s.spec.Estimate
+		duration = s.spec.Estimate
 		if s.needsPermit() && s.tickets == nil {
 			p := s.entry.queue.Permit
-			takes += p.Base + assumedPermitWorkers*p.PerWorker
+			duration += p.Base + assumedPermitWorkers*p.PerWorker
 		}
 	}
-	return takes + s.entry.remainingAfter[s.index]
+	return duration + s.entry.remainingAfter[s.index]
 }
 
-// shareTurns shares the turns between classes of sizes, among works of a queue that can be in time and that only
-// their turns tell apart. By the order alone the small works of an overloaded queue have all turns.
+// shareTurns divides the starts of each queue fairly between size classes, among on-time stages of equal rank. By the
+// sort order alone, small works of an overloaded queue would always go first.
 func (t *term) shareTurns(order []urgency) {
 	for len(order) > 0 {
 		n := 1
@@ -73,41 +73,41 @@
 			n++
 		}
 		if order[0].lateness == latenessOnTime {
-			t.shareAmong(order[:n])
+			t.interleaveClasses(order[:n])
 		}
 		order = order[n:]
 	}
 }
 
-// shareAmong orders the works of each queue anew among the places that they have. Later steps go first: their
-// work has had its turn, and what was done of it would be in vain.
-func (t *term) shareAmong(group []urgency) {
-	places := make(map[string][]int)
+// interleaveClasses reorders the stages of each queue within the positions that the queue has in the group. Later steps go
+// first, as their works have already started and what was done would be wasted.
+func (t *term) interleaveClasses(group []urgency) {
+	positions := make(map[string][]int)
 	for i := range group {
 		name := group[i].stage.entry.work.Queue.Name
-		places[name] = append(places[name], i)
+		positions[name] = append(positions[name], i)
 	}
-	for name, at := range places {
-		var later, first []urgency
+	for name, indices := range positions {
+		var laterSteps, firstSteps []urgency
 		var classes []aging.Class
-		for _, i := range at {
+		for _, i := range indices {
 			if len(group[i].stage.spec.After) > 0 {
-				later = append(later, group[i])
+				laterSteps = append(laterSteps, group[i])
 				continue
 			}
-			first = append(first, group[i])
+			firstSteps = append(firstSteps, group[i])
 			classes = append(classes, t.sizes.Class(name, group[i].stage.entry.size))
 		}
 		for _, i := range t.sizes.Order(name, classes) {
-			later = append(later, first[i])
+			laterSteps = append(laterSteps, firstSteps[i])
 		}
-		for i, u := range later {
-			group[at[i]] = u
+		for i, u := range laterSteps {
+			group[indices[i]] = u
 		}
 	}
 }
 
-// noteFirstStart notes that an occurrence has had its turn, once: what a former owner began had it then.
+// noteFirstStart counts the first start of an occurrence for its size class, unless a former owner started it.
 func (t *term) noteFirstStart(o *occurrence) {
 	if o.started {
 		return
@@ -118,12 +118,12 @@
 	t.sizes.RecordStart(name, t.sizes.Class(name, e.size))
 }
 
-// sameRank reports whether only their turns may tell two stages apart.
+// sameRank reports whether only sortTime or the work's ID may distinguish two stages.
 func (u urgency) sameRank(o urgency) bool {
 	return u.service == o.service && u.lateness == o.lateness && u.priority == o.priority
 }
 
-// compare orders by urgency. A service goes first: each moment without it counts.
+// compare orders by urgency. Services go first, as every moment without them counts.
 func (u urgency) compare(o urgency) int {
 	switch {
 	case u.service != o.service:
@@ -132,8 +132,8 @@
 		return int(u.lateness - o.lateness)
 	case u.priority != o.priority:
 		return cmp.Compare(u.priority, o.priority)
-	case u.turn != o.turn:
-		return cmp.Compare(u.turn, o.turn)
+	case u.sortTime != o.sortTime:
+		return cmp.Compare(u.sortTime, o.sortTime)
 	}
 	return strings.Compare(u.stage.entry.work.ID, o.stage.entry.work.ID)
 }
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -15,44 +15,44 @@
 	"turmericgap/store/retry"
 )
 
-// wave is an open wave.
+// wave is the state of an open maintenance wave.
 type wave struct {
 	maintenance.Wave
-	// since is when this owner first heard of it.
+	// since is when this owner first read the wave.
 	since time.Time
-	// begun holds the VMs whose upkeep has begun.
+	// begun holds the VMs whose maintenance has begun.
 	begun map[string]bool
-	// answeredAt is when this owner's order for a VM was answered.
+	// answeredAt is when this owner's order for each VM was answered.
 	answeredAt map[string]time.Time
-	// draining holds those that are being emptied, since when.
+	// draining holds the VMs that are being drained, and since when.
 	draining map[string]time.Time
-	// orderPending holds those whose order is under way.
+	// orderPending holds the VMs with a pending order.
 	orderPending map[string]bool
-	// loaded says that what former owners have recorded was read, completionSaved that its end is recorded.
+	// loaded is true once the record of former owners was read, completionSaved once the completion is stored.
 	loaded, completionSaved bool
 }
 
-// waveRecord is the durable form of how far a wave is.
+// waveRecord is the stored progress of a wave.
 type waveRecord struct {
 	Begun map[string]bool `msgpack:"b"`
 }
 
-// followWaves hears of waves.
+// followWaves watches for new waves.
 func (t *term) followWaves() {
-	take := func(pairs []store.Pair) {
+	onPairs := func(pairs []store.Pair) {
 		for i := range pairs {
 			w, err := t.o.Waves.Decode(pairs[i].Key, pairs[i].Value)
 			if err != nil {
-				t.log.Error("dispatch: a wave of upkeep cannot be read", zap.String("key", pairs[i].Key), zap.Error(err))
+				t.log.Error("dispatch: wave of upkeep cannot be decoded", zap.String("key", pairs[i].Key), zap.Error(err))
 				continue
 			}
 			t.post(func() { t.openWave(w) })
 		}
 	}
-	t.followWritten(t.o.Waves.Prefix, take)
+	t.followWritten(t.o.Waves.Prefix, onPairs)
 }
 
-// openWave begins a wave, or goes on with one that a former owner began.
+// openWave begins a wave, or continues one that a former owner began.
 func (t *term) openWave(m maintenance.Wave) {
 	if t.upkeep.waves == nil {
 		t.upkeep.waves = make(map[int64]*wave)
@@ -71,7 +71,7 @@
 
 func (w *wave) key() string { return wavePrefix + strconv.FormatInt(w.Number, 10) }
 
-// readWave reads what former owners have recorded of a wave, and whether they have completed it.
+// readWave reads the record of former owners for a wave, and whether they completed it.
 func (t *term) readWave(w *wave) {
 	record, err := t.readKey(w.key())
 	if err != nil {
@@ -85,7 +85,7 @@
 	var r waveRecord
 	if record != nil {
 		if err := msgpack.Unmarshal(record, &r); err != nil {
-			t.log.Error("dispatch: the record of a wave cannot be read", zap.Int64("wave", w.Number), zap.Error(err))
+			t.log.Error("dispatch: record of the wave cannot be decoded", zap.Int64("wave", w.Number), zap.Error(err))
 		}
 	}
 	t.post(func() {
@@ -98,7 +98,8 @@
 	})
 }
 
-// readKey reads a key until the store answers, nil where there is none; an error means that the term has ended.
+// readKey reads a key, retrying until the store answers. It returns nil if the key does not exist, and an error only if
+// the term has ended.
 func (t *term) readKey(key string) ([]byte, error) {
 	res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -111,22 +112,22 @@
 	return res.Pairs[0].Value, nil
 }
 
-// recordWave makes durable which VMs have begun. A successor that does not know of one clears it again and
-// repeats the order, which changes nothing where it was done.
+// recordWave stores which VMs have begun their maintenance. A successor that misses one drains that VM again and
+// repeats the order, which has no effect if it was carried out.
 func (t *term) recordWave(w *wave) {
 	t.writeInBackground(w, w.key(), encode(&waveRecord{Begun: w.begun}))
 }
 
-// writeInBackground writes something of a wave that may be behind for a while.
+// writeInBackground writes a record of a wave that may be out of date for a while.
 func (t *term) writeInBackground(w *wave, key string, value []byte) {
 	t.wg.Go(func() {
 		if err := t.writeAsOwner(key, value); err != nil {
-			t.log.Info("dispatch: the record of a wave is behind", zap.Int64("wave", w.Number), zap.String("key", key), zap.Error(err))
+			t.log.Info("dispatch: record of the wave could not be written", zap.Int64("wave", w.Number), zap.String("key", key), zap.Error(err))
 		}
 	})
 }
 
-// writeAsOwner writes a record under the condition that this VM owns the cell.
+// writeAsOwner writes a record on condition that this VM owns the cell.
 func (t *term) writeAsOwner(key string, value []byte) error {
 	ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 	defer cancel()
