--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -138,9 +138,9 @@
 // followWorkers watches the workers' entries.
 func (t *term) followWorkers() {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: t.o.WorkersPrefix, Pause: minWatchInterval, Logger: t.log,
-		Reset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
-		Change: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
+		Store: t.o.Store, Prefix: t.o.WorkersPrefix, MinInterval: minWatchInterval, Logger: t.log,
+		OnReset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
+		OnChange: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
 	}
 	t.wg.Go(func() { f.Run(t.ctx) })
 }
