--- a/dispatch/behind_test.go
+++ b/dispatch/behind_test.go
@@ -14,46 +14,46 @@
 	"turmericgap/rpc"
 )
 
-// For 20 s callers hand in three times as much as the owner has time to decide, though the workers have room for all.
-// Taken, it would wait, each pass would take longer for what waits, and the cell would stand long after the load has
-// gone. What is too much is turned away at once, with a time to come back; what was taken is done soon after.
+// Guards against an owner that stays overloaded long after the load has ended: callers submit more than it can decide,
+// waiting work makes each pass longer, and the backlog never shrinks. Excess work must be refused at once with a retry
+// time, and accepted work must end soon after the load.
 func TestOwnerBehindCatchesUp(t *testing.T) {
-	for name, by := range map[string]string{"at the owner": "vm1", "at another VM": "vm2"} {
+	for name, by := range map[string]string{"submitted to the owner": "vm1", "submitted to another VM": "vm2"} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T) { catchUp(t, by) })
+			inBubble(t, func(t *testing.T) { runOverloadedOwner(t, by) })
 		})
 	}
 }
 
-// catchUp has callers hand in too much at a VM.
-func catchUp(t *testing.T, by string) {
+// runOverloadedOwner submits more work at the VM named by than the owner can decide, and checks what becomes of it.
+func runOverloadedOwner(t *testing.T, by string) {
 	is := is.New(t)
 	c := newCell(t, runsFor(300*time.Millisecond))
-	// A look at each of 20 workers for each work takes 20 ms, and passes a third of the processor.
-	c.onExamined = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
-	c.boot("vm1")
-	c.workers(20, 16)
-	c.owner()
+	// Examining all 20 workers takes 20 ms per work, and passes may use a third of the CPU.
+	c.onExamined = func(examined int) { time.Sleep(time.Duration(examined) * time.Millisecond) }
+	c.startVM("vm1")
+	c.addWorkers(20, 16)
+	c.waitForOwner()
 	v := c.vms["vm1"]
 	if by != v.id {
-		v = c.boot(by)
+		v = c.startVM(by)
 	}
 	time.Sleep(6 * time.Second)
-	const perSecond, seconds, decides = 50, 20, 17
+	const perSecond, seconds, decidedPerSecond = 50, 20, 17
 	var mu sync.Mutex
-	var taken []string
+	var accepted []string
 	refused := 0
 	var callers sync.WaitGroup
 	for i := range perSecond * seconds {
 		time.Sleep(time.Second / perSecond)
 		callers.Go(func() {
-			w := c.work(fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond})
-			fault := c.trySubmit(v, w)
+			w := c.newWork(fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond})
+			fault := c.submitFault(v, w)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case fault == nil:
-				taken = append(taken, w.ID)
+				accepted = append(accepted, w.ID)
 			case fault.Code == rpc.CodeRefused:
 				refused++
 				is.True(fault.RetryAfter >= time.Second)
@@ -63,18 +63,18 @@
 		})
 	}
 	callers.Wait()
-	t.Logf("%d taken, %d turned away", len(taken), refused)
-	for ended := time.Now(); time.Since(ended) < 10*time.Second; {
+	t.Logf("%d accepted, %d refused", len(accepted), refused)
+	for loadEnd := time.Now(); time.Since(loadEnd) < 10*time.Second; {
 		time.Sleep(500 * time.Millisecond)
 	}
-	at := c.endedAt()
+	ends := c.endTimes()
 	left := 0
-	for _, id := range taken {
-		if _, done := at[id]; !done {
+	for _, id := range accepted {
+		if _, done := ends[id]; !done {
 			left++
 		}
 	}
 	is.Equal(left, 0)
-	is.True(len(taken) >= decides*seconds/2)
+	is.True(len(accepted) >= decidedPerSecond*seconds/2)
 	c.checkHistory()
 }
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -35,25 +35,25 @@
 const (
 	workersPrefix = "workers/"
 	pool          = "course-desk"
-	mostHold      = 10 * time.Second
+	maxHold       = 10 * time.Second
 )
 
-// cell is a whole cell in one process, under the test's clock: the store, workers, and entry VMs whose
-// links can be cut.
+// cell is a complete cell in one process under the test's fake clock: the store, the workers, and entry VMs whose
+// connections can be cut.
 type cell struct {
 	t      *testing.T
 	kv     *memory.Service
 	floor  *floor.Floor
 	config *job.Config
-	// permits gives the answer of the policy service; nil allows every worker at once.
+	// permits returns what the policy service answers and how long that takes; nil allows every worker at once.
 	permits func(q *permit.Request) ([]string, time.Duration)
 
-	// onExamined lets what the owner looks at take time; nil takes none.
-	onExamined func(looks int)
-	// directWorkers is how many workers a VM reaches by itself; zero stands for all, without relays.
+	// onExamined is called with the number of workers that the owner has examined, to simulate CPU time; nil uses none.
+	onExamined func(examined int)
+	// directWorkers is how many workers a VM calls directly; zero means all of them, without relays.
 	directWorkers int
-	// cloud carries out upkeep, if there is one.
-	cloud *cloud
+	// cloud carries out upkeep orders; nil if the test has no upkeep.
+	cloud *fakeCloud
 
 	mu  sync.Mutex
 	vms map[string]*vm
@@ -61,28 +61,28 @@
 
 // vm is an entry VM.
 type vm struct {
-	id     string
-	store  memory.Faults
-	group  *owner.Group
-	disp   *dispatch.Dispatcher
-	front  *front.Front
-	server *rpc.Server
-	peers  *rpc.Pool
-	relays *relay.Relays
-	relay  *relay.Server
-	// workersCut cuts its connections to workers.
+	id         string
+	store      memory.Faults
+	group      *owner.Group
+	dispatcher *dispatch.Dispatcher
+	front      *front.Front
+	server     *rpc.Server
+	peers      *rpc.Pool
+	relays     *relay.Relays
+	relay      *relay.Server
+	// workersCut makes the VM's calls to workers hang until they time out.
 	workersCut atomic.Bool
-	// peersCut cuts its new connections to other VMs.
+	// peersCut refuses the VM's new connections to other VMs.
 	peersCut atomic.Bool
-	// relayedCalls counts the calls that it has made for an owner, callDelay is how late it makes them. repliesCut cuts its
-	// connections to other VMs, replyDelay is how late it answers on them.
+	// relayedCalls counts the calls to workers that the VM has relayed for an owner; callDelay delays each of them.
+	// repliesCut holds back the VM's answers to other VMs, and replyDelay delays them.
 	relayedCalls atomic.Int64
 	callDelay    atomic.Int64
 	replyDelay   atomic.Int64
 	repliesCut   atomic.Bool
-	// overloaded makes its work take ten times as long, so that it cannot keep up.
+	// overloaded makes the VM report overload and a CPU probe that is ten times as slow.
 	overloaded atomic.Bool
-	// replyDelayAsOwner is how late it answers other VMs while it owns the cell.
+	// replyDelayAsOwner delays the VM's answers to other VMs while it owns the cell.
 	replyDelayAsOwner atomic.Int64
 	dead              atomic.Bool
 }
@@ -95,21 +95,21 @@
 		}}},
 	}
 	for _, id := range vms {
-		c.boot(id)
+		c.startVM(id)
 	}
 	t.Cleanup(func() {
 		for _, v := range c.vms {
 			c.kill(v)
 		}
-		time.Sleep(time.Second) // calls between the VMs that were under way
+		time.Sleep(time.Second) // lets calls in flight between the VMs end
 	})
 	return c
 }
 
-func (c *cell) boot(id string) *vm { return c.bootStrong(id, 1) }
+func (c *cell) startVM(id string) *vm { return c.startVMWithStrength(id, 1) }
 
-// bootStrong starts a VM of some strength.
-func (c *cell) bootStrong(id string, strength int) *vm {
+// startVMWithStrength starts an entry VM; owners are chosen by strength.
+func (c *cell) startVMWithStrength(id string, strength int) *vm {
 	v := &vm{id: id, server: rpc.NewServer()}
 	monitor, kv := health.New(c.kv.Client(&v.store))
 	dial := rpc.Dial(func(ctx context.Context, address string) (net.Conn, error) {
@@ -121,7 +121,7 @@
 	v.peers = rpc.NewPool(dial)
 	log := zap.NewNop()
 	rules := configuration.NewRules(log)
-	ask := func(ctx context.Context, q *permit.Request) (*permit.Response, error) { return c.answer(ctx, q) }
+	askPermit := func(ctx context.Context, q *permit.Request) (*permit.Response, error) { return c.answerPermit(ctx, q) }
 	var waves *dispatch.Waves
 	if c.cloud != nil {
 		waves = c.cloud.waves(id)
@@ -133,22 +133,22 @@
 		Self: id, MaxDirect: cmp.Or(c.directWorkers, math.MaxInt), DirectAgent: agent, Nodes: func() []owner.Node { return v.group.Nodes() },
 		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
-	v.disp = dispatch.New(
+	v.dispatcher = dispatch.New(
 		dispatch.Upkeep(waves), dispatch.OnExamined(c.onExamined),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
 			func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
 				if from.ID == id {
-					return ask(ctx, q)
+					return askPermit(ctx, q)
 				}
 				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAsk, q)
 			}),
-		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
-	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
-		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
+		dispatch.Limits(maxHold, 200*time.Millisecond, 2*time.Minute))
+	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.dispatcher.Lead), owner.Rules(rules.Take),
+		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.probeCPU), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
-		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, Permits: ask, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
+		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, Permits: askPermit, Decide: rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
 	v.front.Register(v.server)
 	v.group.Register(v.server)
@@ -159,8 +159,8 @@
 	return v
 }
 
-// pace is how long a fixed piece of work takes on the VM.
-func (v *vm) pace() time.Duration {
+// probeCPU returns how long a fixed piece of work takes on the VM.
+func (v *vm) probeCPU() time.Duration {
 	if v.overloaded.Load() {
 		return time.Millisecond
 	}
@@ -171,7 +171,7 @@
 	return l, msgpack.Unmarshal(raw, &l)
 }
 
-// dial connects entry VMs; one that is dead does not answer.
+// dial connects to an entry VM; a dead one never answers.
 func (c *cell) dial(ctx context.Context, address string) (net.Conn, error) {
 	c.mu.Lock()
 	v := c.vms[address]
@@ -180,32 +180,32 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	near, far := net.Pipe()
-	go v.server.ServeConn(&busyConn{far, v})
-	return near, nil
+	client, server := net.Pipe()
+	go v.server.ServeConn(&slowConn{server, v})
+	return client, nil
 }
 
-// busyStep is how often a busy VM looks whether it still is.
-const busyStep = 10 * time.Millisecond
+// slowPollInterval is how often a slow VM checks whether it is still slow.
+const slowPollInterval = 10 * time.Millisecond
 
-// busyConn is a connection to a VM that may be too busy to answer at once.
-type busyConn struct {
+// slowConn is the server side of a connection to a VM, whose answers can be delayed or held back.
+type slowConn struct {
 	net.Conn
 	vm *vm
 }
 
-func (b *busyConn) Write(p []byte) (int, error) {
-	for b.vm.repliesCut.Load() && !b.vm.dead.Load() {
-		time.Sleep(busyStep)
+func (s *slowConn) Write(p []byte) (int, error) {
+	for s.vm.repliesCut.Load() && !s.vm.dead.Load() {
+		time.Sleep(slowPollInterval)
 	}
-	time.Sleep(time.Duration(b.vm.replyDelay.Load()))
-	for asked := time.Now(); b.vm.disp.IsOwner() && time.Since(asked) < time.Duration(b.vm.replyDelayAsOwner.Load()) && !b.vm.dead.Load(); {
-		time.Sleep(busyStep)
+	time.Sleep(time.Duration(s.vm.replyDelay.Load()))
+	for start := time.Now(); s.vm.dispatcher.IsOwner() && time.Since(start) < time.Duration(s.vm.replyDelayAsOwner.Load()) && !s.vm.dead.Load(); {
+		time.Sleep(slowPollInterval)
 	}
-	return b.Conn.Write(p)
+	return s.Conn.Write(p)
 }
 
-// agent gives a VM's calls to a worker; a VM that is deaf towards workers gets no answers.
+// agent returns a VM's client of a worker; its calls hang while workersCut is set.
 func (c *cell) agent(v *vm, i worker.Info) *worker.Agent {
 	a := c.floor.Client(i)
 	return &worker.Agent{
@@ -233,21 +233,21 @@
 	}
 }
 
-// relayAgent counts the calls that a VM makes for an owner, and makes them late if it is to.
+// relayAgent counts the calls that a VM relays for an owner and delays them by callDelay.
 func (c *cell) relayAgent(v *vm, a *worker.Agent) *worker.Agent {
-	note := func() {
+	countCall := func() {
 		v.relayedCalls.Add(1)
 		time.Sleep(time.Duration(v.callDelay.Load()))
 	}
 	return &worker.Agent{
 		Launch: func(ctx context.Context, l *worker.Launch) (time.Duration, error) {
-			note()
+			countCall()
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 3*time.Second)
 			defer cancel()
 			return a.Launch(ctx, l)
 		},
 		Halt: func(ctx context.Context, h *worker.Halt) (time.Duration, error) {
-			note()
+			countCall()
 			return a.Halt(ctx, h)
 		},
 		Hold: func(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
@@ -257,15 +257,15 @@
 	}
 }
 
-func (c *cell) answer(ctx context.Context, q *permit.Request) (*permit.Response, error) {
-	names, takes := q.Workers, time.Duration(0)
+func (c *cell) answerPermit(ctx context.Context, q *permit.Request) (*permit.Response, error) {
+	names, delay := q.Workers, time.Duration(0)
 	if c.permits != nil {
-		names, takes = c.permits(q)
+		names, delay = c.permits(q)
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(takes):
+	case <-time.After(delay):
 	}
 	a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 	for _, id := range names {
@@ -274,7 +274,7 @@
 	return a, nil
 }
 
-// kill ends a VM at once; its lease lapses.
+// kill stops a VM at once, without releasing its lease.
 func (c *cell) kill(v *vm) {
 	if v.dead.Load() {
 		return
@@ -289,16 +289,16 @@
 	v.server.Close()
 }
 
-// workers lists n workers of so many cores.
-func (c *cell) workers(n int, cores int64) []*floor.Worker {
+// addWorkers registers n workers with that many cores each.
+func (c *cell) addWorkers(n int, cores int64) []*floor.Worker {
 	var out []*floor.Worker
 	for i := range n {
-		out = append(out, c.worker(fmt.Sprintf("w%02d", i), cores))
+		out = append(out, c.addWorker(fmt.Sprintf("w%02d", i), cores))
 	}
 	return out
 }
 
-func (c *cell) worker(id string, cores int64) *floor.Worker {
+func (c *cell) addWorker(id string, cores int64) *floor.Worker {
 	info := worker.Info{ID: id, Address: id, Zone: "kochi-hall", Rack: "r1", Has: job.Resources{Millicores: cores * 1000, MemoryMB: 64000}}
 	w := c.floor.Add(info)
 	c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
@@ -319,12 +319,12 @@
 	}
 }
 
-// owner waits for a VM that owns the cell and has read its state.
-func (c *cell) owner() *vm {
+// waitForOwner returns the VM that owns the cell and has read its state.
+func (c *cell) waitForOwner() *vm {
 	c.t.Helper()
 	for range 600 {
 		for _, v := range c.vms {
-			if !v.dead.Load() && v.disp.IsOwner() {
+			if !v.dead.Load() && v.dispatcher.IsOwner() {
 				return v
 			}
 		}
@@ -334,18 +334,18 @@
 	return nil
 }
 
-// work is one step of equal tasks in the queue of rosters.
-func (c *cell) work(id string, s job.Step) *job.Work {
+// newWork returns a work of one step in the first queue, with one core per task by default.
+func (c *cell) newWork(id string, s job.Step) *job.Work {
 	if s.Each == (job.Resources{}) {
 		s.Each = job.Resources{Millicores: 1000, MemoryMB: 100}
 	}
 	return &job.Work{ID: id, Queue: c.config.Queues[0], Spec: "spec of " + id, Steps: []job.Step{s}, Accepted: time.Now()}
 }
 
-// submitTo submits a work of one step to the queue of that name.
-func (c *cell) submitTo(v *vm, queue, id string, s job.Step) {
+// submitToQueue submits a work of one step to a queue by name.
+func (c *cell) submitToQueue(v *vm, queue, id string, s job.Step) {
 	c.t.Helper()
-	w := c.work(id, s)
+	w := c.newWork(id, s)
 	w.Queue = *c.config.Named(queue)
 	c.submit(v, w)
 }
@@ -359,14 +359,14 @@
 	}
 }
 
-// state asks an entry VM, which may have to ask the store.
+// state asks an entry VM for the state of a work; the VM may have to read the store.
 func (c *cell) state(v *vm, id string) (job.WorkState, error) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 3*time.Second)
 	defer cancel()
 	return v.front.Status(ctx, id)
 }
 
-// waitForState waits for a state that some VM shows.
+// waitForState fails the test unless the VM reports the state within that time.
 func (c *cell) waitForState(v *vm, id string, want job.WorkState, within time.Duration) {
 	c.t.Helper()
 	deadline := time.Now().Add(within)
@@ -378,10 +378,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("%s is shown as %q (%v), not %q, after %v", id, last, err, want, within)
+	c.t.Fatalf("%s is in state %q (%v), want %q after %v", id, last, err, want, within)
 }
 
-// checkHistory fails the test for whatever the history shows to be wrong.
+// checkHistory fails the test for each violation in the history of runs.
 func (c *cell) checkHistory() {
 	c.t.Helper()
 	for _, fault := range c.floor.Judge() {
@@ -389,7 +389,8 @@
 	}
 }
 
-func (c *cell) runs(id string) int {
+// countRuns returns how often tasks of the work were started.
+func (c *cell) countRuns(id string) int {
 	n := 0
 	for _, r := range c.floor.History() {
 		if r.Task.Work == id {
@@ -399,9 +400,10 @@
 	return n
 }
 
-// inBubble runs a test of a cell under the test's clock.
+// inBubble runs a test of a cell in a synctest bubble, under a fake clock.
 func inBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
+// runsFor returns tasks that take that long and succeed.
 func runsFor(d time.Duration) func(worker.Task, int64) floor.Behaviour {
 	return func(worker.Task, int64) floor.Behaviour {
 		return floor.Behaviour{Runs: d, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000, MemoryMB: 100}}
@@ -413,8 +415,8 @@
 	return errors.As(err, &f) && f.Code == rpc.CodeNotFound
 }
 
-// endedAt reads when each work ended.
-func (c *cell) endedAt() map[string]time.Time {
+// endTimes reads from the store when each work ended.
+func (c *cell) endTimes() map[string]time.Time {
 	c.t.Helper()
 	const prefix = "turmericgap/ended/"
 	res, err := c.kv.Store().Range(c.t.Context(), store.Range{Key: prefix, End: store.PrefixEnd(prefix)})
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -20,46 +20,46 @@
 )
 
 const (
-	// rosterBase and rosterPerWorker are what a question costs, one worker in four is allowed.
-	rosterBase      = 700 * time.Millisecond
-	rosterPerWorker = 10 * time.Millisecond
-	rosterSlack     = 2.2
-	// expiryFactor objectives after it was handed in a roster is worth nothing any more.
+	// A permit request for n workers takes rosterPermitBase plus n times rosterPermitPerWorker.
+	rosterPermitBase      = 700 * time.Millisecond
+	rosterPermitPerWorker = 10 * time.Millisecond
+	rosterSlack           = 2.2
+	// expiryFactor is the number of objectives after its submission at which a roster expires.
 	expiryFactor = 3
-	// minServedShare is how much less often than all rosters a class of sizes may be served: half as often.
+	// minServedShare is the lowest allowed ratio of the served share of a size class to that of all rosters.
 	minServedShare = 0.5
 )
 
-// roster is a work of the load, and what the judge needs to know of it.
+// roster is a work of the load, with what checkClasses needs to judge it.
 type roster struct {
-	work        *job.Work
-	size        float64
-	objective   time.Duration
-	submittedAt time.Time
-	step        time.Duration
+	work         *job.Work
+	size         float64
+	objective    time.Duration
+	submittedAt  time.Time
+	taskDuration time.Duration
 }
 
-// rosters makes a load of gangs whose widths and times vary as callers' do: many small ones, a few very large.
-func rosters(c *cell, n int, seed uint64) []*roster {
+// newRosters returns gangs with log-normal widths and run times: many small ones, a few very large.
+func newRosters(c *cell, n int, seed uint64) []*roster {
 	random := rand.New(rand.NewPCG(seed, seed))
-	vary := func(mean, spread, most float64) float64 {
-		return min(mean*math.Exp(spread*random.NormFloat64()-spread*spread/2), most)
+	sample := func(mean, sigma, limit float64) float64 {
+		return min(mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2), limit)
 	}
 	list := make([]*roster, 0, n)
 	for i := range n {
 		step := job.Step{
-			Tasks: max(1, int(math.Round(vary(8, 0.8, 24)))), Gang: true, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
-			Estimate: time.Duration(vary(5000, 0.5, 14000)) * time.Millisecond,
+			Tasks: max(1, int(math.Round(sample(8, 0.8, 24)))), Gang: true, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+			Estimate: time.Duration(sample(5000, 0.5, 14000)) * time.Millisecond,
 		}
-		w := c.work(fmt.Sprintf("roster%03d", i), step)
+		w := c.newWork(fmt.Sprintf("roster%03d", i), step)
 		if random.Float64() < 0.2 {
 			step.After = []int{0}
 			w.Steps = append(w.Steps, step)
 		}
-		r := &roster{work: w, step: step.Estimate}
+		r := &roster{work: w, taskDuration: step.Estimate}
 		for range w.Steps {
 			r.size += float64(step.Tasks) * 4 * step.Estimate.Seconds()
-			r.objective += time.Duration(rosterSlack * float64(step.Estimate+rosterBase+30*rosterPerWorker))
+			r.objective += time.Duration(rosterSlack * float64(step.Estimate+rosterPermitBase+30*rosterPermitPerWorker))
 		}
 		r.objective += time.Second
 		list = append(list, r)
@@ -67,16 +67,16 @@
 	return list
 }
 
-// singleTasks makes each roster one task of the same time.
-func singleTasks(load []*roster) {
+// toSingleTasks replaces the steps of each roster with a single task of the same duration.
+func toSingleTasks(load []*roster) {
 	for _, r := range load {
-		r.work.Steps = []job.Step{{Tasks: 1, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.step}}
-		r.size = r.step.Seconds()
-		r.objective = time.Duration(rosterSlack*float64(r.step)) + time.Second
+		r.work.Steps = []job.Step{{Tasks: 1, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.taskDuration}}
+		r.size = r.taskDuration.Seconds()
+		r.objective = time.Duration(rosterSlack*float64(r.taskDuration)) + time.Second
 	}
 }
 
-// allowQuarter allows one worker in four for each step.
+// allowQuarter allows each step about one worker in four.
 func allowQuarter(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
@@ -86,58 +86,57 @@
 			names = append(names, id)
 		}
 	}
-	return names, rosterBase + time.Duration(len(q.Workers))*rosterPerWorker
+	return names, rosterPermitBase + time.Duration(len(q.Workers))*rosterPermitPerWorker
 }
 
-// Callers hand in more rosters than the policy service can answer for, minutes long. The few questions that it
-// answers go to the small ones, whose turn comes first; a large one's turn comes after its goal, and what is late
-// stands behind all that can be in time. So hardly any large roster is done before it is worth nothing, while most of
-// the others are. An owner that learns of this from works that were lost sees none for three objectives, a minute
-// and more: "large: taken 13, inTime 0, late 0, lost 0, gangs wait for service 13" is what it knew after half a day,
-// on which gangs waited 3,632 of 4,827 gang-seconds because no VM was free to ask the service, and 4 for room.
+// Guards against starving large rosters while the policy service is overloaded: permit requests go to small ones first,
+// a large one gets its request after its deadline and then ranks behind all on-time work. Shares must not depend on
+// expired work, which a new owner does not see for three objectives.
 func TestEachClassOfSizesIsServed(t *testing.T) {
 	for name, tenure := range map[string]time.Duration{"one owner": time.Hour, "an owner every 15 s": 15 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			for _, seed := range []uint64{1, 2, 3} {
 				t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-					inBubble(t, func(t *testing.T) { (&overload{workers: 48, cores: 16, tenure: tenure, gangs: true}).run(t, seed) })
+					inBubble(t, func(t *testing.T) {
+						(&overload{workers: 48, cores: 16, ownerTenure: tenure, useGangs: true}).run(t, seed)
+					})
 				})
 			}
 		})
 	}
 }
 
-// members is how many tasks of a step must be present together.
-func members(s *job.Step) int {
+// requiredGangSize returns how many tasks of a step must run together, zero for a step that is no gang.
+func requiredGangSize(s *job.Step) int {
 	if s.Gang {
 		return s.Tasks
 	}
 	return 0
 }
 
-// Callers hand in single tasks for more time than the cell has, and one slot frees at a time. If each moment began
-// with the smallest work, it alone would have the slot, and no large one would begin however the rest is ordered.
+// Guards against starving large works when one slot frees up at a time: if every pass began with the smallest work, it
+// would always get the slot, however the rest is ordered.
 func TestEachClassOfSizesIsServedBySingleSlots(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inBubble(t, func(t *testing.T) { (&overload{workers: 14, cores: 1, tenure: time.Hour}).run(t, seed) })
+			inBubble(t, func(t *testing.T) { (&overload{workers: 14, cores: 1, ownerTenure: time.Hour}).run(t, seed) })
 		})
 	}
 }
 
-// overload is more work than room, or than the policy service answers for.
+// overload is a load that exceeds the capacity of the workers or of the policy service.
 type overload struct {
 	workers int
 	cores   int64
-	// tenure is how long each owner has the cell.
-	tenure time.Duration
-	// gangs says that works are gangs that need permits; the others are single tasks.
-	gangs bool
+	// ownerTenure is how long each VM owns the cell before it is killed.
+	ownerTenure time.Duration
+	// useGangs submits gangs that need permits instead of single tasks.
+	useGangs bool
 }
 
 const (
-	perSecond, seconds = 4, 160
-	readEvery          = 60 // seconds; what has ended is forgotten after two minutes
+	submitPerSecond, loadSeconds = 4, 160
+	readEverySeconds             = 60 // below the retention of ended works, two minutes
 )
 
 func (o *overload) run(t *testing.T, seed uint64) {
@@ -146,71 +145,71 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Runs: r.step, How: worker.EndingDone, Needs: s.Each, Gang: members(s)}
+		return floor.Behaviour{Runs: r.taskDuration, How: worker.EndingDone, Needs: s.Each, Gang: requiredGangSize(s)}
 	}, vms...)
 	c.config.Queues[0].Slack = rosterSlack
-	if o.gangs {
-		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterBase, PerWorker: rosterPerWorker}
+	if o.useGangs {
+		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterPermitBase, PerWorker: rosterPermitPerWorker}
 		c.permits = allowQuarter
 	}
-	load := rosters(c, perSecond*seconds, seed)
-	if !o.gangs {
-		singleTasks(load)
+	load := newRosters(c, submitPerSecond*loadSeconds, seed)
+	if !o.useGangs {
+		toSingleTasks(load)
 	}
 	for _, r := range load {
 		byID[r.work.ID] = r
 	}
-	c.workers(o.workers, o.cores)
-	v := c.owner()
+	c.addWorkers(o.workers, o.cores)
+	v := c.waitForOwner()
 	time.Sleep(6 * time.Second)
-	owned, ended := time.Now(), make(map[string]time.Time)
+	ownedSince, ended := time.Now(), make(map[string]time.Time)
 	for i, r := range load {
-		if i%(perSecond*readEvery) == 0 {
-			maps.Copy(ended, c.endedAt())
+		if i%(submitPerSecond*readEverySeconds) == 0 {
+			maps.Copy(ended, c.endTimes())
 		}
-		if time.Since(owned) > o.tenure {
+		if time.Since(ownedSince) > o.ownerTenure {
 			c.kill(v)
-			next := c.successor(v)
-			c.boot(v.id)
-			v, owned = next, time.Now()
+			next := c.waitForSuccessor(v)
+			c.startVM(v.id)
+			v, ownedSince = next, time.Now()
 		}
 		r.submittedAt, r.work.Accepted = time.Now(), time.Now()
 		c.submit(v, r.work)
-		time.Sleep(time.Second / perSecond)
+		time.Sleep(time.Second / submitPerSecond)
 	}
-	maps.Copy(ended, c.endedAt())
+	maps.Copy(ended, c.endTimes())
 	checkClasses(t, load, ended, time.Now())
 	c.checkHistory()
 	for _, v := range c.vms {
 		c.kill(v)
 	}
-	time.Sleep(5 * time.Second) // questions under way have ended
+	time.Sleep(5 * time.Second) // lets permit requests in flight end
 }
 
-// checkClasses fails the test if a class of sizes is served less than half as often as all, of the rosters that the
-// overload outlasts: after it everybody is served.
+// checkClasses fails the test if a size class is served less than minServedShare as often as all rosters. Rosters that
+// expire after end are left out: once the overload is over, everything is served.
 func checkClasses(t *testing.T, load []*roster, ended map[string]time.Time, end time.Time) {
 	t.Helper()
 	is := is.NewRelaxed(t)
 	load = slices.DeleteFunc(load, func(r *roster) bool {
 		return r.submittedAt.Add(expiryFactor * r.objective).After(end)
 	})
-	served := func(part []*roster) float64 {
+	served := func(class []*roster) float64 {
 		n := 0
-		for _, r := range part {
+		for _, r := range class {
 			if at, ok := ended[r.work.ID]; ok && at.Sub(r.submittedAt) <= expiryFactor*r.objective {
 				n++
 			}
 		}
-		return float64(n) / float64(len(part))
+		return float64(n) / float64(len(class))
 	}
 	slices.SortFunc(load, func(a, b *roster) int { return cmp.Compare(a.size, b.size) })
 	all := served(load)
-	for name, part := range map[string][]*roster{
+	for name, class := range map[string][]*roster{
 		"the largest tenth": load[len(load)*9/10:], "the fifth below it": load[len(load)*7/10 : len(load)*9/10],
 	} {
-		share := served(part)
-		t.Logf("of %s %.2f were served, of all %d %.2f", name, share, len(load), all)
+		share := served(class)
+		t.Logf("served: %.2f of %s, %.2f of all %d", share, name, all, len(load))
 		is.True(share >= minServedShare*all)
 	}
 }
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -17,8 +17,8 @@
 	"turmericgap/worker"
 )
 
-// Guards against large works that are served less than half as often as all for as long as a cell is crowded, because
-// their gangs find no hole by chance and may not gather room.
+// Guards against starving large works in a crowded cell: their gangs rarely find enough free capacity at once, and
+// would wait as long as small works keep coming if they could not reserve it.
 func TestLargeWorksAreServedInACrowdedCell(t *testing.T) {
 	for name, k := range map[string]struct {
 		tenure time.Duration
@@ -36,27 +36,27 @@
 
 const (
 	crowdedWorkers, crowdedCores = 60, 16
-	// crowdedFor is how long callers come, longer than three objectives of the largest roster.
-	crowdedFor = 130 * time.Second
-	// crowdedBase and crowdedPerWorker are what a question of a roster costs.
-	crowdedBase      = 250 * time.Millisecond
-	crowdedPerWorker = 5 * time.Millisecond
+	// crowdedDuration is how long work is submitted, longer than three objectives of the largest roster.
+	crowdedDuration = 130 * time.Second
+	// A permit request for n workers takes crowdedPermitBase plus n times crowdedPermitPerWorker.
+	crowdedPermitBase      = 250 * time.Millisecond
+	crowdedPermitPerWorker = 5 * time.Millisecond
 )
 
-// arrival is a work and when it is handed in.
+// arrival is a work and the time of its submission since the start of the load.
 type arrival struct {
 	at   time.Duration
 	work *job.Work
 }
 
-// otherLoad makes the batches and checks that take room beside the rosters.
-func otherLoad(c *cell, seed uint64) []arrival {
+// newOtherLoad returns the batches and checks that compete with the rosters, with exponential interarrival times.
+func newOtherLoad(c *cell, seed uint64) []arrival {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var list []arrival
-	stream := func(queue string, every time.Duration, tasks int, millicores int64, takes time.Duration) {
-		for at := time.Duration(0); at < crowdedFor; at += time.Duration(float64(every) * random.ExpFloat64()) {
-			step := job.Step{Tasks: 1 + random.IntN(2*tasks-1), Each: job.Resources{Millicores: millicores, MemoryMB: 100}, Estimate: time.Duration(float64(takes) * (0.5 + random.Float64()))}
-			w := c.work(fmt.Sprint(queue, len(list)), step)
+	stream := func(queue string, interval time.Duration, tasks int, millicores int64, taskDuration time.Duration) {
+		for at := time.Duration(0); at < crowdedDuration; at += time.Duration(float64(interval) * random.ExpFloat64()) {
+			step := job.Step{Tasks: 1 + random.IntN(2*tasks-1), Each: job.Resources{Millicores: millicores, MemoryMB: 100}, Estimate: time.Duration(float64(taskDuration) * (0.5 + random.Float64()))}
+			w := c.newWork(fmt.Sprint(queue, len(list)), step)
 			w.Queue = *c.config.Named(queue)
 			list = append(list, arrival{at, w})
 		}
@@ -66,17 +66,17 @@
 	return list
 }
 
-// rosterEvery is the pause between two rosters.
-const rosterEvery = 150 * time.Millisecond
+// rosterInterval is the time between two rosters.
+const rosterInterval = 150 * time.Millisecond
 
-// runCrowded plays rosters, batches and checks against owners of that tenure, and judges what became of the rosters.
+// runCrowded submits rosters, batches and checks to owners of that tenure and checks that each size class is served.
 func runCrowded(t *testing.T, tenure time.Duration, seed uint64) {
 	byID := make(map[string]*job.Work)
-	c := crowdedCell(t, byID)
-	load := rosters(c, int(crowdedFor/rosterEvery), seed)
-	list := otherLoad(c, seed)
+	c := newCrowdedCell(t, byID)
+	load := newRosters(c, int(crowdedDuration/rosterInterval), seed)
+	list := newOtherLoad(c, seed)
 	for i, r := range load {
-		list = append(list, arrival{time.Duration(i) * rosterEvery, r.work})
+		list = append(list, arrival{time.Duration(i) * rosterInterval, r.work})
 	}
 	for _, a := range list {
 		byID[a.work.ID] = a.work
@@ -91,56 +91,55 @@
 	for _, v := range c.vms {
 		c.kill(v)
 	}
-	time.Sleep(5 * time.Second) // questions under way have ended
+	time.Sleep(5 * time.Second) // lets permit requests in flight end
 }
 
-// crowdedCell is a cell with a queue of gangs that need permits, one of urgent checks and one of patient batches; its
-// workers run what byID holds.
-func crowdedCell(t *testing.T, byID map[string]*job.Work) *cell {
+// newCrowdedCell returns a cell with a queue of gangs that need permits, one of urgent checks and one of low-priority
+// batches. Its workers run the works in byID.
+func newCrowdedCell(t *testing.T, byID map[string]*job.Work) *cell {
 	var vms []string
 	for i := range 12 {
 		vms = append(vms, fmt.Sprint("vm", i))
 	}
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		s := &byID[task.Work].Steps[task.Step]
-		return floor.Behaviour{Runs: s.Estimate, How: worker.EndingDone, Needs: s.Each, Gang: members(s)}
+		return floor.Behaviour{Runs: s.Estimate, How: worker.EndingDone, Needs: s.Each, Gang: requiredGangSize(s)}
 	}, vms...)
 	roster := &c.config.Queues[0]
 	roster.Priority, roster.Slack = 1, rosterSlack
-	roster.Permit = &job.PermitCost{Base: crowdedBase, PerWorker: crowdedPerWorker}
+	roster.Permit = &job.PermitCost{Base: crowdedPermitBase, PerWorker: crowdedPermitPerWorker}
 	c.config.Queues = append(c.config.Queues,
 		job.Queue{Name: "check", Pool: pool, Priority: 0, Attempts: 2, Slack: 1.5, Target: 250 * time.Millisecond},
 		job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 4, Target: 3 * time.Second})
 	c.permits = func(q *permit.Request) ([]string, time.Duration) {
 		names, _ := allowQuarter(q)
-		return names, crowdedBase + time.Duration(len(q.Workers))*crowdedPerWorker
+		return names, crowdedPermitBase + time.Duration(len(q.Workers))*crowdedPermitPerWorker
 	}
-	c.workers(crowdedWorkers, crowdedCores)
+	c.addWorkers(crowdedWorkers, crowdedCores)
 	return c
 }
 
-// submitAll hands in works when their time has come, to an owner that is replaced after each tenure, and gives when they
-// ended.
+// submitAll submits each work when it is due, kills the owner after each tenure, and returns when the works ended.
 func (c *cell) submitAll(list []arrival, tenure time.Duration) map[string]time.Time {
-	v := c.owner()
+	v := c.waitForOwner()
 	time.Sleep(6 * time.Second)
-	began, owned, read := time.Now(), time.Now(), time.Now()
+	start, ownedSince, lastRead := time.Now(), time.Now(), time.Now()
 	ended := make(map[string]time.Time)
 	for _, a := range list {
-		time.Sleep(a.at - time.Since(began))
-		if time.Since(read) > readEvery*time.Second {
-			maps.Copy(ended, c.endedAt())
-			read = time.Now()
+		time.Sleep(a.at - time.Since(start))
+		if time.Since(lastRead) > readEverySeconds*time.Second {
+			maps.Copy(ended, c.endTimes())
+			lastRead = time.Now()
 		}
-		if time.Since(owned) > tenure {
+		if time.Since(ownedSince) > tenure {
 			c.kill(v)
-			next := c.successor(v)
-			c.boot(v.id)
-			v, owned = next, time.Now()
+			next := c.waitForSuccessor(v)
+			c.startVM(v.id)
+			v, ownedSince = next, time.Now()
 		}
 		a.work.Accepted = time.Now()
 		c.submit(v, a.work)
 	}
-	maps.Copy(ended, c.endedAt())
+	maps.Copy(ended, c.endTimes())
 	return ended
 }
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -14,50 +14,51 @@
 	"turmericgap/standin/golden"
 )
 
-// checkCost, batchCost and rosterCost are what questions of the three kinds of work cost.
+// checkCost, batchCost and rosterCost are how long permit requests take for the three kinds of work.
 var (
 	checkCost  = job.PermitCost{Base: 17 * time.Millisecond, PerWorker: 240 * time.Microsecond}
 	batchCost  = job.PermitCost{Base: 180 * time.Millisecond, PerWorker: 2600 * time.Microsecond}
 	rosterCost = job.PermitCost{Base: 500 * time.Millisecond, PerWorker: 7300 * time.Microsecond}
 )
 
-// load makes works like those of callers: a few very wide, most of them narrow.
-type load struct {
+// workload generates works with log-normal sizes: most of them narrow, a few very wide.
+type workload struct {
 	random *rand.Rand
 	replay *replay
 }
 
-func (l *load) vary(mean, spread, most float64) float64 {
-	return min(mean*math.Exp(spread*l.random.NormFloat64()-spread*spread/2), most)
+// sample returns a log-normal value with that mean, at most limit.
+func (l *workload) sample(mean, sigma, limit float64) float64 {
+	return min(mean*math.Exp(sigma*l.random.NormFloat64()-sigma*sigma/2), limit)
 }
 
-func (l *load) work(kind string, i int, cost *job.PermitCost, step job.Step) *job.Work {
+func (l *workload) newWork(kind string, i int, cost *job.PermitCost, step job.Step) *job.Work {
 	q := job.Queue{Name: kind, Pool: "p", Attempts: 3, Slack: 2.2, Target: time.Second, Permit: cost}
 	return &job.Work{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint("z", i%3), Queue: q, Steps: []job.Step{step}}
 }
 
-func (l *load) checks(n int, every time.Duration) {
+func (l *workload) checks(n int, every time.Duration) {
 	for i := range n {
-		runs := time.Duration(l.vary(640, 0.5, 1600)) * time.Millisecond
-		w := l.work("check", i, &checkCost, job.Step{
-			Tasks: max(1, int(l.vary(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
-			Each: job.Resources{Millicores: int64(l.vary(3900, 0.4, 9000)), MemoryMB: 700},
+		runs := time.Duration(l.sample(640, 0.5, 1600)) * time.Millisecond
+		w := l.newWork("check", i, &checkCost, job.Step{
+			Tasks: max(1, int(l.sample(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
+			Each: job.Resources{Millicores: int64(l.sample(3900, 0.4, 9000)), MemoryMB: 700},
 		})
 		l.replay.submitAt(time.Duration(i)*every, w, runs)
 	}
 }
 
-func (l *load) batches(n int, every time.Duration, cost *job.PermitCost) {
+func (l *workload) batches(n int, every time.Duration, cost *job.PermitCost) {
 	for i := range n {
-		runs := time.Duration(l.vary(2700, 0.5, 6000)) * time.Millisecond
-		step := job.Step{Tasks: max(2, int(l.vary(14, 0.6, 40))), Estimate: runs, Each: job.Resources{Millicores: int64(l.vary(2800, 0.4, 6000)), MemoryMB: 400}}
+		runs := time.Duration(l.sample(2700, 0.5, 6000)) * time.Millisecond
+		step := job.Step{Tasks: max(2, int(l.sample(14, 0.6, 40))), Estimate: runs, Each: job.Resources{Millicores: int64(l.sample(2800, 0.4, 6000)), MemoryMB: 400}}
 		switch i % 4 {
 		case 0:
 			step.MostPerWorker = 2
 		case 1:
 			step.DataRack = "r1"
 		}
-		w := l.work("batch", i, cost, step)
+		w := l.newWork("batch", i, cost, step)
 		second := step
 		second.After, second.Tasks = []int{0}, 3
 		w.Queue.Priority, w.Steps = 2, append(w.Steps, second)
@@ -65,19 +66,19 @@
 	}
 }
 
-func (l *load) rosters(n int, every time.Duration) {
+func (l *workload) rosters(n int, every time.Duration) {
 	for i := range n {
-		runs := time.Duration(l.vary(4000, 0.5, 9000)) * time.Millisecond
-		w := l.work("roster", i, &rosterCost, job.Step{
-			Tasks: max(2, int(l.vary(9, 0.8, 30))), Gang: true, Estimate: runs, Each: job.Resources{Millicores: 4000, MemoryMB: 900},
+		runs := time.Duration(l.sample(4000, 0.5, 9000)) * time.Millisecond
+		w := l.newWork("roster", i, &rosterCost, job.Step{
+			Tasks: max(2, int(l.sample(9, 0.8, 30))), Gang: true, Estimate: runs, Each: job.Resources{Millicores: 4000, MemoryMB: 900},
 		})
 		w.Queue.Priority = 1
 		l.replay.submitAt(time.Duration(i)*every+13*time.Millisecond, w, runs)
 	}
 }
 
-// allow lets each step run on two workers in five, after what the question costs.
-func allow(q *permit.Request) ([]string, time.Duration) {
+// allowTwoInFive allows each step about two workers in five, after the time that the request costs.
+func allowTwoInFive(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
 		h := fnv.New32a()
@@ -90,23 +91,23 @@
 	return names, cost.Base + time.Duration(len(q.Workers))*cost.PerWorker
 }
 
-// cell adds so many workers in three zones, five a rack.
-func (r *replay) cell(workers int) {
+// addWorkers adds workers in three zones, five per rack.
+func (r *replay) addWorkers(workers int) {
 	for i := range workers {
-		r.worker(fmt.Sprintf("w%04d", i), fmt.Sprint("z", i%3), fmt.Sprint("r", i/5), job.Resources{Millicores: 16000, MemoryMB: 32000})
+		r.addWorker(fmt.Sprintf("w%04d", i), fmt.Sprint("z", i%3), fmt.Sprint("r", i/5), job.Resources{Millicores: 16000, MemoryMB: 32000})
 	}
 }
 
-// How decisions are worked out may change; what is decided may not, or no figure that was measured before
-// would hold: which task starts when and where, over three loads of a small cell, two of them heavier than it bears.
+// Guards against unintended changes of scheduling decisions, such as by an optimization: when and where each task
+// starts must match the golden files, over three loads of a small cell, two of them above its capacity.
 func TestDecisionsStay(t *testing.T) {
-	for name, hand := range map[string]func(*load){
-		"checks": func(l *load) { l.checks(250, 47*time.Millisecond) },
-		"batches": func(l *load) {
+	for name, submitLoad := range map[string]func(*workload){
+		"checks": func(l *workload) { l.checks(250, 47*time.Millisecond) },
+		"batches": func(l *workload) {
 			l.batches(20, 290*time.Millisecond, nil)
 			l.checks(60, 113*time.Millisecond)
 		},
-		"mixed": func(l *load) {
+		"mixed": func(l *workload) {
 			l.checks(100, 61*time.Millisecond)
 			l.batches(20, 300*time.Millisecond, &batchCost)
 			l.rosters(20, 310*time.Millisecond)
@@ -114,9 +115,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newReplay(t.Context(), 6, allow)
-				r.cell(18)
-				hand(&load{rand.New(rand.NewPCG(7, 7)), r})
+				r := newReplay(t.Context(), 6, allowTwoInFive)
+				r.addWorkers(18)
+				submitLoad(&workload{rand.New(rand.NewPCG(7, 7)), r})
 				r.run(25 * time.Second)
 				golden.Equal(t, "testdata/decisions/"+name+".golden", r.decisions.Bytes())
 			})
--- a/dispatch/declined_test.go
+++ b/dispatch/declined_test.go
@@ -9,15 +9,14 @@
 	"turmericgap/job"
 )
 
-// The store declines one entry VM, and the owner that this VM knows of dies. It hears nothing of the
-// take-over from the store, and would tell its callers to come again for as long as it is declined, though
-// the cell serves everybody else. The other VMs tell it who owns the cell.
+// Guards against a VM that the store refuses and that never hears of a takeover from it. It would refuse its callers
+// for as long as the store refuses it, although the cell serves all others. Peers tell it who the new owner is.
 func TestDeclinedVMFindsOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
-		c.workers(2, 4)
-		first := c.owner()
+		c.addWorkers(2, 4)
+		first := c.waitForOwner()
 		time.Sleep(time.Second)
 		var declined *vm
 		for _, v := range c.vms {
@@ -28,9 +27,9 @@
 		declined.store.Down(true)
 		c.kill(first)
 		time.Sleep(2500 * time.Millisecond)
-		is.True(c.owner() != declined)
+		is.True(c.waitForOwner() != declined)
 		for _, id := range []string{"one", "two", "three"} {
-			c.submit(declined, c.work(id, job.Step{Tasks: 2}))
+			c.submit(declined, c.newWork(id, job.Step{Tasks: 2}))
 			state, err := c.state(declined, id)
 			is.NoErr(err)
 			is.True(!state.Final())
--- a/dispatch/fault_test.go
+++ b/dispatch/fault_test.go
@@ -13,17 +13,17 @@
 	"turmericgap/standin/floor"
 )
 
-// An operator counts the work that waits in a queue. A start was decided and sent, and the worker is cut
-// off: as long as no worker has the task, the work waits and must be counted.
+// Guards against counting a start that was sent but not confirmed as running: while the worker is cut off, no worker
+// has the task, and the work must be counted as waiting.
 func TestWaitingUntilConfirmed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1")
-		ws := c.workers(1, 4)
-		v := c.owner()
+		ws := c.addWorkers(1, 4)
+		v := c.waitForOwner()
 		time.Sleep(time.Second)
 		ws[0].Set(floor.Faults{Cut: true})
-		c.submit(v, c.work("check", job.Step{Tasks: 1}))
+		c.submit(v, c.newWork("check", job.Step{Tasks: 1}))
 		for range 5 {
 			time.Sleep(700 * time.Millisecond)
 			n, err := v.front.Waiting(t.Context(), "roster")
@@ -39,17 +39,13 @@
 	})
 }
 
-// A burst of checks meets a store that takes a third of a second for each answer. Acceptance, intent and
-// end each wait for it once; a queue of commits must not build up behind these, or every caller of the
-// burst waits for longer than its check is worth.
-//
-// At worst a work waits 0.23 s for a free lane and 0.33 s for an answer, for its intent and for each of its
-// two ends where these come apart, and a second for its tasks: 2.7 s.
+// Guards against a queue of commits that builds up when a burst meets a slow store: every caller of the burst would
+// then wait for longer than its check is worth.
 func TestBurstAtSlowStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
-		c.workers(20, 16)
-		v := c.owner()
+		c.addWorkers(20, 16)
+		v := c.waitForOwner()
 		time.Sleep(time.Second)
 		for _, each := range c.vms {
 			each.store.Delay(330 * time.Millisecond)
@@ -58,8 +54,10 @@
 		for i := range 200 {
 			time.Sleep(20 * time.Millisecond)
 			callers.Go(func() {
-				w := c.work(fmt.Sprint("check", i), job.Step{Tasks: 2})
+				w := c.newWork(fmt.Sprint("check", i), job.Step{Tasks: 2})
 				c.submit(v, w)
+				// At worst a work waits 0.23 s for a free commit stream and 0.33 s for the answer, for its intent and for
+				// each of its two ends if they are committed apart, and 1 s for its tasks: 2.7 s.
 				c.waitForState(v, w.ID, job.WorkCompleted, 2800*time.Millisecond)
 			})
 		}
@@ -68,35 +66,35 @@
 	})
 }
 
-// The store declines the calls of some entry VMs and serves the others. A caller of such a VM is
-// accepted all the same, through the owner, and sees the end of its work.
+// Guards against refusing callers of a VM that the store declines while it serves the others: the VM must accept work
+// through the owner and report its end.
 func TestAcceptedThroughOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
-		c.workers(2, 4)
-		first := c.owner()
-		// A VM that the store turns away before it has told of the owner cannot ask it.
+		c.addWorkers(2, 4)
+		first := c.waitForOwner()
+		// Lets each VM learn of the owner before the store declines it.
 		time.Sleep(time.Second)
 		for _, v := range c.vms {
 			if v == first {
 				continue
 			}
 			v.store.Down(true)
-			c.submit(v, c.work("from-"+v.id, job.Step{Tasks: 2}))
+			c.submit(v, c.newWork("from-"+v.id, job.Step{Tasks: 2}))
 			c.waitForState(v, "from-"+v.id, job.WorkCompleted, 10*time.Second)
 		}
 		c.checkHistory()
 	})
 }
 
-// The owner has made a work durable and dies before it can say so. The caller's VM cannot know, creates
-// the work itself, finds that it exists, and accepts it: it runs once.
+// Guards against running a work twice or reporting it lost when the owner commits it and dies before it answers. The
+// caller's VM creates the work itself, finds that it exists, and accepts it.
 func TestAcceptedByDyingOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
-		c.workers(2, 4)
-		first := c.owner()
+		c.addWorkers(2, 4)
+		first := c.waitForOwner()
 		time.Sleep(time.Second)
 		var other *vm
 		for _, v := range c.vms {
@@ -109,13 +107,13 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
-			accepted <- other.front.Submit(ctx, c.work("roster", job.Step{Tasks: 2}))
+			accepted <- other.front.Submit(ctx, c.newWork("roster", job.Step{Tasks: 2}))
 		}()
 		time.Sleep(200 * time.Millisecond)
 		c.kill(first)
 		is.NoErr(<-accepted)
 		c.waitForState(other, "roster", job.WorkCompleted, 20*time.Second)
-		is.Equal(c.runs("roster"), 2)
+		is.Equal(c.countRuns("roster"), 2)
 		c.checkHistory()
 	})
 }
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -15,8 +15,9 @@
 	"turmericgap/worker"
 )
 
-// gangOf gives members that fail, or work for a while and end as done together.
-func gangOf(size int, d time.Duration, how worker.Ending) func(worker.Task, int64) floor.Behaviour {
+// gangBehaviour returns gang members that end together after d; member 0 ends as how. If it fails, the others run on
+// until the gang breaks.
+func gangBehaviour(size int, d time.Duration, how worker.Ending) func(worker.Task, int64) floor.Behaviour {
 	return func(task worker.Task, _ int64) floor.Behaviour {
 		b := floor.Behaviour{Runs: d, How: worker.EndingDone, Gang: size, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
 		if task.Index == 0 {
@@ -32,32 +33,31 @@
 	return job.Step{Tasks: size, Gang: true, Each: job.Resources{Millicores: 3000, MemoryMB: 100}}
 }
 
-// All members of a gang start together, on as many workers as it takes, and end together.
+// Checks that all members of a gang start together, on as many workers as needed, and end together.
 func TestGang(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(4, 2*time.Second, worker.EndingDone), "vm1", "vm2")
-		c.workers(4, 4)
-		v := c.owner()
-		c.submit(v, c.work("gang", gangStep(4)))
+		c := newCell(t, gangBehaviour(4, 2*time.Second, worker.EndingDone), "vm1", "vm2")
+		c.addWorkers(4, 4)
+		v := c.waitForOwner()
+		c.submit(v, c.newWork("gang", gangStep(4)))
 		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
-		is.Equal(c.runs("gang"), 4)
+		is.Equal(c.countRuns("gang"), 4)
 		c.checkHistory()
 	})
 }
 
-// A gang that can never succeed is tried twice and shown as failed. The owner dies when the failed end
-// of one member is durable and the other member's end was not heard: the new owner must still count
-// the attempt, or the gang would be started a third time.
+// Guards against a new owner that forgets an attempt: the owner dies after the failed end of one member is durable and
+// before it hears of the other member's end. Not counted, the gang would be started a third time.
 func TestGangAttemptsOutliveOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(2, time.Second, worker.EndingFailed), "vm1", "vm2")
-		ws := c.workers(2, 4)
-		first := c.owner()
-		c.submit(first, c.work("gang", gangStep(2)))
+		c := newCell(t, gangBehaviour(2, time.Second, worker.EndingFailed), "vm1", "vm2")
+		ws := c.addWorkers(2, 4)
+		first := c.waitForOwner()
+		c.submit(first, c.newWork("gang", gangStep(2)))
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(c.runs("gang"), 2)
+		is.Equal(c.countRuns("gang"), 2)
 		other := ws[0]
 		for _, r := range c.floor.History() {
 			if r.Task.Index == 1 && r.Worker == ws[1].Info().ID {
@@ -68,24 +68,23 @@
 		time.Sleep(time.Second)
 		c.kill(first)
 		other.Set(floor.Faults{})
-		second := c.owner()
+		second := c.waitForOwner()
 		c.waitForState(second, "gang", job.WorkFailed, 30*time.Second)
-		is.Equal(c.runs("gang"), 4)
+		is.Equal(c.countRuns("gang"), 4)
 		c.checkHistory()
 	})
 }
 
-// A roster waits for one answer of the policy service, not for two in a row: where naming every worker
-// takes less time than a second question, the first one names them all.
+// Guards against two permit requests in a row where one that names every worker takes less time than a second one.
 func TestGangAsksOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(4, time.Second, worker.EndingDone), "vm1", "vm2")
+		c := newCell(t, gangBehaviour(4, time.Second, worker.EndingDone), "vm1", "vm2")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		allowed := []string{"w06", "w07", "w08", "w09"}
-		questions := 0
+		requests := 0
 		c.permits = func(q *permit.Request) ([]string, time.Duration) {
-			questions++
+			requests++
 			var names []string
 			for _, id := range allowed {
 				if slices.Contains(q.Workers, id) {
@@ -94,23 +93,21 @@
 			}
 			return names, 600*time.Millisecond + time.Duration(len(q.Workers))*10*time.Millisecond
 		}
-		c.workers(10, 4)
-		v := c.owner()
-		// The owner hears of one worker after the other, with pauses between them; the question must not
-		// come before it knows them all.
+		c.addWorkers(10, 4)
+		v := c.waitForOwner()
+		// The owner syncs with its workers one by one; the request must not be sent before it knows them all.
 		time.Sleep(5 * time.Second)
-		begun := time.Now()
-		c.submit(v, c.work("gang", gangStep(4)))
+		start := time.Now()
+		c.submit(v, c.newWork("gang", gangStep(4)))
 		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
-		is.Equal(questions, 1)
-		is.True(time.Since(begun) < 2*time.Second)
+		is.Equal(requests, 1)
+		is.True(time.Since(start) < 2*time.Second)
 		c.checkHistory()
 	})
 }
 
-// Small tasks come without end and fill each core as it becomes free. A gang that needs two whole workers
-// at the same time must get them about as soon as what runs there has ended; without room kept for it,
-// it would wait until the small tasks stop coming.
+// Guards against a gang that starves under a steady stream of small tasks: without reserved capacity, they take each
+// core as soon as it is free, and two whole workers are never free at once.
 func TestGangFindsRoomUnderLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,43 +118,42 @@
 			return floor.Behaviour{Runs: 3 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 20, Target: time.Minute})
-		c.workers(3, 4)
-		v := c.owner()
+		c.addWorkers(3, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		var handed time.Time
+		var submitted time.Time
 		for i := range 150 {
-			c.submitTo(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
+			c.submitToQueue(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
 			if i == 50 {
-				handed = time.Now()
-				c.submit(v, c.work("gang", job.Step{
+				submitted = time.Now()
+				c.submit(v, c.newWork("gang", job.Step{
 					Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
 				}))
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		var begun time.Time
+		var started time.Time
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				begun = r.Begun
+				started = r.Begun
 			}
 		}
-		is.True(!begun.IsZero())
-		is.True(begun.Sub(handed) < 4500*time.Millisecond)
+		is.True(!started.IsZero())
+		is.True(started.Sub(submitted) < 4500*time.Millisecond)
 		c.checkHistory()
 	})
 }
 
-// A worker with a member of a gang crashes and lists nothing any more. The other member ends as broken,
-// which shows that the run is over everywhere: the gang must be started again without waiting for the
-// lease of the silent worker.
+// Guards against waiting for the lease of a crashed worker when the run of a gang is known to be over: the other member
+// ends as broken, so the gang can start again at once.
 func TestGangAfterCrash(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(2, 4*time.Second, worker.EndingDone), "vm1")
-		ws := c.workers(4, 4)
-		v := c.owner()
+		c := newCell(t, gangBehaviour(2, 4*time.Second, worker.EndingDone), "vm1")
+		ws := c.addWorkers(4, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		c.submit(v, c.work("gang", gangStep(2)))
+		c.submit(v, c.newWork("gang", gangStep(2)))
 		time.Sleep(time.Second)
 		for _, w := range ws {
 			if w.Active() > 0 {
@@ -166,24 +162,23 @@
 			}
 		}
 		c.waitForState(v, "gang", job.WorkCompleted, 9*time.Second)
-		is.Equal(c.runs("gang"), 4)
+		is.Equal(c.countRuns("gang"), 4)
 		c.checkHistory()
 	})
 }
 
-// A member of a gang fails on a worker that is cut off; the other member ends as broken, so that the run
-// is over, and the gang is started again before anybody has heard of the failure. When the cut heals the
-// worker lists it: it counts as an attempt, also after a take-over, and no start too many is made.
+// Guards against losing a failed attempt of a gang that becomes known only after the gang was restarted, because the
+// worker of the failed member was cut off. It must count when the worker reports it, also after a takeover.
 func TestFailureHeardLate(t *testing.T) {
 	for _, kill := range []bool{false, true} {
 		t.Run(fmt.Sprint("owner dies ", kill), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangOf(2, 2*time.Second, worker.EndingFailed), "vm1", "vm2")
-				ws := c.workers(6, 4)
-				v := c.owner()
+				c := newCell(t, gangBehaviour(2, 2*time.Second, worker.EndingFailed), "vm1", "vm2")
+				ws := c.addWorkers(6, 4)
+				v := c.waitForOwner()
 				time.Sleep(5 * time.Second)
-				c.submit(v, c.work("gang", gangStep(2)))
+				c.submit(v, c.newWork("gang", gangStep(2)))
 				time.Sleep(time.Second)
 				for _, r := range c.floor.History() {
 					for _, w := range ws {
@@ -199,27 +194,26 @@
 				for _, w := range ws {
 					w.Set(floor.Faults{})
 				}
-				c.waitForState(c.owner(), "gang", job.WorkFailed, 40*time.Second)
-				is.Equal(c.runs("gang"), 4)
+				c.waitForState(c.waitForOwner(), "gang", job.WorkFailed, 40*time.Second)
+				is.Equal(c.countRuns("gang"), 4)
 				c.checkHistory()
 			})
 		})
 	}
 }
 
-// Two workers with members of a gang are cut off, and a member on one of them fails; the third ends as broken,
-// and the gang is started again. Whichever of the two lists the failure when the cut heals, it counts: were
-// only one of them remembered, the gang would be started a third time after two failures.
+// Guards against remembering only one of two unreachable workers that may report the failure of a gang's run. If the
+// other one reports it, the failure would not count and the gang would start once too often.
 func TestFailureHeardLateOfEither(t *testing.T) {
-	for try := range 8 { // which of the two is met first differs from run to run
-		t.Run(fmt.Sprint(try), func(t *testing.T) {
+	for attempt := range 8 { // the order in which the owner reaches the two workers varies
+		t.Run(fmt.Sprint(attempt), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangOf(3, 2*time.Second, worker.EndingFailed), "vm1")
-				ws := c.workers(6, 4)
-				v := c.owner()
+				c := newCell(t, gangBehaviour(3, 2*time.Second, worker.EndingFailed), "vm1")
+				ws := c.addWorkers(6, 4)
+				v := c.waitForOwner()
 				time.Sleep(5 * time.Second)
-				c.submit(v, c.work("gang", gangStep(3)))
+				c.submit(v, c.newWork("gang", gangStep(3)))
 				time.Sleep(time.Second)
 				for _, r := range c.floor.History() {
 					for _, w := range ws {
@@ -229,34 +223,33 @@
 					}
 				}
 				time.Sleep(5 * time.Second)
-				is.Equal(c.runs("gang"), 6) // a run that two workers may tell of counts once
+				is.Equal(c.countRuns("gang"), 6) // a run that two workers may report counts once
 				for _, w := range ws {
 					w.Set(floor.Faults{})
 				}
 				c.waitForState(v, "gang", job.WorkFailed, 40*time.Second)
-				is.Equal(c.runs("gang"), 6)
+				is.Equal(c.countRuns("gang"), 6)
 				c.checkHistory()
 			})
 		})
 	}
 }
 
-// A worker fails whatever it starts, and fast, so that it soon has more room than all others. A gang that
-// has failed there must be started elsewhere: its caller would be told that it cannot be done after two
-// runs on the one worker that fails.
-func TestGangLeavesFailingWorker(t *testing.T) {
+// Guards against restarting a gang on the worker where it failed. A worker that fails every task at once soon has the
+// most free capacity, and would use up all attempts of the gang.
+func TestGangAvoidsFailingWorker(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Gang: 2, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
 		}, "vm1")
-		ws := c.workers(4, 8)
-		ws[3].Set(floor.Faults{Fails: true}) // the first choice among equals
-		v := c.owner()
+		ws := c.addWorkers(4, 8)
+		ws[3].Set(floor.Faults{Fails: true}) // chosen first among equal workers
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		for i := range 4 {
 			id := fmt.Sprint("gang", i)
-			c.submit(v, c.work(id, gangStep(2)))
+			c.submit(v, c.newWork(id, gangStep(2)))
 			c.waitForState(v, id, job.WorkCompleted, 10*time.Second)
 		}
 		failed := 0
@@ -265,15 +258,14 @@
 				failed++
 			}
 		}
-		is.True(failed <= 4) // one for each gang at most
+		is.True(failed <= 4) // at most one per gang
 		c.checkHistory()
 	})
 }
 
-// A gang that is late already has room that is kept for it while it asks for tickets, and a burst of checks,
-// which are more urgent, waits for that very room. When the tickets come the gang must get it: were the
-// room given back first, the checks would take it, and the gang would ask again for as long as checks come.
-func TestKeptRoomIsForItsGang(t *testing.T) {
+// Guards against giving up the capacity that is set aside for a late gang during its permit request before the gang can
+// take it: more urgent checks that wait would get it, and the gang would ask again for as long as checks come.
+func TestReservedCapacityGoesToItsGang(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
@@ -289,32 +281,33 @@
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 20, Target: time.Minute})
 		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
-		c.workers(2, 4)
-		v := c.owner()
+		c.addWorkers(2, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		check := func(id string, tasks int) { c.submitTo(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second}) }
-		check("before", 8)
-		handed := time.Now()
-		c.submit(v, c.work("gang", job.Step{
+		submitCheck := func(id string, tasks int) {
+			c.submitToQueue(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second})
+		}
+		submitCheck("before", 8)
+		submitted := time.Now()
+		c.submit(v, c.newWork("gang", job.Step{
 			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
 		}))
 		time.Sleep(5200 * time.Millisecond)
 		for i := range 40 {
-			check(fmt.Sprint("check", i), 1)
+			submitCheck(fmt.Sprint("check", i), 1)
 		}
 		c.waitForState(v, "gang", job.WorkCompleted, 20*time.Second)
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				is.True(r.Begun.Sub(handed) < 6*time.Second)
+				is.True(r.Begun.Sub(submitted) < 6*time.Second)
 			}
 		}
 		c.checkHistory()
 	})
 }
 
-// A roster in a cell of 300 workers has to have its workers named in many questions, of which the service
-// answers one at a time for each VM. Put one after the other they would take most of the time that the
-// roster has; put from several VMs at once they take as long as one.
+// Guards against sending the permit requests of a large gang one after the other. Each VM has one request answered at a
+// time; sent from several VMs at once, all of them take as long as one.
 func TestGangAsksInParallel(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -322,7 +315,7 @@
 		for i := range 16 {
 			vms = append(vms, fmt.Sprintf("vm%02d", i))
 		}
-		c := newCell(t, gangOf(40, time.Second, worker.EndingDone), vms...)
+		c := newCell(t, gangBehaviour(40, time.Second, worker.EndingDone), vms...)
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		var mu sync.Mutex
 		named := make(map[string]int)
@@ -338,13 +331,13 @@
 			}
 			return names, 700*time.Millisecond + time.Duration(len(q.Workers))*10*time.Millisecond
 		}
-		c.workers(300, 4)
-		v := c.owner()
-		time.Sleep(time.Minute) // the owner hears of one worker after the other
-		begun := time.Now()
-		c.submit(v, c.work("gang", gangStep(40)))
+		c.addWorkers(300, 4)
+		v := c.waitForOwner()
+		time.Sleep(time.Minute) // the owner syncs with its workers one by one
+		start := time.Now()
+		c.submit(v, c.newWork("gang", gangStep(40)))
 		c.waitForState(v, "gang", job.WorkCompleted, 10*time.Second)
-		is.True(time.Since(begun) < 3*time.Second)
+		is.True(time.Since(start) < 3*time.Second)
 		for _, times := range named {
 			is.Equal(times, 1)
 		}
@@ -352,10 +345,9 @@
 	})
 }
 
-// A gang may run on two of four workers, beside a long task on each. Checks, which are more urgent, come
-// without end and go to the fullest workers: each hole on the two would be filled at once, although the
-// other two have room for all of them. The checks must leave alone what the gang waits for.
-func TestChecksLeaveClaimedRoom(t *testing.T) {
+// Guards against more urgent checks that keep filling the capacity a gang waits for, because they prefer the fullest
+// workers. While other workers have room for them, they must leave free the workers that the gang waits for.
+func TestChecksAvoidReservedCapacity(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
@@ -373,31 +365,33 @@
 		c.permits = func(*permit.Request) ([]string, time.Duration) {
 			return []string{"w00", "w01"}, 240 * time.Millisecond
 		}
-		c.workers(4, 4)
-		v := c.owner()
+		c.addWorkers(4, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		check := func(i int) { c.submitTo(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second}) }
-		c.submit(v, c.work("long", job.Step{Tasks: 2, MostPerWorker: 1, Estimate: time.Minute}))
+		submitCheck := func(i int) {
+			c.submitToQueue(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second})
+		}
+		c.submit(v, c.newWork("long", job.Step{Tasks: 2, MostPerWorker: 1, Estimate: time.Minute}))
 		time.Sleep(time.Second)
 		for i := range 10 {
-			check(i)
+			submitCheck(i)
 		}
-		handed := time.Now()
-		c.submit(v, c.work("gang", job.Step{
+		submitted := time.Now()
+		c.submit(v, c.newWork("gang", job.Step{
 			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 3000, MemoryMB: 100},
 		}))
-		for i := range 160 { // seven of sixteen cores
-			check(100 + i)
+		for i := range 160 { // uses seven of sixteen cores
+			submitCheck(100 + i)
 			time.Sleep(140 * time.Millisecond)
 		}
-		begun := time.Time{}
+		started := time.Time{}
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				begun = r.Begun
+				started = r.Begun
 			}
 		}
-		is.True(!begun.IsZero())
-		is.True(begun.Sub(handed) < 3*time.Second)
+		is.True(!started.IsZero())
+		is.True(started.Sub(submitted) < 3*time.Second)
 		c.checkHistory()
 	})
 }
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -11,8 +11,8 @@
 	"turmericgap/worker"
 )
 
-// termWithWorkers is a term with workers of four cores that answer.
-func termWithWorkers(t *testing.T, racks ...string) *term {
+// newTermWithWorkers returns a term with a synced worker of four cores in each of the racks.
+func newTermWithWorkers(t *testing.T, racks ...string) *term {
 	term := newTerm(t.Context(), newOptions(nil), &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }})
 	now := time.Now()
 	for i, rack := range racks {
@@ -31,48 +31,46 @@
 	}
 }
 
-// A worker on trial gets one run. That must not be the second try of a task, which may be its last, nor a
-// member of a gang, all of which would fail with it.
+// Guards against using up the last attempt of a task, or failing a whole gang, by a trial run on a suspect worker.
 func TestTrialsAreOfFreshTasks(t *testing.T) {
 	is := is.New(t)
-	fresh := stageOf(&job.Work{Steps: []job.Step{{Tasks: 1}}})
-	failed := stageOf(&job.Work{Steps: []job.Step{{Tasks: 1}}})
+	fresh := newTestStage(&job.Work{Steps: []job.Step{{Tasks: 1}}})
+	failed := newTestStage(&job.Work{Steps: []job.Step{{Tasks: 1}}})
 	failed.noteFailureOn("another")
 	u := &health{failedInARow: quarantineAfter}
 	is.True(u.acceptsTrial(fresh))
 	is.True(!u.acceptsTrial(failed))
-	is.True(!u.acceptsTrial(stageOf(gangOfTwo(nil))))
+	is.True(!u.acceptsTrial(newTestStage(gangOfTwo(nil))))
 	u.trialRun = &run{}
 	is.True(!u.acceptsTrial(fresh))
 }
 
-// Everything fails on every worker, as where a program is broken. Workers must not rest one after the other
-// until work that could run waits for a worker to be trusted again.
+// Guards against quarantining most workers when every task fails everywhere, as with a broken program: work that could
+// run would wait for a worker.
 func TestFewWorkersRest(t *testing.T) {
 	is := is.New(t)
-	term := termWithWorkers(t, "r1", "r1", "r1", "r1", "r1", "r1", "r1", "r1")
+	term := newTermWithWorkers(t, "r1", "r1", "r1", "r1", "r1", "r1", "r1", "r1")
 	for id, n := range term.nodes {
 		for i := range quarantineAfter {
-			s := stageOf(&job.Work{ID: id + string(rune('0'+i)), Steps: []job.Step{{Tasks: 1}}})
+			s := newTestStage(&job.Work{ID: id + string(rune('0'+i)), Steps: []job.Step{{Tasks: 1}}})
 			term.noteEnding(&run{stage: s, node: n}, worker.EndingFailed)
 		}
 	}
-	resting := 0
+	quarantined := 0
 	for _, n := range term.nodes {
 		if n.isQuarantined(time.Now()) {
-			resting++
+			quarantined++
 		}
 	}
-	is.Equal(resting, len(term.nodes)/quarantineShare)
+	is.Equal(quarantined, len(term.nodes)/quarantineShare)
 }
 
-// A gang that runs three times as long over two racks has asked for workers in two questions, and the first
-// answer allows one worker in each rack. The second may bring another one in the same rack: the gang must not
-// start before it is there.
+// Guards against spreading a gang over two racks, where it runs three times as long, while an open permit request may
+// still allow a second worker in the same rack.
 func TestGangAwaitsItsRack(t *testing.T) {
 	is := is.New(t)
-	term := termWithWorkers(t, "r1", "r2")
-	s := stageOf(gangOfTwo(nil))
+	term := newTermWithWorkers(t, "r1", "r2")
+	s := newTestStage(gangOfTwo(nil))
 	now := time.Now()
 	nodes := term.sortedCandidates(s, now, anyNode)
 	is.Equal(len(nodes), 2)
--- a/dispatch/large_test.go
+++ b/dispatch/large_test.go
@@ -15,33 +15,31 @@
 	"turmericgap/worker"
 )
 
-// examineCost is what a look at one worker takes on a VM of a fifth of a core.
+// examineCost is the CPU time of examining one worker on a VM with a fifth of a core.
 const examineCost = 500 * time.Nanosecond
 
-// 1,500 checks come within two seconds to a cell of 3,000 workers that has room for all of them. Each waits for an
-// answer of the policy service, which holds for 1.5 s. If a pass looks at all workers for each step, it takes longer
-// than that: the answers have lapsed when the pass comes to them, all is asked again, and nothing starts however
-// much room there is, also long after the last caller has come.
+// Guards against a pass that examines all workers for each step of a burst in a large cell. It would take longer than
+// permits are valid, so that they expire before the pass uses them, everything is requested again, and nothing starts.
 func TestManyWorkersAndSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newReplay(t.Context(), 97, allow, OnExamined(func(looks int) { time.Sleep(time.Duration(looks) * examineCost) }))
-		r.cell(3000)
-		l := &load{rand.New(rand.NewPCG(3, 3)), r}
+		r := newReplay(t.Context(), 97, allowTwoInFive, OnExamined(func(examined int) { time.Sleep(time.Duration(examined) * examineCost) }))
+		r.addWorkers(3000)
+		l := &workload{rand.New(rand.NewPCG(3, 3)), r}
 		const works = 1500
 		l.checks(works, 1300*time.Microsecond)
 		r.run(12 * time.Second)
-		t.Logf("%d of %d works are done", r.ended, works)
-		is.Equal(r.ended, works)
+		t.Logf("%d of %d works completed", r.endedCount, works)
+		is.Equal(r.endedCount, works)
 	})
 }
 
-// BenchmarkStep measures the pass after one end, which lets one task start, while little waits. Most of the cell has
-// not changed, so that its size must not show.
+// BenchmarkStep measures the pass after one run has ended, which lets one task start while few stages wait. Its cost
+// must not depend on the size of the cell, most of which has not changed.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{540, 3000} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			t := fullTerm(b, workers, 3, 40)
+			t := newFullTerm(b, workers, 3, 40)
 			n, s := t.nodes["w0020"], t.entries["1"].occurrences[0].stages[0]
 			s.tickets[n.id] = ticket{allowed: true, until: time.Now().Add(time.Hour)}
 			for b.Loop() {
@@ -59,21 +57,21 @@
 	}
 }
 
-// One work starts 400 tasks at the same moment, and later all of them are stopped. Made all at once, these calls would
-// take a weak VM's processor for longer than other VMs wait for its answers, and it would be taken for dead. Workers that
-// do not answer must not hold up the calls to those that do.
+// Guards against calling all workers at once when many tasks start or stop together: on a weak VM the calls would use
+// the CPU for longer than peers wait for its answers, and it would be considered dead. Workers that do not answer must
+// not delay calls to the others.
 func TestCallsToWorkersAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newReplay(t.Context(), 1, allow)
-		r.cell(30)
-		var under, most, silent, begun atomic.Int64
+		r := newReplay(t.Context(), 1, allowTwoInFive)
+		r.addWorkers(30)
+		var inFlight, maxInFlight, unanswered, started atomic.Int64
 		call := func(ctx context.Context, answers bool) (time.Duration, error) {
-			begun.Add(1)
-			most.Store(max(most.Load(), under.Add(1)))
-			defer under.Add(-1)
+			started.Add(1)
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
+			defer inFlight.Add(-1)
 			if !answers {
-				silent.Add(1)
+				unanswered.Add(1)
 				<-ctx.Done()
 				return 0, ctx.Err()
 			}
@@ -88,14 +86,14 @@
 		}}
 		r.submitAt(0, w, 10*time.Second)
 		r.run(800 * time.Millisecond)
-		answered, wanted := int(begun.Load()-silent.Load()), 0
+		answered, wanted := int(started.Load()-unanswered.Load()), 0
 		for i, n := range r.term.sortedNodes {
 			if i%10 > 0 {
 				wanted += len(n.runs)
 			}
 		}
-		t.Logf("%d calls under way at a time, %d answered, %d without an answer", most.Load(), answered, silent.Load())
-		is.True(most.Load() <= 100)
+		t.Logf("%d calls in flight at once, %d answered, %d unanswered", maxInFlight.Load(), answered, unanswered.Load())
+		is.True(maxInFlight.Load() <= 100)
 		is.Equal(answered, wanted)
 	})
 }
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -10,8 +10,8 @@
 	"turmericgap/job"
 )
 
-// A gang has its question to the policy service and its second step before it. Counted as able to be in time until
-// half of its first step is left, it has its turn and ends late, and a newer one that could be in time waits.
+// Guards against classifying a gang as on time while its permit request and later steps no longer fit into its
+// objective: it would be started first, end late, and delay newer work that could still be on time.
 func TestHopeCountsAllThatIsLeft(t *testing.T) {
 	gang := &job.Work{
 		Queue: job.Queue{Slack: 2, Target: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
@@ -24,19 +24,19 @@
 		age  time.Duration
 		want lateness
 	}{
-		"a gang, 15 s, of which 7 are needed":   {gang, 0, 7900 * time.Millisecond, latenessOnTime},
-		"the gang is too old":                   {gang, 0, 8100 * time.Millisecond, latenessLate},
-		"its second step needs 4 s":             {gang, 1, 10900 * time.Millisecond, latenessOnTime},
-		"its second step is too old":            {gang, 1, 11100 * time.Millisecond, latenessLate},
-		"nothing is left for it in 45 s":        {gang, 0, 38100 * time.Millisecond, latenessExpired},
-		"a task may be half of its estimate":    {single, 0, 3900 * time.Millisecond, latenessOnTime},
-		"a task that is too old for half of it": {single, 0, 4100 * time.Millisecond, latenessLate},
+		"gang with an objective of 15 s, 7 s needed":    {gang, 0, 7900 * time.Millisecond, latenessOnTime},
+		"gang past its latest start":                    {gang, 0, 8100 * time.Millisecond, latenessLate},
+		"second step, 4 s needed":                       {gang, 1, 10900 * time.Millisecond, latenessOnTime},
+		"second step past its latest start":             {gang, 1, 11100 * time.Millisecond, latenessLate},
+		"gang that expires after 45 s":                  {gang, 0, 38100 * time.Millisecond, latenessExpired},
+		"task on time if it takes half of its estimate": {single, 0, 3900 * time.Millisecond, latenessOnTime},
+		"task late even at half of its estimate":        {single, 0, 4100 * time.Millisecond, latenessLate},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			w := *c.work
 			w.Accepted = now.Add(-c.age)
-			s := stageOf(&w).occurrence.stages[c.step]
+			s := newTestStage(&w).occurrence.stages[c.step]
 			is.New(t).Equal((&term{sizes: aging.New()}).urgencyOf(s, now).lateness, c.want)
 		})
 	}
--- a/dispatch/observed_test.go
+++ b/dispatch/observed_test.go
@@ -14,21 +14,20 @@
 	"turmericgap/worker"
 )
 
-// A task ends while the store does not answer its owner, and meanwhile its worker's entry goes and comes back,
-// as entries do that lapse in an outage. The worker must not be told that the end was taken note of before
-// it is durable: the next owner, which finds the task as started and the worker without any word of it,
-// would start it again, and a batch would be done twice.
+// Guards against acknowledging the end of a run to its worker before the end is durable, when the worker's entry
+// expires and returns during a store outage. The worker would drop the end, and the next owner would run the task
+// again.
 func TestEndIsNotNotedBeforeItIsDurable(t *testing.T) {
 	for _, relisted := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			silent := &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.Held, error) {
+			unresponsive := &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.Held, error) {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}}
 			listing := worker.Listing{Info: worker.Info{ID: "w", Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
 			o := newOptions([]Option{Workers("workers/", func(string, []byte) (worker.Listing, error) { return listing, nil },
-				func(worker.Info) *worker.Agent { return silent })})
+				func(worker.Info) *worker.Agent { return unresponsive })})
 			term := newTerm(t.Context(), o, &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }})
 			defer term.close()
 			term.updateListing(listing)
@@ -44,8 +43,8 @@
 				term.onHold(term.nodes["w"], &worker.Held{Clock: 2 * time.Second, Ended: ended}, nil)
 			}
 			is.Equal(term.nodes["w"].lastEndObserved, int64(0))
-			for _, waiting := range term.committer.queue {
-				for _, effect := range waiting.effects {
+			for _, queued := range term.committer.queue {
+				for _, effect := range queued.effects {
 					effect()
 				}
 			}
--- a/dispatch/outage_test.go
+++ b/dispatch/outage_test.go
@@ -13,31 +13,31 @@
 	"turmericgap/rpc"
 )
 
-// Forty callers a second hand work in when the store stops answering everybody for four seconds. Those who
-// hear "refused" come again and their first try never runs; those who hear that the outcome is open can do
-// nothing. Only what was under way when the outage began may be open, which is known within a tenth of a
-// second from the calls that are made anyway.
+// Guards against sending commits to a store that has stopped answering: their callers would hear that the outcome is
+// unknown, and could do nothing, while refused callers can try again. Only calls in flight when the outage begins may
+// have an unknown outcome; regular calls show the outage within a tenth of a second.
 func TestOutageIsNotSentInto(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(v *vm, on bool)
-		// open is how many of the callers may hear that the outcome is open.
-		open int
+		// maxUnknown is the most callers that may hear that the outcome is unknown.
+		maxUnknown int
 	}{
-		"silent":                {func(v *vm, on bool) { v.store.Cut(on) }, 8},
-		"connections are reset": {func(v *vm, on bool) { v.store.Reset(on) }, 8},
-		"declines":              {func(v *vm, on bool) { v.store.Down(on) }, 2},
+		"store does not answer":    {func(v *vm, on bool) { v.store.Cut(on) }, 8},
+		"store resets connections": {func(v *vm, on bool) { v.store.Reset(on) }, 8},
+		"store refuses calls":      {func(v *vm, on bool) { v.store.Down(on) }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T) { outage(t, c.fault, c.open) })
+			inBubble(t, func(t *testing.T) { runOutage(t, c.fault, c.maxUnknown) })
 		})
 	}
 }
 
-func outage(t *testing.T, fault func(v *vm, on bool), open int) {
+// runOutage has callers submit work before and during an outage, and checks what they heard and what ran.
+func runOutage(t *testing.T, fault func(v *vm, on bool), maxUnknown int) {
 	is := is.New(t)
 	c := newCell(t, runsFor(300*time.Millisecond), "vm1", "vm2", "vm3")
-	c.workers(8, 16)
-	first := c.owner()
+	c.addWorkers(8, 16)
+	first := c.waitForOwner()
 	for _, v := range c.vms {
 		v.store.Delay(4 * time.Millisecond)
 	}
@@ -58,7 +58,7 @@
 		callers.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
-			err := v.front.Submit(ctx, c.work(id, job.Step{Tasks: 1}))
+			err := v.front.Submit(ctx, c.newWork(id, job.Step{Tasks: 1}))
 			mu.Lock()
 			defer mu.Unlock()
 			codes[id] = faultCode(err)
@@ -73,20 +73,20 @@
 	for id, code := range codes {
 		heard[code]++
 		if code == rpc.CodeRefused {
-			is.Equal(c.runs(id), 0)
+			is.Equal(c.countRuns(id), 0)
 		}
 		if code == "" {
-			c.waitForState(c.owner(), id, job.WorkCompleted, time.Second)
+			c.waitForState(c.waitForOwner(), id, job.WorkCompleted, time.Second)
 		}
 	}
-	t.Logf("callers heard: %d accepted, %d refused, %d open", heard[""], heard[rpc.CodeRefused], heard[rpc.CodeUnknown])
-	is.True(heard[rpc.CodeUnknown] <= open)
+	t.Logf("callers heard: %d accepted, %d refused, %d unknown", heard[""], heard[rpc.CodeRefused], heard[rpc.CodeUnknown])
+	is.True(heard[rpc.CodeUnknown] <= maxUnknown)
 	is.True(heard[""] >= 18)
 	is.True(!first.dead.Load())
 	c.checkHistory()
 }
 
-// faultCode gives the code of a fault, empty for success; any other error leaves the outcome open.
+// faultCode returns the code of a fault, empty for success. Any other error leaves the outcome unknown.
 func faultCode(err error) rpc.Code {
 	switch fault := rpc.AsFault(err); {
 	case err == nil:
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -13,11 +13,11 @@
 	"turmericgap/worker"
 )
 
-// benchVMs is how many VMs may ask the policy service in the benchmarks.
+// benchVMs is how many VMs can send permit requests in the benchmarks.
 const benchVMs = 97
 
-// fullTerm is a term with workers that are full and stages that wait, none of which can start.
-func fullTerm(b *testing.B, workers, stages, allowed int) *term {
+// newFullTerm returns a term whose workers are full and whose stages wait, none of which can start.
+func newFullTerm(b *testing.B, workers, stages, allowed int) *term {
 	var vms []owner.Node
 	for i := range benchVMs {
 		vms = append(vms, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
@@ -51,11 +51,11 @@
 	return t
 }
 
-// BenchmarkPass measures one pass over a full cell, which each end of a task asks for.
+// BenchmarkPass measures one pass over a full cell, which the end of each run triggers.
 func BenchmarkPass(b *testing.B) {
 	for _, size := range []struct{ workers, stages int }{{48, 60}, {350, 400}, {770, 1000}, {3000, 4000}} {
 		b.Run(fmt.Sprintf("workers=%d/stages=%d", size.workers, size.stages), func(b *testing.B) {
-			t := fullTerm(b, size.workers, size.stages, 40)
+			t := newFullTerm(b, size.workers, size.stages, 40)
 			for b.Loop() {
 				t.runPass(time.Now())
 			}
@@ -63,13 +63,12 @@
 	}
 }
 
-// Thousands of works are worth nothing any more after an overload. A pass tries a few of them beside what can be in
-// time, others each time, so that each has its turn; those for which room is kept while they asked have theirs at once,
-// or that room would be free for nobody.
+// Guards against starving expired works, or trying thousands of them in each pass after an overload. A pass tries a few
+// in rotation; those with capacity set aside for a permit request come first, since nobody else can use it.
 func TestLostWorksHaveTheirTurns(t *testing.T) {
 	is := is.New(t)
-	const lost = 300
-	stages := make([]*stage, lost)
+	const expired = 300
+	stages := make([]*stage, expired)
 	order := []urgency{{stage: &stage{}, lateness: latenessOnTime}, {stage: &stage{}, lateness: latenessLate}}
 	for i := range stages {
 		stages[i] = &stage{}
@@ -78,24 +77,24 @@
 	stages[250].setAside = []allocation{{tasks: 1}}
 	tried := make(map[*stage]int)
 	var p pass
-	for range lost/expiredPerPass + 1 {
+	for range expired/expiredPerPass + 1 {
 		p.number++
-		some := p.limitExpired(slices.Clone(order))
-		is.Equal(some[0].stage, order[0].stage)
-		is.Equal(some[1].stage, order[1].stage)
-		is.Equal(some[2].stage, stages[250])
-		is.Equal(len(some), 3+expiredPerPass)
-		for _, u := range some {
+		limited := p.limitExpired(slices.Clone(order))
+		is.Equal(limited[0].stage, order[0].stage)
+		is.Equal(limited[1].stage, order[1].stage)
+		is.Equal(limited[2].stage, stages[250])
+		is.Equal(len(limited), 3+expiredPerPass)
+		for _, u := range limited {
 			tried[u.stage]++
 		}
 	}
-	is.Equal(len(tried), lost+2)
+	is.Equal(len(tried), expired+2)
 	is.Equal(len(p.limitExpired(slices.Clone(order[:2+expiredPerPass]))), 2+expiredPerPass)
 }
 
-// The workers of a caller's availability zone are there and may get nothing new, as when the zone has just been cut off.
-// The first question of a large cell must name others: one that names these alone is in vain, and so is the next.
-func TestFirstQuestionNamesUsableWorkers(t *testing.T) {
+// Guards against permit requests that name only workers of the caller's zone while these get no new tasks, as when the
+// zone has just been cut off: the request and the next one would be in vain.
+func TestFirstPermitRequestNamesUsableWorkers(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tm := newTerm(t.Context(), newOptions(nil), &owner.Tenure{Fence: 1})
@@ -106,7 +105,7 @@
 		n.listed, n.synced, n.heardAt, n.free = true, i%2 == 1, now.Add(time.Second), has
 		n.updateIndex()
 	}
-	s := stageOf(&job.Work{
+	s := newTestStage(&job.Work{
 		ID: "check", Zone: "z0", Queue: job.Queue{Pool: "p", Permit: &checkCost},
 		Steps: []job.Step{{Tasks: 3, Each: job.Resources{Millicores: 4000, MemoryMB: 100}}},
 	})
--- a/dispatch/path_test.go
+++ b/dispatch/path_test.go
@@ -12,14 +12,14 @@
 	"turmericgap/worker"
 )
 
-// A caller hands work in at any entry VM and sees it completed at any other.
+// Checks that work submitted to any entry VM is seen as completed at every other.
 func TestWorkIsDone(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
-		c.workers(3, 4)
-		c.owner()
+		c.addWorkers(3, 4)
+		c.waitForOwner()
 		for _, v := range c.vms {
-			c.submit(v, c.work("0000-"+v.id, job.Step{Tasks: 6}))
+			c.submit(v, c.newWork("0000-"+v.id, job.Step{Tasks: 6}))
 		}
 		for _, v := range c.vms {
 			for _, o := range c.vms {
@@ -30,7 +30,7 @@
 	})
 }
 
-// Steps run in their order, and a task that fails runs again, elsewhere, until its attempts are used up.
+// Checks that steps run in order, and that a failed task runs again until its attempts are used up.
 func TestStepsAndAttempts(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,49 +41,51 @@
 			}
 			return b
 		}, "vm1", "vm2")
-		c.workers(3, 4)
-		v := c.owner()
-		w := c.work("good", job.Step{Tasks: 2})
+		c.addWorkers(3, 4)
+		v := c.waitForOwner()
+		w := c.newWork("good", job.Step{Tasks: 2})
 		w.Steps = append(w.Steps, job.Step{Tasks: 2, Each: w.Steps[0].Each, After: []int{0}})
 		c.submit(v, w)
-		c.submit(v, c.work("bad", job.Step{Tasks: 1}))
+		c.submit(v, c.newWork("bad", job.Step{Tasks: 1}))
 		c.waitForState(v, "good", job.WorkCompleted, 10*time.Second)
 		c.waitForState(v, "bad", job.WorkFailed, 10*time.Second)
-		is.Equal(c.runs("good"), 5)
-		is.Equal(c.runs("bad"), 2)
+		is.Equal(c.countRuns("good"), 5)
+		is.Equal(c.countRuns("bad"), 2)
 		c.checkHistory()
 	})
 }
 
-// A repeat of an ID is the same work, also after its end; work that nobody handed in is not found.
+// Guards against running work twice when its ID is submitted again, also after its end, and checks that an unknown ID
+// is not found.
 func TestRepeatedID(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
-		c.workers(1, 4)
-		c.owner()
+		c.addWorkers(1, 4)
+		c.waitForOwner()
 		for range 2 {
 			for _, v := range c.vms {
-				c.submit(v, c.work("same", job.Step{Tasks: 1}))
+				c.submit(v, c.newWork("same", job.Step{Tasks: 1}))
 			}
-			c.waitForState(c.owner(), "same", job.WorkCompleted, 10*time.Second)
+			c.waitForState(c.waitForOwner(), "same", job.WorkCompleted, 10*time.Second)
 		}
-		is.Equal(c.runs("same"), 1)
-		_, err := c.state(c.owner(), "other")
+		is.Equal(c.countRuns("same"), 1)
+		_, err := c.state(c.waitForOwner(), "other")
 		is.True(isNotFound(err))
 		c.checkHistory()
 	})
 }
 
-// A caller cancels while tasks run: the state is shown at once, the tasks are stopped, none starts again.
+// Guards against tasks that run on or start again after a caller cancels their work, and against reporting the
+// cancellation late.
 func TestCancel(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Minute), "vm1", "vm2")
-		ws := c.workers(2, 4)
-		c.owner()
+		ws := c.addWorkers(2, 4)
+		c.waitForOwner()
 		v := c.vms["vm2"]
-		c.submit(v, c.work("long", job.Step{Tasks: 10}))
+		c.submit(v, c.newWork("long", job.Step{Tasks: 10}))
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active()+ws[1].Active(), 8)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -94,90 +96,90 @@
 		is.Equal(state, job.WorkCancelled)
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active()+ws[1].Active(), 0)
-		is.Equal(c.runs("long"), 8)
+		is.Equal(c.countRuns("long"), 8)
 		c.checkHistory()
 	})
 }
 
-// The owner dies: another VM takes over, what runs goes on, and nothing runs twice.
+// Guards against interrupting runs, or running tasks twice, when the owner dies and another VM takes over.
 func TestOwnerDies(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(8*time.Second), "vm1", "vm2", "vm3")
-		c.workers(3, 4)
-		first := c.owner()
-		c.submit(first, c.work("roster", job.Step{Tasks: 15}))
+		c.addWorkers(3, 4)
+		first := c.waitForOwner()
+		c.submit(first, c.newWork("roster", job.Step{Tasks: 15}))
 		time.Sleep(2 * time.Second)
 		c.kill(first)
-		second := c.owner()
+		second := c.waitForOwner()
 		is.True(second != first)
 		c.waitForState(second, "roster", job.WorkCompleted, 30*time.Second)
-		is.Equal(c.runs("roster"), 15)
+		is.Equal(c.countRuns("roster"), 15)
 		c.checkHistory()
 	})
 }
 
-// A planned stop hands the cell over without the wait for a lease.
+// Guards against a planned stop that leaves the cell without an owner until the lease expires.
 func TestHandOver(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
-		c.workers(1, 4)
-		first := c.owner()
-		begun := time.Now()
+		c.addWorkers(1, 4)
+		first := c.waitForOwner()
+		start := time.Now()
 		first.group.Resign(t.Context())
-		second := c.owner()
+		second := c.waitForOwner()
 		is.True(second != first)
-		is.True(time.Since(begun) < 500*time.Millisecond)
+		is.True(time.Since(start) < 500*time.Millisecond)
 	})
 }
 
-// All entry VMs lose power and come back while the owner's lease has not lapsed. The owner's VM knows
-// the key as that of its own dead process and goes on at once, so that nobody waits for the lease.
+// Guards against waiting for the lease when all VMs restart at once: the owner's VM recognizes the key of its own dead
+// process and takes over at once.
 func TestAllRestart(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(4*time.Second), "vm1", "vm2", "vm3")
-		c.workers(2, 4)
-		v := c.owner()
-		c.submit(v, c.work("roster", job.Step{Tasks: 10}))
+		c.addWorkers(2, 4)
+		v := c.waitForOwner()
+		c.submit(v, c.newWork("roster", job.Step{Tasks: 10}))
 		time.Sleep(2 * time.Second)
 		for _, each := range c.vms {
 			c.kill(each)
 		}
-		begun := time.Now()
+		start := time.Now()
 		for _, id := range []string{"vm1", "vm2", "vm3"} {
-			c.boot(id)
+			c.startVM(id)
 		}
-		again := c.owner()
-		is.True(time.Since(begun) < 700*time.Millisecond)
-		c.waitForState(again, "roster", job.WorkCompleted, 20*time.Second)
-		is.Equal(c.runs("roster"), 10)
+		next := c.waitForOwner()
+		is.True(time.Since(start) < 700*time.Millisecond)
+		c.waitForState(next, "roster", job.WorkCompleted, 20*time.Second)
+		is.Equal(c.countRuns("roster"), 10)
 		c.checkHistory()
 	})
 }
 
-// A weak VM owns the cell because it came first. When a strong one has been there for a while it gets
-// the cell, keeps it when more weak ones come, and nothing that runs is run again.
-func TestStrongVMOwns(t *testing.T) {
+// Guards against a weak VM that keeps the cell because it started first. A stronger VM takes over, keeps the cell when
+// more weak ones join, and running tasks are not started again.
+func TestStrongestVMOwnsCell(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(6*time.Second), "a-weak")
-		c.workers(2, 4)
-		is.Equal(c.owner().id, "a-weak")
-		c.submit(c.owner(), c.work("roster", job.Step{Tasks: 8}))
+		c.addWorkers(2, 4)
+		is.Equal(c.waitForOwner().id, "a-weak")
+		c.submit(c.waitForOwner(), c.newWork("roster", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
-		c.bootStrong("z-strong", 4)
-		c.boot("b-weak")
+		c.startVMWithStrength("z-strong", 4)
+		c.startVM("b-weak")
 		time.Sleep(4 * time.Second)
-		strong := c.owner()
+		strong := c.waitForOwner()
 		is.Equal(strong.id, "z-strong")
 		c.waitForState(strong, "roster", job.WorkCompleted, 20*time.Second)
-		is.Equal(c.runs("roster"), 8)
+		is.Equal(c.countRuns("roster"), 8)
 		time.Sleep(10 * time.Second)
-		is.Equal(c.owner().id, "z-strong")
+		is.Equal(c.waitForOwner().id, "z-strong")
 		c.kill(strong)
-		is.True(c.owner().id != "z-strong")
+		is.True(c.waitForOwner().id != "z-strong")
 		c.checkHistory()
 	})
 }
--- a/dispatch/probe_test.go
+++ b/dispatch/probe_test.go
@@ -11,30 +11,29 @@
 	"turmericgap/standin/floor"
 )
 
-// Forty checks a second run on sixteen workers, each of which loses the answer to one hold of seventeen. The
-// ends that such a hold should have told of are heard only once it is given up, after a second and a half:
-// a check of 800 ms that should be done within 1.4 s is late then, though its tasks ended in time.
+// Guards against late checks when the answer to a hold is lost: the ends that it should have reported would become
+// known only when the hold times out. Workers with overdue runs must be probed sooner.
 func TestLostHoldsDelayFewChecks(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
-		for _, w := range c.workers(16, 16) {
+		for _, w := range c.addWorkers(16, 16) {
 			w.Set(floor.Faults{LoseHold: 17})
 		}
-		v := c.owner()
+		v := c.waitForOwner()
 		time.Sleep(time.Second)
 		const checks = 400
-		handed := make(map[string]time.Time)
+		submitted := make(map[string]time.Time)
 		for i := range checks {
 			id := fmt.Sprintf("check%03d", i)
-			handed[id] = time.Now()
-			c.submit(v, c.work(id, job.Step{Tasks: 2, Estimate: 750 * time.Millisecond}))
+			submitted[id] = time.Now()
+			c.submit(v, c.newWork(id, job.Step{Tasks: 2, Estimate: 750 * time.Millisecond}))
 			time.Sleep(25 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
 		late := 0
-		for id, at := range c.endedAt() {
-			if at.Sub(handed[id]) > 1400*time.Millisecond {
+		for id, at := range c.endTimes() {
+			if at.Sub(submitted[id]) > 1400*time.Millisecond {
 				late++
 			}
 		}
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -11,21 +11,21 @@
 	"turmericgap/worker"
 )
 
-// relayedCell is a cell whose owner reaches two of its 24 workers by itself and the others by way of other VMs.
-func relayedCell(t *testing.T) (c *cell, first *vm) {
+// newRelayedCell returns a cell whose owner calls two of its 24 workers directly and the others through relays.
+func newRelayedCell(t *testing.T) (c *cell, first *vm) {
 	c = newCell(t, runsFor(2*time.Second))
 	c.directWorkers = 2
 	for i := range 5 {
-		c.boot(fmt.Sprint("vm", i+1))
+		c.startVM(fmt.Sprint("vm", i+1))
 	}
-	c.workers(24, 4)
-	first = c.owner()
+	c.addWorkers(24, 4)
+	first = c.waitForOwner()
 	time.Sleep(2 * time.Second)
 	return c, first
 }
 
-// relaysOf gives the VMs by way of which an owner reaches workers.
-func (c *cell) relaysOf(v *vm) []*vm {
+// usedRelays returns the VMs that have relayed calls for an owner.
+func (c *cell) usedRelays(v *vm) []*vm {
 	var list []*vm
 	for _, other := range c.vms {
 		if other != v && other.relayedCalls.Load() > 0 {
@@ -35,11 +35,10 @@
 	return list
 }
 
-// An owner reaches most workers by way of another VM, and that is lost in one of several ways while tasks run. Its
-// silence is not that of its workers: none of them may count as silent for as long as its lease, no task may be lost
-// or done twice, and what comes meanwhile is served as if nothing had happened.
+// Guards against treating the silence of a relay as that of its workers: their runs would count as unresolved until
+// their leases expire. No task may be lost or run twice, and new work must be served as usual.
 func TestRelayIsLost(t *testing.T) {
-	for name, lose := range map[string]func(c *cell, r *vm){
+	for name, fail := range map[string]func(c *cell, r *vm){
 		"dies":                      func(c *cell, r *vm) { c.kill(r) },
 		"is cut off from the owner": func(_ *cell, r *vm) { r.repliesCut.Store(true) },
 		"is cut off from workers":   func(_ *cell, r *vm) { r.workersCut.Store(true) },
@@ -48,54 +47,54 @@
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c, first := relayedCell(t)
+				c, first := newRelayedCell(t)
 				for i := range 6 {
-					c.submit(first, c.work(fmt.Sprint("before", i), job.Step{Tasks: 8}))
+					c.submit(first, c.newWork(fmt.Sprint("before", i), job.Step{Tasks: 8}))
 				}
 				time.Sleep(time.Second)
-				relays := c.relaysOf(first)
-				is.Equal(len(relays), 1) // as few as do
-				lose(c, relays[0])
+				relays := c.usedRelays(first)
+				is.Equal(len(relays), 1) // no more relays than needed
+				fail(c, relays[0])
 				for i := range 6 {
-					c.submit(first, c.work(fmt.Sprint("after", i), job.Step{Tasks: 8}))
+					c.submit(first, c.newWork(fmt.Sprint("after", i), job.Step{Tasks: 8}))
 				}
 				for i := range 6 {
-					for _, when := range []string{"before", "after"} {
-						id := fmt.Sprint(when, i)
+					for _, phase := range []string{"before", "after"} {
+						id := fmt.Sprint(phase, i)
 						c.waitForState(first, id, job.WorkCompleted, 6*time.Second)
-						is.Equal(c.runs(id), 8)
+						is.Equal(c.countRuns(id), 8)
 					}
 				}
 				for _, r := range c.floor.History() {
 					is.Equal(r.How, worker.EndingDone)
 				}
-				is.True(first.disp.IsOwner())
+				is.True(first.dispatcher.IsOwner())
 				c.checkHistory()
 			})
 		})
 	}
 }
 
-// The owner dies while starts of its are under way by way of a relay that holds them up. They reach the workers after
-// its successor has: they are refused there, and each task is done once.
+// Guards against running tasks twice when the owner dies while a relay delays its launches: they reach the workers
+// after the next owner has, and the workers must refuse them.
 func TestLateOrdersOfARelay(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c, first := relayedCell(t)
-		relays := c.relaysOf(first)
+		c, first := newRelayedCell(t)
+		relays := c.usedRelays(first)
 		relays[0].callDelay.Store(int64(1200 * time.Millisecond))
 		for i := range 6 {
-			c.submit(first, c.work(fmt.Sprint("work", i), job.Step{Tasks: 8}))
+			c.submit(first, c.newWork(fmt.Sprint("work", i), job.Step{Tasks: 8}))
 		}
 		time.Sleep(100 * time.Millisecond)
 		c.kill(first)
-		next := c.successor(first)
+		next := c.waitForSuccessor(first)
 		time.Sleep(time.Second)
 		relays[0].callDelay.Store(0)
 		for i := range 6 {
 			c.waitForState(next, fmt.Sprint("work", i), job.WorkCompleted, 20*time.Second)
 		}
-		is.True(next.disp.IsOwner())
+		is.True(next.dispatcher.IsOwner())
 		c.checkHistory()
 	})
 }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -14,54 +14,54 @@
 	"turmericgap/worker"
 )
 
-// replay plays a load through the decisions of an owner, without store, workers or connections: what is durable
-// and what a worker confirms happens at once. Each answer and end has a moment of its own, so that the same load
-// gives the same decisions each time. It runs under the test's clock.
+// replay runs a load through the decisions of an owner without store, workers or connections: commits and launches
+// succeed at once. Each answer and each end has a distinct time, so the same load always leads to the same decisions.
+// It runs under the test's fake clock.
 type replay struct {
 	term *term
-	// ticker stands for the term's own ticks.
+	// ticker replaces the ticker of the term.
 	ticker *time.Ticker
 	events eventHeap
-	// runs gives how long a task works.
-	runs map[string]time.Duration
-	// began is when the load began; the decisions are listed from there.
-	began     time.Time
+	// runTimes holds the duration of the tasks of each work.
+	runTimes map[string]time.Duration
+	// startedAt is the start of the load; decisions are logged relative to it.
+	startedAt time.Time
 	decisions bytes.Buffer
-	// ended counts the works that are done.
-	ended int
+	// endedCount is the number of completed works.
+	endedCount int
 }
 
-// timedEvent is something that happens at a time.
+// timedEvent is an event that is due at a time.
 type timedEvent struct {
 	at time.Time
 	do func()
 }
 
-// eventHeap is a heap of them.
+// eventHeap orders events by time.
 type eventHeap []timedEvent
 
-func (m eventHeap) Len() int           { return len(m) }
-func (m eventHeap) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
-func (m eventHeap) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *eventHeap) Push(x any)        { *m = append(*m, x.(timedEvent)) }
-func (m *eventHeap) Pop() any {
-	last := (*m)[len(*m)-1]
-	*m = (*m)[:len(*m)-1]
+func (h eventHeap) Len() int           { return len(h) }
+func (h eventHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h eventHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)        { *h = append(*h, x.(timedEvent)) }
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// newReplay has so many VMs that may ask, and the answers of a policy service.
+// newReplay returns a replay whose owner can send permit requests through that many VMs, which answer decides.
 func newReplay(ctx context.Context, vms int, answer func(*permit.Request) ([]string, time.Duration), opts ...Option) *replay {
 	var nodes []owner.Node
 	for i := range vms {
 		nodes = append(nodes, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
 	}
 	ask := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
-		names, takes := answer(q)
+		names, delay := answer(q)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(takes + jitter(q.Work, q.Step, q.Workers[0])):
+		case <-time.After(delay + jitter(q.Work, q.Step, q.Workers[0])):
 		}
 		a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 		for _, id := range names {
@@ -71,20 +71,20 @@
 	}
 	opts = append(opts, Permits(func() []owner.Node { return nodes }, ask))
 	tenure := &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }}
-	r := &replay{term: newTerm(ctx, newOptions(opts), tenure), runs: make(map[string]time.Duration), began: time.Now()}
+	r := &replay{term: newTerm(ctx, newOptions(opts), tenure), runTimes: make(map[string]time.Duration), startedAt: time.Now()}
 	r.term.endedLoaded = true
 	return r
 }
 
-// jitter is a short time that differs from event to event.
+// jitter returns a duration below 1 ms that differs between events.
 func jitter(parts ...any) time.Duration {
 	h := fnv.New32a()
 	fmt.Fprint(h, parts...)
 	return time.Duration(h.Sum32()%999_983) * time.Nanosecond
 }
 
-// worker adds a worker that answers all calls.
-func (r *replay) worker(id, zone, rack string, has job.Resources) *node {
+// addWorker adds a worker that confirms all calls at once.
+func (r *replay) addWorker(id, zone, rack string, has job.Resources) *node {
 	t := r.term
 	n := t.nodeFor(id)
 	n.listing = worker.Listing{Info: worker.Info{ID: id, Zone: zone, Rack: rack, Has: has}, Pool: "p"}
@@ -97,27 +97,27 @@
 	return n
 }
 
-// at has f done at a time at the load began.
+// at schedules f at a time after the start of the load.
 func (r *replay) at(d time.Duration, f func()) {
-	heap.Push(&r.events, timedEvent{r.began.Add(d), f})
+	heap.Push(&r.events, timedEvent{r.startedAt.Add(d), f})
 }
 
-// submitAt hands in a work whose tasks work so long.
-func (r *replay) submitAt(d time.Duration, w *job.Work, runs time.Duration) {
-	r.runs[w.ID] = runs
+// submitAt schedules the submission of a work whose tasks take that long.
+func (r *replay) submitAt(d time.Duration, w *job.Work, duration time.Duration) {
+	r.runTimes[w.ID] = duration
 	r.at(d, func() {
 		w.Accepted = time.Now()
 		r.term.addWork(w)
 	})
 }
 
-// run runs the load until a time after it began.
+// run simulates the load until that time after its start.
 func (r *replay) run(until time.Duration) {
 	r.ticker = time.NewTicker(tickInterval)
 	defer r.ticker.Stop()
 	r.markHeard()
 	r.at(until, func() {})
-	for end := r.began.Add(until); time.Now().Before(end); {
+	for end := r.startedAt.Add(until); time.Now().Before(end); {
 		next := time.NewTimer(time.Until(r.events[0].at))
 		select {
 		case f := <-r.term.events:
@@ -138,14 +138,14 @@
 	r.term.close()
 }
 
-// markHeard lets all workers have answered just now.
+// markHeard makes all workers appear to have just answered.
 func (r *replay) markHeard() {
 	for _, n := range r.term.nodes {
 		n.heardAt, n.clockAt = time.Now(), time.Now()
 	}
 }
 
-// commitAll makes durable what was decided, and has the runs that began end in time.
+// commitAll makes all queued commits durable and schedules the ends of the runs that they start.
 func (r *replay) commitAll() {
 	t := r.term
 	for len(t.committer.queue) > 0 {
@@ -163,12 +163,12 @@
 		if s.entry.isRemovable() && !s.entry.endQueued {
 			s.entry.endQueued = true
 			delete(t.entries, s.entry.work.ID)
-			r.ended++
+			r.endedCount++
 		}
 	}
 }
 
-// scheduleEnds has the runs of a stage that were decided just now end in time.
+// scheduleEnds logs the runs of a stage that have just been decided and schedules their ends.
 func (r *replay) scheduleEnds(s *stage) {
 	for i := range s.tasks {
 		k := s.tasks[i].run
@@ -176,8 +176,8 @@
 			continue
 		}
 		task := k.task()
-		now := time.Since(r.began)
+		now := time.Since(r.startedAt)
 		fmt.Fprintf(&r.decisions, "%9.3f ms %s.%d.%d run %d on %s\n", float64(now.Microseconds())/1000, task.Work, task.Step, task.Index, k.number, k.node.id)
-		r.at(now+r.runs[task.Work]+jitter(task, k.number), func() { r.term.endRun(k, worker.EndingDone, "") })
+		r.at(now+r.runTimes[task.Work]+jitter(task, k.number), func() { r.term.endRun(k, worker.EndingDone, "") })
 	}
 }
--- a/dispatch/report_test.go
+++ b/dispatch/report_test.go
@@ -13,9 +13,9 @@
 	"turmericgap/metric"
 )
 
-// The queues of a cell come and go all day. If each that was ever there had its lines each second, they would fill
-// the log; only what waits or has changed is told of. A work that another writer left without steps ends nothing.
-func TestQuietQueuesAreNotLogged(t *testing.T) {
+// Guards against filling the log with a line per second for each queue that ever existed: only queues with waiting work
+// or changes are logged. A work without steps, which another writer may store, must be handled like any other.
+func TestIdleQueuesAreNotLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
 	tm := &term{
@@ -28,12 +28,12 @@
 		logs.TakeAll()
 		return n
 	}
-	s := stageOf(&job.Work{ID: "roster", Queue: job.Queue{Name: "rosters"}, Steps: []job.Step{{Tasks: 1, Gang: true}}})
+	s := newTestStage(&job.Work{ID: "roster", Queue: job.Queue{Name: "rosters"}, Steps: []job.Step{{Tasks: 1, Gang: true}}})
 	tm.recordSize(s.entry)
 	tm.recordSize(newEntry(&job.Work{ID: "empty", Queue: job.Queue{Name: "others"}}))
 	tm.waitingStages[s] = struct{}{}
 	is.Equal(lines(), 2)
-	is.Equal(lines(), 1) // the roster waits
+	is.Equal(lines(), 1) // the roster still waits
 	delete(tm.waitingStages, s)
 	is.Equal(lines(), 0)
 	tm.countOutcomeOnce(s.entry, outcomeLost)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -15,54 +15,54 @@
 	"turmericgap/store"
 )
 
-// rules stores a version of the operators' rules, as their command line does.
-func (c *cell) rules(version int, rules string) {
+// putRules stores a version of the operators' rules as the command line tool does, and waits until the VMs have read
+// it.
+func (c *cell) putRules(version int, rules string) {
 	c.put(store.Op{Key: owner.RulesKey, Value: fmt.Appendf(nil, `{"version":%d,"editor":"asha","rules":{"version":%d,"rules":%s}}`, version, version, rules)})
 	time.Sleep(500 * time.Millisecond)
 }
 
-func (c *cell) trySubmit(v *vm, w *job.Work) *rpc.Fault {
+func (c *cell) submitFault(v *vm, w *job.Work) *rpc.Fault {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 3*time.Second)
 	defer cancel()
 	return rpc.AsFault(v.front.Submit(ctx, w))
 }
 
-// Operators refuse large work for a while. Each entry VM says so within a second, with the rule, its reason
-// and when to come again; nothing of the work ever runs. A caller whose work was accepted before, and who
-// repeats it, must be told that it is accepted. Rules with findings and older ones change nothing.
+// Guards against a refusal without the rule, its reason and its retry time, against running refused work, and against
+// refusing the retry of work that was accepted before the rule. Invalid rules and older versions must be ignored.
 func TestRulesRefuse(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
-		c.workers(4, 4)
-		c.owner()
+		c.addWorkers(4, 4)
+		c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		before := c.work("before", job.Step{Tasks: 8})
+		before := c.newWork("before", job.Step{Tasks: 8})
 		c.submit(c.vms["vm1"], before)
-		c.rules(3, `[{"id":"no-large","when":"tasks > 4 && class == \"roster\"","then":[{"kind":"refuse","with":{"reason":"month end","retryAfterSeconds":7}}]}]`)
+		c.putRules(3, `[{"id":"no-large","when":"tasks > 4 && class == \"roster\"","then":[{"kind":"refuse","with":{"reason":"month end","retryAfterSeconds":7}}]}]`)
 		for _, v := range c.vms {
-			fault := c.trySubmit(v, c.work("large-"+v.id, job.Step{Tasks: 8}))
+			fault := c.submitFault(v, c.newWork("large-"+v.id, job.Step{Tasks: 8}))
 			is.True(fault != nil)
 			is.Equal(fault.Code, rpc.CodeRefused)
 			is.Equal(fault.Reason, "rule no-large: month end")
 			is.Equal(fault.RetryAfter, 7*time.Second)
-			is.True(c.trySubmit(v, before) == nil)
-			is.True(c.trySubmit(v, c.work("small-"+v.id, job.Step{Tasks: 2})) == nil)
+			is.True(c.submitFault(v, before) == nil)
+			is.True(c.submitFault(v, c.newWork("small-"+v.id, job.Step{Tasks: 2})) == nil)
 		}
-		c.rules(2, `[]`)
-		c.rules(4, `[{"id":"","then":[]}]`)
-		is.True(c.trySubmit(c.vms["vm2"], c.work("large", job.Step{Tasks: 8})) != nil)
+		c.putRules(2, `[]`)
+		c.putRules(4, `[{"id":"","then":[]}]`)
+		is.True(c.submitFault(c.vms["vm2"], c.newWork("large", job.Step{Tasks: 8})) != nil)
 		time.Sleep(10 * time.Second)
-		is.Equal(c.runs("large-vm1")+c.runs("large-vm2")+c.runs("large"), 0)
-		c.rules(5, `[]`)
-		c.submit(c.vms["vm2"], c.work("large", job.Step{Tasks: 8}))
+		is.Equal(c.countRuns("large-vm1")+c.countRuns("large-vm2")+c.countRuns("large"), 0)
+		c.putRules(5, `[]`)
+		c.submit(c.vms["vm2"], c.newWork("large", job.Step{Tasks: 8}))
 		c.waitForState(c.vms["vm1"], "large", job.WorkCompleted, 10*time.Second)
 		c.checkHistory()
 	})
 }
 
-// Sweeps may use three cores at a time, and batches go before the checks that are otherwise more urgent:
-// the first rule that holds decides, for what waits already too, and after a take-over as before.
+// Checks that a limit on running tasks and a priority set by rules apply to waiting work as well, that the first
+// matching rule decides, and that a takeover changes neither.
 func TestRulesGovern(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -72,45 +72,45 @@
 			{Name: "check", Pool: pool, Attempts: 2, Slack: 9, Target: time.Minute},
 			{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 9, Target: time.Minute},
 		}
-		c.workers(2, 4)
-		v := c.owner()
+		c.addWorkers(2, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		hand := func(queue, id string, tasks int) {
-			c.submitTo(v, queue, id, job.Step{Tasks: tasks, Estimate: 2 * time.Second})
+		submit := func(queue, id string, tasks int) {
+			c.submitToQueue(v, queue, id, job.Step{Tasks: tasks, Estimate: 2 * time.Second})
 		}
-		c.rules(1, `[{"id":"sweeps","when":"class == \"sweep\"","then":[{"kind":"limit","with":{"mostRunning":3}}]},
+		c.putRules(1, `[{"id":"sweeps","when":"class == \"sweep\"","then":[{"kind":"limit","with":{"mostRunning":3}}]},
 			{"id":"batches","when":"class in [\"sweep\", \"batch\"]","then":[{"kind":"queue","with":{"priority":4}}]}]`)
-		hand("sweep", "sweep", 9)
+		submit("sweep", "sweep", 9)
 		time.Sleep(time.Second)
-		is.Equal(c.runs("sweep"), 3)
-		hand("check", "check", 10)
-		hand("batch", "batch", 5)
+		is.Equal(c.countRuns("sweep"), 3)
+		submit("check", "check", 10)
+		submit("batch", "batch", 5)
 		time.Sleep(500 * time.Millisecond)
 		c.kill(v)
-		v = c.owner()
+		v = c.waitForOwner()
 		for _, id := range []string{"sweep", "check", "batch"} {
 			c.waitForState(v, id, job.WorkCompleted, time.Minute)
 		}
-		first := make(map[string]time.Time)
+		lastStart := make(map[string]time.Time)
 		for _, r := range c.floor.History() {
-			first[r.Task.Work] = laterOf(first[r.Task.Work], r.Begun)
+			lastStart[r.Task.Work] = later(lastStart[r.Task.Work], r.Begun)
 		}
-		is.True(first["batch"].Before(first["check"])) // its last task began before the last check
+		is.True(lastStart["batch"].Before(lastStart["check"])) // its last task started before the last check
 		is.True(maxConcurrent(c, "sweep") <= 3)
 		c.checkHistory()
 	})
 }
 
-func laterOf(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// maxConcurrent counts the runs of a work that were present together.
+// maxConcurrent returns how many runs of a work were present at once, at most.
 func maxConcurrent(c *cell, id string) int {
-	most := 0
+	highest := 0
 	for _, at := range c.floor.History() {
 		n := 0
 		for _, r := range c.floor.History() {
@@ -118,7 +118,7 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -12,9 +12,8 @@
 	"turmericgap/worker"
 )
 
-// Batches of 1 to 16 tasks come half as fast again as the cell can take them. By the order of their goals
-// each would be started shortly before it is late, and most would end late. The small ones first, more
-// callers are served in time; the large ones must get their share all the same.
+// Guards against ordering by deadline under overload: each work would start shortly before it is late, and most would
+// end late. Starting small works first serves more callers on time, and large works must still get their share.
 func TestSmallWorksFirstUnderOverload(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -22,39 +21,39 @@
 			return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues[0].Slack, c.config.Queues[0].Target = 3, time.Second
-		c.workers(4, 8)
-		v := c.owner()
+		c.addWorkers(4, 8)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		tasks := []int{1, 2, 2, 3, 4, 16, 1, 2, 3, 4, 2, 8}
-		handed := make(map[string]time.Time)
+		submitted := make(map[string]time.Time)
 		for i := range 144 {
 			id := fmt.Sprint("batch", i)
-			c.submit(v, c.work(id, job.Step{Tasks: tasks[i%len(tasks)], Estimate: 2 * time.Second}))
-			handed[id] = time.Now()
+			c.submit(v, c.newWork(id, job.Step{Tasks: tasks[i%len(tasks)], Estimate: 2 * time.Second}))
+			submitted[id] = time.Now()
 			time.Sleep(167 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Minute)
-		last := make(map[string]time.Time)
+		endedAt := make(map[string]time.Time)
 		for _, r := range c.floor.History() {
-			if r.Ended.After(last[r.Task.Work]) {
-				last[r.Task.Work] = r.Ended
+			if r.Ended.After(endedAt[r.Task.Work]) {
+				endedAt[r.Task.Work] = r.Ended
 			}
 		}
 		const objective = 7 * time.Second
-		inTime, large := 0, 0
+		onTime, largeInTime := 0, 0
 		for i := range 144 {
 			id := fmt.Sprint("batch", i)
-			took := last[id].Sub(handed[id])
-			if took <= objective {
-				inTime++
+			elapsed := endedAt[id].Sub(submitted[id])
+			if elapsed <= objective {
+				onTime++
 			}
-			if tasks[i%len(tasks)] == 16 && took <= 3*objective {
-				large++
+			if tasks[i%len(tasks)] == 16 && elapsed <= 3*objective {
+				largeInTime++
 			}
 		}
-		t.Logf("%d of 144 in time, of the 12 largest %d before they are worth nothing", inTime, large)
-		is.True(inTime >= 110)
-		is.True(large >= 8)
+		t.Logf("%d of 144 on time, %d of the 12 largest before they expire", onTime, largeInTime)
+		is.True(onTime >= 110)
+		is.True(largeInTime >= 8)
 		c.checkHistory()
 	})
 }
--- a/dispatch/taken_test.go
+++ b/dispatch/taken_test.go
@@ -13,24 +13,23 @@
 	"turmericgap/rpc"
 )
 
-// An owner that is behind has taken works and not made them durable yet, as its store is slow; their callers have given
-// up, and hand the same IDs in at another VM. Told "refused" there, they would believe that their works never run, and
-// these run all the same: neither the store nor the other VM knows of them, the owner alone does.
+// Guards against refusing, at another VM, a work that an overloaded owner has accepted but not yet committed to its
+// slow store: only the owner knows of the work, and it runs although its caller was told that it never will.
 func TestTakenWorkIsNotRefusedElsewhere(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(300*time.Millisecond))
-		c.onExamined = func(looks int) { time.Sleep(time.Duration(looks) * time.Millisecond) }
-		c.boot("vm1")
-		c.workers(20, 16)
-		first := c.owner()
-		other := c.boot("vm2")
+		c.onExamined = func(examined int) { time.Sleep(time.Duration(examined) * time.Millisecond) }
+		c.startVM("vm1")
+		c.addWorkers(20, 16)
+		first := c.waitForOwner()
+		other := c.startVM("vm2")
 		time.Sleep(6 * time.Second)
 		var callers sync.WaitGroup
 		for i := range 400 {
 			time.Sleep(20 * time.Millisecond)
 			callers.Go(func() {
-				c.trySubmit(other, c.work(fmt.Sprint("load", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
+				c.submitFault(other, c.newWork(fmt.Sprint("load", i), job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
 			})
 		}
 		first.store.Delay(600 * time.Millisecond)
@@ -42,8 +41,8 @@
 			callers.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				defer cancel()
-				_ = first.front.Submit(ctx, c.work(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
-				fault := c.trySubmit(other, c.work(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
+				_ = first.front.Submit(ctx, c.newWork(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
+				fault := c.submitFault(other, c.newWork(id, job.Step{Tasks: 1, Estimate: 300 * time.Millisecond}))
 				mu.Lock()
 				defer mu.Unlock()
 				refused[id] = fault != nil && fault.Code == rpc.CodeRefused
@@ -53,11 +52,11 @@
 		first.store.Delay(0)
 		time.Sleep(20 * time.Second)
 		ran := 0
-		for id, no := range refused {
-			if c.runs(id) > 0 {
+		for id, wasRefused := range refused {
+			if c.countRuns(id) > 0 {
 				ran++
-				if no {
-					t.Errorf("%s was refused, and has run", id)
+				if wasRefused {
+					t.Errorf("%s was refused but has run", id)
 				}
 			}
 		}
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	wavesPrefix = "waves/"
-	holderLease = 3 * time.Second
-	upkeepTakes = 2 * time.Second
+	wavesPrefix    = "waves/"
+	holderLease    = 3 * time.Second
+	upkeepDuration = 2 * time.Second
 )
 
 var errCloudSilent = errors.New("no answer")
 
-// cloud is the platform's service for VMs: each order ends what runs on a VM, which comes back with another
-// worker. It notes what no order may do.
-type cloud struct {
+// fakeCloud stands in for the platform's VM service: an upkeep order ends all runs on a VM, which returns with another
+// worker. It records orders that violate the protocol.
+type fakeCloud struct {
 	c  *cell
 	mu sync.Mutex
-	// vms holds the VMs, workers the present worker of each, done those that have had their upkeep.
+	// vms holds the VMs, workers the current worker of each, and serviced those that have had their upkeep.
 	vms        map[string]*maintenance.VM
 	workers    map[string]*floor.Worker
-	done       map[string]bool
+	serviced   map[string]bool
 	generation int
-	// answersToDrop ordersToDrop the answers of the next orders, which are carried out; ordersToDrop answersToDrop the next orders.
+	// answersToDrop is how many of the next orders are executed without an answer, ordersToDrop how many are lost before.
 	answersToDrop, ordersToDrop int
-	// slowList is how long a list is under way after it was made, slowOrder an order before it is carried out.
-	slowList, slowOrder time.Duration
-	// suspends is how much each look at the clock that counts suspends is later than the one before.
-	suspends time.Duration
-	looks    time.Duration
-	most     int
-	away     int
-	faults   []string
-	began    time.Time
-	holder   string
-	last     time.Time
-	fence    int64
+	// listDelay delays the answer to a list after the list was made, orderDelay an order before it is executed.
+	listDelay, orderDelay time.Duration
+	// suspendPerRead is the suspend time to add at each read of the clock that counts suspends, clockOffset its total.
+	suspendPerRead time.Duration
+	clockOffset    time.Duration
+	maxAway        int
+	away           int
+	violations     []string
+	startedAt      time.Time
+	holder         string
+	lastOrderAt    time.Time
+	fence          int64
 }
 
-func newCloud(c *cell, ws []*floor.Worker, most int) *cloud {
-	k := &cloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), done: make(map[string]bool), most: most, began: time.Now()}
+func newFakeCloud(c *cell, ws []*floor.Worker, maxAway int) *fakeCloud {
+	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxAway: maxAway, startedAt: time.Now()}
 	for i, w := range ws {
 		id := fmt.Sprint("host", i)
 		k.vms[id] = &maintenance.VM{ID: id, Pool: pool, State: maintenance.Up, Worker: w.Info().ID}
@@ -63,9 +63,9 @@
 	return k
 }
 
-func (k *cloud) waves(self string) *dispatch.Waves {
+func (k *fakeCloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, UpkeepDuration: upkeepTakes,
+		Prefix: wavesPrefix, Self: self, Lease: holderLease, UpkeepDuration: upkeepDuration,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
@@ -75,20 +75,20 @@
 	}
 }
 
-func (k *cloud) sinceBoot() time.Duration {
+func (k *fakeCloud) sinceBoot() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.looks += k.suspends
-	return time.Since(k.began) + k.looks
+	k.clockOffset += k.suspendPerRead
+	return time.Since(k.startedAt) + k.clockOffset
 }
 
-func (k *cloud) list(context.Context) ([]maintenance.VM, error) {
-	out := k.present()
-	time.Sleep(k.slowList)
+func (k *fakeCloud) list(context.Context) ([]maintenance.VM, error) {
+	out := k.snapshot()
+	time.Sleep(k.listDelay)
 	return out, nil
 }
 
-func (k *cloud) present() []maintenance.VM {
+func (k *fakeCloud) snapshot() []maintenance.VM {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []maintenance.VM
@@ -98,9 +98,9 @@
 	return out
 }
 
-func (k *cloud) upkeep(ctx context.Context, o maintenance.Order) error {
-	time.Sleep(k.slowOrder)
-	lost, err := k.carryOut(o)
+func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.Order) error {
+	time.Sleep(k.orderDelay)
+	lost, err := k.execute(o)
 	if lost {
 		<-ctx.Done()
 		return errCloudSilent
@@ -108,8 +108,8 @@
 	return err
 }
 
-// carryOut does what an order says; lost says that its answer never arrives.
-func (k *cloud) carryOut(o maintenance.Order) (lost bool, err error) {
+// execute carries out an order; lost reports that its answer never arrives.
+func (k *fakeCloud) execute(o maintenance.Order) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ordersToDrop--; k.ordersToDrop >= 0 {
@@ -117,51 +117,51 @@
 	}
 	now := time.Now()
 	if o.Fence < k.fence {
-		k.faults = append(k.faults, "an order with a lower fence after a higher one")
+		k.violations = append(k.violations, "an order with a lower fence after one with a higher fence")
 	}
-	if k.holder != "" && k.holder != o.Holder && now.Sub(k.last) < holderLease {
-		k.faults = append(k.faults, "two holders take turns within a lease")
+	if k.holder != "" && k.holder != o.Holder && now.Sub(k.lastOrderAt) < holderLease {
+		k.violations = append(k.violations, "an order of a second holder within the lease of the first")
 	}
-	k.holder, k.last, k.fence = o.Holder, now, o.Fence
+	k.holder, k.lastOrderAt, k.fence = o.Holder, now, o.Fence
 	vm := k.vms[o.VM]
-	if k.done[o.VM] {
+	if k.serviced[o.VM] {
 		return false, nil
 	}
 	if vm.State != maintenance.Up {
 		return false, maintenance.ErrBusy
 	}
-	if k.away++; k.away > k.most {
-		k.faults = append(k.faults, "too many VMs are away")
+	if k.away++; k.away > k.maxAway {
+		k.violations = append(k.violations, "too many VMs are in upkeep")
 	}
-	k.done[o.VM] = true
+	k.serviced[o.VM] = true
 	vm.State, vm.Worker = maintenance.Upkeep, ""
-	old := k.workers[o.VM]
-	old.Crash(true)
-	time.AfterFunc(upkeepTakes, func() { k.returnVM(vm, old) })
+	oldWorker := k.workers[o.VM]
+	oldWorker.Crash(true)
+	time.AfterFunc(upkeepDuration, func() { k.returnVM(vm, oldWorker) })
 	k.answersToDrop--
 	return k.answersToDrop >= 0, nil
 }
 
-// served counts the VMs that have had their upkeep.
-func (k *cloud) served() int {
+// servicedCount returns how many VMs have had their upkeep.
+func (k *fakeCloud) servicedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.done)
+	return len(k.serviced)
 }
 
-// returnVM lets a VM come returnVM with another worker.
-func (k *cloud) returnVM(vm *maintenance.VM, old *floor.Worker) {
-	k.c.put(store.Op{Delete: true, Key: workersPrefix + old.Info().ID})
+// returnVM brings a VM back with another worker.
+func (k *fakeCloud) returnVM(vm *maintenance.VM, oldWorker *floor.Worker) {
+	k.c.put(store.Op{Delete: true, Key: workersPrefix + oldWorker.Info().ID})
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.away--
 	k.generation++
-	w := k.c.worker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
+	w := k.c.addWorker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
 	k.workers[vm.ID] = w
 	vm.State, vm.Worker = maintenance.Up, w.Info().ID
 }
 
-func (c *cell) wave(w maintenance.Wave) {
+func (c *cell) putWave(w maintenance.Wave) {
 	raw, err := json.Marshal(&w)
 	if err != nil {
 		c.t.Fatal(err)
@@ -169,60 +169,59 @@
 	c.put(store.Op{Key: fmt.Sprint(wavesPrefix, w.Number), Value: raw})
 }
 
-// completed reports whether a wave is said to be completed.
-func (c *cell) completed(number int) bool {
+// isWaveCompleted reports whether the owner has stored that a wave is completed.
+func (c *cell) isWaveCompleted(number int) bool {
 	res, err := c.kv.Store().Range(c.t.Context(), store.Range{Key: fmt.Sprint("wavestatus/", number)})
 	return err == nil && len(res.Pairs) == 1 && string(res.Pairs[0].Value) == "true"
 }
 
-// Operators ask for the upkeep of all VMs, one at a time, while batches run. Each is emptied first, so that no
-// work is lost; the wave is in time and is said to be completed when the last VM has begun. That holds also
-// where the owner dies in the middle, whose successor must wait for a lease before its own orders, and where
-// answers to orders are lost: the same order again changes nothing.
+// Guards against upkeep that loses work, violates the limit of the wave or ends late: VMs are drained one at a time
+// while batches run. It must also hold when the owner dies, whose successor has to wait for a lease before its own
+// orders, and when orders or their answers are lost, since a repeated order changes nothing.
 func TestWaveOfUpkeep(t *testing.T) {
 	cases := []struct {
-		name         string
-		kill         bool
-		loses, drops int
-		slow         time.Duration
+		name                        string
+		kill                        bool
+		answersToDrop, ordersToDrop int
+		delay                       time.Duration
 	}{
-		{name: "calm"},
+		{name: "no faults"},
 		{name: "the owner dies", kill: true},
-		{name: "answers are lost", loses: 2},
-		{name: "orders are lost", drops: 2},
-		{name: "the platform is slow", slow: 900 * time.Millisecond},
+		{name: "answers are lost", answersToDrop: 2},
+		{name: "orders are lost", ordersToDrop: 2},
+		{name: "the platform is slow", delay: 900 * time.Millisecond},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(1500*time.Millisecond))
-				ws := c.workers(4, 4)
-				k := newCloud(c, ws, 1)
-				k.answersToDrop, k.ordersToDrop = one.loses, one.drops
-				k.slowOrder, k.slowList = one.slow, one.slow
+				ws := c.addWorkers(4, 4)
+				k := newFakeCloud(c, ws, 1)
+				k.answersToDrop, k.ordersToDrop = tc.answersToDrop, tc.ordersToDrop
+				k.orderDelay, k.listDelay = tc.delay, tc.delay
 				c.cloud = k
-				kill := one.kill
-				c.boot("vm1")
-				c.boot("vm2")
-				v := c.owner()
+				kill := tc.kill
+				c.startVM("vm1")
+				c.startVM("vm2")
+				v := c.waitForOwner()
 				time.Sleep(3 * time.Second)
-				c.wave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, Within: 40 * time.Second, Most: 1})
-				begun := time.Now()
-				for i := 0; !c.completed(7); i++ {
-					is.True(time.Since(begun) < 40*time.Second)
+				c.putWave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, Within: 40 * time.Second, Most: 1})
+				start := time.Now()
+				for i := 0; !c.isWaveCompleted(7); i++ {
+					is.True(time.Since(start) < 40*time.Second)
 					if !v.dead.Load() {
-						_ = c.trySubmit(v, c.work(fmt.Sprint("batch", i), job.Step{Tasks: 2}))
+						_ = c.submitFault(v, c.newWork(fmt.Sprint("batch", i), job.Step{Tasks: 2}))
 					}
 					time.Sleep(500 * time.Millisecond)
-					if kill && k.served() == 2 {
+					if kill && k.servicedCount() == 2 {
 						kill = false
 						c.kill(v)
-						v = c.owner()
+						v = c.waitForOwner()
 					}
 				}
-				is.Equal(k.served(), 4)
-				is.Equal(k.faults, nil)
+				is.Equal(k.servicedCount(), 4)
+				is.Equal(k.violations, nil)
 				time.Sleep(20 * time.Second)
 				for _, r := range c.floor.History() {
 					is.True(r.How == worker.EndingDone)
@@ -233,115 +232,113 @@
 	}
 }
 
-// A service runs on two VMs and may miss one task at a time. Both VMs are to have their upkeep, two at once as
-// far as the wave is concerned: the second must wait until the first task is at work elsewhere.
+// Guards against ordering upkeep of both VMs of a service that may miss one task at a time: the second VM must wait
+// until the first task runs elsewhere, although the wave allows two VMs at once.
 func TestUpkeepLeavesServices(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Runs: time.Hour, How: worker.EndingDone, Lasts: true, Needs: job.Resources{Millicores: 1000}}
 		})
-		ws := c.workers(2, 4)
-		k := newCloud(c, ws, 2)
+		ws := c.addWorkers(2, 4)
+		k := newFakeCloud(c, ws, 2)
 		c.cloud = k
-		c.boot("vm1")
-		v := c.owner()
+		c.startVM("vm1")
+		v := c.waitForOwner()
 		time.Sleep(3 * time.Second)
-		c.submit(v, c.work("desk", job.Step{Tasks: 2, Service: true, MostPerWorker: 1, MostAway: 1}))
+		c.submit(v, c.newWork("desk", job.Step{Tasks: 2, Service: true, MostPerWorker: 1, MostAway: 1}))
 		time.Sleep(2 * time.Second)
-		c.worker("spare", 4)
+		c.addWorker("spare", 4)
 		time.Sleep(time.Second)
-		c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, Within: 20 * time.Second, Most: 2})
-		begun := time.Now()
-		for !c.completed(1) {
-			is.True(time.Since(begun) < 30*time.Second)
+		c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, Within: 20 * time.Second, Most: 2})
+		start := time.Now()
+		for !c.isWaveCompleted(1) {
+			is.True(time.Since(start) < 30*time.Second)
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.Equal(k.faults, nil)
+		is.Equal(k.violations, nil)
 		is.True(alwaysRunning(c.floor.History()))
 		c.checkHistory()
 	})
 }
 
-// idleWave is a cell of four idle VMs and a wave that allows two of them at a time.
-func idleWave(t *testing.T, vms ...string) (*cell, *cloud) {
+// newIdleCell returns a cell of four idle VMs whose waves may have two of them in upkeep at a time.
+func newIdleCell(t *testing.T, vms ...string) (*cell, *fakeCloud) {
 	c := newCell(t, runsFor(time.Second))
-	k := newCloud(c, c.workers(4, 4), 2)
+	k := newFakeCloud(c, c.addWorkers(4, 4), 2)
 	c.cloud = k
 	for _, id := range vms {
-		c.boot(id)
+		c.startVM(id)
 	}
-	c.owner()
+	c.waitForOwner()
 	time.Sleep(4 * time.Second)
 	return c, k
 }
 
-func (c *cell) wholeWave() {
-	c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, Within: 40 * time.Second, Most: 2})
+func (c *cell) putFullWave() {
+	c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, Within: 40 * time.Second, Most: 2})
 }
 
-// An owner dies just after an order, and two VMs that could go at once are left. Orders of the dead owner may
-// still be under way for the platform's lease, and the platform compares no fences: the next owner must give
-// none before that time has passed.
+// Guards against orders of a new owner while orders of the dead one may still be in flight. The platform does not
+// compare fences, so the new owner must wait for the platform's lease first.
 func TestNewOwnerWaitsBeforeUpkeep(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c, k := idleWave(t, "vm1", "vm2")
-		c.wholeWave()
-		for k.served() < 1 {
+		c, k := newIdleCell(t, "vm1", "vm2")
+		c.putFullWave()
+		for k.servicedCount() < 1 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		c.kill(c.owner())
-		for begun := time.Now(); !c.completed(1); time.Sleep(100 * time.Millisecond) {
-			is.True(time.Since(begun) < 30*time.Second)
+		c.kill(c.waitForOwner())
+		for start := time.Now(); !c.isWaveCompleted(1); time.Sleep(100 * time.Millisecond) {
+			is.True(time.Since(start) < 30*time.Second)
 		}
-		is.Equal(k.served(), 4)
-		is.Equal(k.faults, nil)
+		is.Equal(k.servicedCount(), 4)
+		is.Equal(k.violations, nil)
 	})
 }
 
-// An owner is cut off from the store and from all workers, so that it hears of no successor, and still reaches
-// the platform's service for VMs. It must not order upkeep on its own word: the next owner does so, and a VM
-// would go down for two of them, or more VMs than the wave allows.
+// Guards against upkeep orders of an owner that is cut off from the store and the workers, hears of no successor and
+// still reaches the platform: the next owner orders as well, and more VMs than allowed go down.
 func TestCutOwnerOrdersNoUpkeep(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c, k := idleWave(t, "vm1", "vm2")
-		cut := c.owner()
-		c.wholeWave()
-		for k.served() < 1 {
+		c, k := newIdleCell(t, "vm1", "vm2")
+		cut := c.waitForOwner()
+		c.putFullWave()
+		for k.servicedCount() < 1 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		cut.store.Cut(true)
 		cut.workersCut.Store(true)
-		for begun := time.Now(); k.served() < 4; time.Sleep(100 * time.Millisecond) {
-			is.True(time.Since(begun) < 30*time.Second)
+		for start := time.Now(); k.servicedCount() < 4; time.Sleep(100 * time.Millisecond) {
+			is.True(time.Since(start) < 30*time.Second)
 		}
 		time.Sleep(5 * time.Second)
-		is.Equal(k.faults, nil)
+		is.Equal(k.violations, nil)
 	})
 }
 
-// The VM of the owner is suspended each time between the store's word that it owns the cell and its order. Its
-// own steady clock does not show that. The word is old when it wakes: no order may be sent.
+// Guards against an order after the owner's VM was suspended between the store's confirmation of ownership and the
+// order. The VM's monotonic clock does not count the suspend, and the confirmation is too old when the VM resumes.
 func TestNoUpkeepAfterSuspend(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c, k := idleWave(t, "vm1")
-		k.suspends = time.Second
-		c.wholeWave()
+		c, k := newIdleCell(t, "vm1")
+		k.suspendPerRead = time.Second
+		c.putFullWave()
 		time.Sleep(10 * time.Second)
-		is.Equal(k.served(), 0)
+		is.Equal(k.servicedCount(), 0)
 		k.mu.Lock()
-		k.suspends = 0
+		k.suspendPerRead = 0
 		k.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		is.Equal(k.served(), 4)
-		is.True(c.completed(1))
+		is.Equal(k.servicedCount(), 4)
+		is.True(c.isWaveCompleted(1))
 	})
 }
 
-// alwaysRunning reports whether another run was there whenever one ended.
+// alwaysRunning reports whether another run was present whenever a run ended.
 func alwaysRunning(history []floor.Run) bool {
 	for _, ended := range history {
 		others := 0
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -11,8 +11,8 @@
 	"turmericgap/job"
 )
 
-// stageOf gives the first stage of the last occurrence of a work.
-func stageOf(w *job.Work) *stage {
+// newTestStage returns the first stage of the last occurrence of a work.
+func newTestStage(w *job.Work) *stage {
 	e := newEntry(w)
 	for range w.Count() {
 		e.openOccurrence(e.occurrencesBegun)
@@ -20,9 +20,9 @@
 	return e.occurrences[len(e.occurrences)-1].stages[0]
 }
 
-// A service goes before all else, since each moment without it counts. Timed work goes by when it is due:
-// what was handed in an hour ahead must not count as an hour late. Then come what can be in time by
-// priority and goal, what will be late, and what is worth nothing any more.
+// Checks the order of urgency: services first, since each moment without one counts; then work that can be on time, by
+// priority and deadline; then late and expired work. Timed work counts from when it is due: submitted an hour ahead, it
+// must not count as an hour late.
 func TestUrgency(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -42,7 +42,7 @@
 		work("hopeless", time.Minute, 0), work("late", 6*time.Second, 0), work("batch", 0, 2),
 		work("roster", -time.Second, 1), timed, work("check", 0, 0), service,
 	} {
-		found = append(found, (&term{sizes: aging.New()}).urgencyOf(stageOf(w), now))
+		found = append(found, (&term{sizes: aging.New()}).urgencyOf(newTestStage(w), now))
 	}
 	slices.SortFunc(found, urgency.compare)
 	for i, u := range found {
@@ -50,9 +50,9 @@
 	}
 }
 
-// A roster of two steps asks the policy service before each. Its callers allow for that; an owner that did
-// not would count it as late while it can still be in time, and let others go first.
-func TestObjectiveAllowsForPermits(t *testing.T) {
+// Guards against an objective without the permit requests of each step, which callers allow for: the work would count
+// as late while it can still be on time, and others would go first.
+func TestObjectiveIncludesPermitTime(t *testing.T) {
 	is := is.New(t)
 	w := &job.Work{
 		ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}, {Tasks: 1, Estimate: 3 * time.Second, After: []int{0}}},
@@ -63,10 +63,10 @@
 	is.Equal(newEntry(w).objective, 15*time.Second)
 }
 
-// A service without room stands before all other work, late and for good. The turns of the works behind it are
-// shared all the same: a large one has its turn before the last small ones, and a later step before all that have
-// not begun.
-func TestTurnsAreShared(t *testing.T) {
+// Guards against a late service without capacity, first in the order, that keeps the works behind it from sharing
+// starts between size classes: a large work must precede the last small ones, and a later step all works that have not
+// started.
+func TestSizeClassesShareStarts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tm := &term{sizes: aging.New()}
@@ -74,7 +74,7 @@
 		tm.sizes.Observe("rosters", float64(10*(i%10)))
 	}
 	work := func(id string, tasks int) *stage {
-		return stageOf(&job.Work{
+		return newTestStage(&job.Work{
 			ID: id, Accepted: now, Queue: job.Queue{Name: "rosters", Slack: 2, Target: time.Second},
 			Steps: []job.Step{{Tasks: tasks, Each: job.Resources{Millicores: 1000}, Estimate: 10 * time.Second}, {Tasks: 1, After: []int{0}}},
 		})
@@ -101,14 +101,14 @@
 	is.True(at["large"] < at["small 4"])
 }
 
-// An owner takes over a work of which a task has run. Were its next start counted as a turn of its class, works of
-// that class that have not begun would wait for longer after each take-over.
-func TestResumedWorkHasHadItsTurn(t *testing.T) {
+// Guards against counting a work that a former owner has started as a new start of its size class: after each takeover,
+// works of that class that have not started would wait longer.
+func TestResumedWorkCountsAsStarted(t *testing.T) {
 	is := is.New(t)
-	s := stageOf(&job.Work{ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
+	s := newTestStage(&job.Work{ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
 	(&term{}).restoreStage(s, &stageRecord{Tasks: []taskRecord{{Phase: phaseDone, Run: 1}}})
 	is.True(s.occurrence.started)
-	fresh := stageOf(&job.Work{ID: "fresh", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
+	fresh := newTestStage(&job.Work{ID: "fresh", Steps: []job.Step{{Tasks: 1, Estimate: time.Second}}})
 	(&term{}).restoreStage(fresh, &stageRecord{Tasks: []taskRecord{{}}})
 	is.True(!fresh.occurrence.started)
 }
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -13,86 +13,86 @@
 	"turmericgap/worker"
 )
 
-// A worker is cut off for longer than its lease lasts. What ran there has lapsed, which nobody can see;
-// after the longest time that it may have lasted the tasks run elsewhere, and never beside each other.
+// Guards against running tasks twice when a worker is cut off for longer than its lease. Its runs end unseen; the tasks
+// may only be started elsewhere after the latest time at which the lease can have expired.
 func TestWorkerCutOff(t *testing.T) {
 	for name, cutFor := range map[string]time.Duration{"shorter than its lease": 5 * time.Second, "longer than its lease": 40 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				c := newCell(t, runsFor(8*time.Second), "vm1", "vm2")
-				ws := c.workers(2, 4)
-				v := c.owner()
-				c.submit(v, c.work("roster", job.Step{Tasks: 8}))
+				ws := c.addWorkers(2, 4)
+				v := c.waitForOwner()
+				c.submit(v, c.newWork("roster", job.Step{Tasks: 8}))
 				time.Sleep(2 * time.Second)
 				ws[0].Set(floor.Faults{Cut: true})
 				time.Sleep(cutFor)
 				ws[0].Set(floor.Faults{})
 				c.waitForState(v, "roster", job.WorkCompleted, 40*time.Second)
-				again := c.runs("roster") - 8
-				is.Equal(again > 0, cutFor > mostHold)
+				restarts := c.countRuns("roster") - 8
+				is.Equal(restarts > 0, cutFor > maxHold)
 				c.checkHistory()
 			})
 		})
 	}
 }
 
-// The owner dies while a worker is cut off from everybody. The successor cannot ask that worker, and
-// must wait until a lease that the dead owner may have extended last has lapsed.
+// Guards against starting tasks of an unreachable worker too early after the owner dies: the new owner must wait for
+// the latest lease that the dead one may have renewed.
 func TestTakeOverBesideCutWorker(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(12*time.Second), "vm1", "vm2")
-		ws := c.workers(2, 4)
-		first := c.owner()
-		c.submit(first, c.work("roster", job.Step{Tasks: 8}))
+		ws := c.addWorkers(2, 4)
+		first := c.waitForOwner()
+		c.submit(first, c.newWork("roster", job.Step{Tasks: 8}))
 		time.Sleep(2 * time.Second)
 		ws[1].Set(floor.Faults{Cut: true})
 		time.Sleep(100 * time.Millisecond)
 		c.kill(first)
-		c.waitForState(c.owner(), "roster", job.WorkCompleted, time.Minute)
+		c.waitForState(c.waitForOwner(), "roster", job.WorkCompleted, time.Minute)
 		c.checkHistory()
 	})
 }
 
-// An owner that the store and the other VMs cannot reach goes on calling the workers. The successor's
-// fence ends that at each worker it reaches, and no task runs twice.
+// Guards against running tasks twice while an owner without store and peers goes on calling workers: each worker that
+// the new owner has reached refuses it by its fence.
 func TestOwnerCutFromStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(6*time.Second), "vm1", "vm2", "vm3")
-		c.workers(3, 4)
-		first := c.owner()
-		c.submit(first, c.work("roster", job.Step{Tasks: 20}))
+		c.addWorkers(3, 4)
+		first := c.waitForOwner()
+		c.submit(first, c.newWork("roster", job.Step{Tasks: 20}))
 		time.Sleep(2 * time.Second)
 		first.store.Cut(true)
 		time.Sleep(3 * time.Second)
 		var second *vm
 		for _, v := range c.vms {
-			if v != first && v.disp.IsOwner() {
+			if v != first && v.dispatcher.IsOwner() {
 				second = v
 			}
 		}
 		is.True(second != nil)
 		c.waitForState(second, "roster", job.WorkCompleted, time.Minute)
-		is.Equal(c.runs("roster"), 20)
+		is.Equal(c.countRuns("roster"), 20)
 		first.store.Cut(false)
 		time.Sleep(time.Second)
 		c.checkHistory()
 	})
 }
 
-// A worker takes an order to start, does not answer, and carries it out seconds later. The order is void
-// by then: its capacity is free again once the worker's clock shows that, and the task runs once.
+// Guards against a launch that its worker executes seconds after it was sent, without an answer: by then it has
+// expired, its capacity is free once the worker's clock shows that, and the task runs once.
 func TestLateStart(t *testing.T) {
 	for _, late := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				c := newCell(t, runsFor(time.Second), "vm1")
-				ws := c.workers(1, 2)
-				v := c.owner()
+				ws := c.addWorkers(1, 2)
+				v := c.waitForOwner()
 				time.Sleep(time.Second)
 				ws[0].Set(floor.Faults{LateLaunch: late})
-				c.submit(v, c.work("check", job.Step{Tasks: 4}))
+				c.submit(v, c.newWork("check", job.Step{Tasks: 4}))
 				time.Sleep(time.Second)
 				ws[0].Set(floor.Faults{})
 				c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
@@ -102,15 +102,15 @@
 	}
 }
 
-// A worker crashes and another lifetime answers at its address: what ran is over for certain, and goes on
-// elsewhere without the wait for a lease.
+// Guards against waiting for a lease when a worker crashed and a new incarnation answers at its address: the former
+// runs are certainly over.
 func TestWorkerReplaced(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(4*time.Second), "vm1")
-		ws := c.workers(2, 4)
-		v := c.owner()
-		c.submit(v, c.work("roster", job.Step{Tasks: 4}))
+		ws := c.addWorkers(2, 4)
+		v := c.waitForOwner()
+		c.submit(v, c.newWork("roster", job.Step{Tasks: 4}))
 		time.Sleep(time.Second)
 		for _, w := range ws {
 			if w.Active() > 0 {
@@ -119,42 +119,42 @@
 			}
 		}
 		c.waitForState(v, "roster", job.WorkCompleted, 7*time.Second)
-		is.Equal(c.runs("roster"), 8)
+		is.Equal(c.countRuns("roster"), 8)
 		c.checkHistory()
 	})
 }
 
-// A worker that says that it is leaving gets nothing new, and what runs there ends there.
+// Guards against starting tasks on a worker that is leaving, and against moving those that run there.
 func TestLeavingWorker(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(3*time.Second), "vm1")
-		ws := c.workers(2, 4)
-		v := c.owner()
-		c.submit(v, c.work("first", job.Step{Tasks: 8}))
+		ws := c.addWorkers(2, 4)
+		v := c.waitForOwner()
+		c.submit(v, c.newWork("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active(), 4)
-		c.register(worker.Listing{Info: asLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
+		c.register(worker.Listing{Info: withLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
-		c.submit(v, c.work("second", job.Step{Tasks: 8}))
+		c.submit(v, c.newWork("second", job.Step{Tasks: 8}))
 		c.waitForState(v, "second", job.WorkCompleted, 20*time.Second)
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "second" {
 				is.Equal(r.Worker, ws[1].Info().ID)
 			}
 		}
-		is.Equal(c.runs("first"), 8)
+		is.Equal(c.countRuns("first"), 8)
 		c.checkHistory()
 	})
 }
 
-func asLeaving(i worker.Info) worker.Info {
+func withLeaving(i worker.Info) worker.Info {
 	i.Leaving = true
 	return i
 }
 
-// Tasks run near their data while there is room; those that fill what others leave keep away from those
-// whose response times have a bound; a service runs again however it ends.
+// Checks placement: tasks run near their data, labels and spreading are respected, fillers avoid workers with tasks
+// whose response times are bounded, and a service runs again however it ends.
 func TestWhereTasksRun(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -173,14 +173,14 @@
 			c.floor.Add(info)
 			c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", rack}})
 		}
-		v := c.owner()
+		v := c.waitForOwner()
 		time.Sleep(time.Second)
-		c.submit(v, c.work("near", job.Step{Tasks: 3, DataRack: "r2"}))
-		c.submit(v, c.work("label", job.Step{Tasks: 3, Label: "r3"}))
-		c.submit(v, c.work("spread", job.Step{Tasks: 3, MostPerWorker: 1}))
-		c.submit(v, c.work("service", job.Step{Tasks: 1, Service: true, Tail: 100 * time.Millisecond}))
+		c.submit(v, c.newWork("near", job.Step{Tasks: 3, DataRack: "r2"}))
+		c.submit(v, c.newWork("label", job.Step{Tasks: 3, Label: "r3"}))
+		c.submit(v, c.newWork("spread", job.Step{Tasks: 3, MostPerWorker: 1}))
+		c.submit(v, c.newWork("service", job.Step{Tasks: 1, Service: true, Tail: 100 * time.Millisecond}))
 		time.Sleep(200 * time.Millisecond)
-		c.submit(v, c.work("filler", job.Step{Tasks: 2, Filler: true}))
+		c.submit(v, c.newWork("filler", job.Step{Tasks: 2, Filler: true}))
 		time.Sleep(10 * time.Second)
 		on := make(map[string]map[string]int)
 		for _, r := range c.floor.History() {
@@ -192,38 +192,39 @@
 		is.Equal(on["near"], map[string]int{"w2": 3})
 		is.Equal(on["label"], map[string]int{"w3": 3})
 		is.Equal(on["spread"], map[string]int{"w1": 1, "w2": 1, "w3": 1})
-		is.True(c.runs("service") >= 4)
-		is.Equal(overlaps(c.floor.History(), "filler", "service"), 0)
-		is.Equal(c.runs("filler"), 2)
+		is.True(c.countRuns("service") >= 4)
+		is.Equal(countOverlaps(c.floor.History(), "filler", "service"), 0)
+		is.Equal(c.countRuns("filler"), 2)
 		c.checkHistory()
 	})
 }
 
-// Work that repeats starts each time when it is due, not before, and is completed after the last time.
+// Checks that repeated work starts each time when it is due, not before, and is completed after the last occurrence,
+// also across a takeover.
 func TestOccurrences(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
-		c.workers(1, 4)
-		first := c.owner()
-		w := c.work("sweep", job.Step{Tasks: 1})
+		c.addWorkers(1, 4)
+		first := c.waitForOwner()
+		w := c.newWork("sweep", job.Step{Tasks: 1})
 		w.Occurrences, w.First, w.Every = 4, time.Now().Add(2*time.Second), 3*time.Second
 		c.submit(first, w)
 		time.Sleep(4 * time.Second)
 		c.kill(first)
-		c.waitForState(c.owner(), "sweep", job.WorkCompleted, 30*time.Second)
+		c.waitForState(c.waitForOwner(), "sweep", job.WorkCompleted, 30*time.Second)
 		for _, r := range c.floor.History() {
 			late := r.Begun.Sub(w.Due(r.Task.Occurrence))
 			is.True(late >= 0)
 			is.True(late < 2500*time.Millisecond)
 		}
-		is.Equal(c.runs("sweep"), 4)
+		is.Equal(c.countRuns("sweep"), 4)
 		c.checkHistory()
 	})
 }
 
-// overlaps counts the pairs of runs of two works that were on one worker at a time.
-func overlaps(history []floor.Run, a, b string) int {
+// countOverlaps counts the pairs of runs of two works that were on the same worker at the same time.
+func countOverlaps(history []floor.Run, a, b string) int {
 	n := 0
 	for i := range history {
 		for k := range history {
@@ -239,21 +240,21 @@
 	return n
 }
 
-// A worker carries a start out and its answer is lost; to the repeat it says that it is unwell and did
-// nothing. That holds for the repeat alone: the task runs, and must not be started elsewhere.
+// Guards against starting a task twice when the answer to its launch is lost and the worker refuses the repeated launch
+// as unwell. The refusal covers the repeat only: the first launch took effect.
 func TestUnwellAfterLostAnswer(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(5*time.Second), "vm1")
-		ws := c.workers(2, 4)
-		v := c.owner()
+		ws := c.addWorkers(2, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		for _, w := range ws {
 			w.Set(floor.Faults{Silent: true})
 		}
-		c.submit(v, c.work("check", job.Step{Tasks: 1}))
+		c.submit(v, c.newWork("check", job.Step{Tasks: 1}))
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(c.runs("check"), 1)
+		is.Equal(c.countRuns("check"), 1)
 		for _, w := range ws {
 			w.Set(floor.Faults{Unwell: true})
 		}
@@ -262,22 +263,22 @@
 			w.Set(floor.Faults{})
 		}
 		c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
-		is.Equal(c.runs("check"), 1)
+		is.Equal(c.countRuns("check"), 1)
 		c.checkHistory()
 	})
 }
 
-// A worker takes tasks and answers every call, and nothing on it gets on. Their callers must not wait for
-// ever: the tasks are stopped and go on elsewhere, those that are merely slow are left alone.
+// Guards against waiting forever for tasks that make no progress on a worker that answers every call: they must be
+// stopped and started elsewhere, while slow tasks are left alone.
 func TestStillWorker(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(8*time.Second), "vm1")
-		ws := c.workers(2, 4)
-		v := c.owner()
+		ws := c.addWorkers(2, 4)
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		ws[0].Set(floor.Faults{Still: true})
-		c.submit(v, c.work("check", job.Step{Tasks: 6, Estimate: time.Second}))
+		c.submit(v, c.newWork("check", job.Step{Tasks: 6, Estimate: time.Second}))
 		c.waitForState(v, "check", job.WorkCompleted, 25*time.Second)
 		still := 0
 		for _, r := range c.floor.History() {
@@ -287,70 +288,69 @@
 			}
 		}
 		is.True(still > 0)
-		is.Equal(c.runs("check"), 6+still)
+		is.Equal(c.countRuns("check"), 6+still)
 		c.checkHistory()
 	})
 }
 
-// A worker leaves while a task still runs on it. Where it took its entry away itself, its last word being
-// fresh, the task goes on elsewhere at once; where the entry lapsed because the worker is cut off, the
-// task may still run there, and must wait for the lease.
-func TestWorkerLeft(t *testing.T) {
+// Guards against a wrong wait when the entry of a worker with a running task disappears. If the worker removed it
+// itself, the task starts elsewhere at once; if the entry expired because the worker is cut off, the task may still run
+// there.
+func TestWorkerUnlisted(t *testing.T) {
 	for name, c := range map[string]struct {
-		silent time.Duration
-		within time.Duration
-		again  int
+		cutFor   time.Duration
+		within   time.Duration
+		restarts int
 	}{
-		"left by itself":        {0, 8 * time.Second, 4},
-		"entry lapsed, cut off": {5 * time.Second, 40 * time.Second, 0},
+		"removed by the worker":   {0, 8 * time.Second, 4},
+		"expired, worker cut off": {5 * time.Second, 40 * time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				cell := newCell(t, runsFor(6*time.Second), "vm1")
-				ws := cell.workers(2, 4)
-				v := cell.owner()
+				ws := cell.addWorkers(2, 4)
+				v := cell.waitForOwner()
 				time.Sleep(3 * time.Second)
-				cell.submit(v, cell.work("roster", job.Step{Tasks: 4}))
+				cell.submit(v, cell.newWork("roster", job.Step{Tasks: 4}))
 				time.Sleep(time.Second)
 				w := ws[0]
 				if ws[1].Active() > 0 {
 					w = ws[1]
 				}
-				cell.register(worker.Listing{Info: asLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
+				cell.register(worker.Listing{Info: withLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
 				time.Sleep(time.Second)
-				if c.again > 0 {
+				if c.restarts > 0 {
 					w.Crash(false)
 				} else {
 					w.Set(floor.Faults{Cut: true})
 				}
-				time.Sleep(c.silent)
+				time.Sleep(c.cutFor)
 				cell.put(store.Op{Delete: true, Key: workersPrefix + w.Info().ID})
-				if c.again == 0 {
+				if c.restarts == 0 {
 					time.Sleep(2 * time.Second)
 					w.Set(floor.Faults{})
 				}
 				cell.waitForState(v, "roster", job.WorkCompleted, c.within)
-				is.Equal(cell.runs("roster"), 4+c.again)
+				is.Equal(cell.countRuns("roster"), 4+c.restarts)
 				cell.checkHistory()
 			})
 		})
 	}
 }
 
-// One of four workers fails whatever it starts, at once, so that it always has room while the others are
-// full. Callers whose tasks wait must not pay for that room with their attempts: after a few failures the
-// worker rests, is tried again with one task at a time, and serves as before once a task is done there.
+// Guards against a worker that fails every task at once, always has free capacity and uses up the attempts of waiting
+// work: after a few failures it is quarantined, gets one trial task at a time, and serves as before once one succeeds.
 func TestFailingWorkerRests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1")
-		ws := c.workers(4, 4)
+		ws := c.addWorkers(4, 4)
 		ws[0].Set(floor.Faults{Fails: true})
-		v := c.owner()
+		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		for i := range 120 {
-			c.submit(v, c.work(fmt.Sprint("check", i), job.Step{Tasks: 1}))
+			c.submit(v, c.newWork(fmt.Sprint("check", i), job.Step{Tasks: 1}))
 			time.Sleep(75 * time.Millisecond)
 		}
 		for i := range 120 {
@@ -362,46 +362,45 @@
 				failed++
 			}
 		}
-		is.True(failed <= 8) // those before the first rest, and one for each trial
+		is.True(failed <= 8) // those before the first quarantine, and one for each trial
 		ws[0].Set(floor.Faults{})
 		time.Sleep(5 * time.Second)
-		c.submit(v, c.work("first", job.Step{Tasks: 16}))
+		c.submit(v, c.newWork("first", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
 		is.Equal(ws[0].Active(), 1)
 		c.waitForState(v, "first", job.WorkCompleted, 3*time.Second)
-		c.submit(v, c.work("second", job.Step{Tasks: 16}))
+		c.submit(v, c.newWork("second", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
 		is.Equal(ws[0].Active(), 4)
 		c.checkHistory()
 	})
 }
 
-// Another writer spoils the entry of a worker on which tasks run, and adds one that names no worker. The
-// tasks end where they are and once, new ones go to the other worker, and the spoiled one is used again
-// when its own entry is back.
+// Guards against losing or repeating runs when another writer corrupts a worker's entry, or adds one that names no
+// worker: runs end where they are, new tasks go elsewhere, and the worker is used again once its entry is restored.
 func TestEntryThatCannotBeRead(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(3*time.Second), "vm1")
-		ws := c.workers(2, 4)
-		v := c.owner()
-		c.submit(v, c.work("first", job.Step{Tasks: 8}))
+		ws := c.addWorkers(2, 4)
+		v := c.waitForOwner()
+		c.submit(v, c.newWork("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
 		is.Equal(ws[0].Active(), 4)
-		spoiled := []byte{0xc1, 0xff}
-		c.put(store.Op{Key: workersPrefix + ws[0].Info().ID, Value: spoiled})
-		c.put(store.Op{Key: workersPrefix + "nobody", Value: spoiled})
+		corrupt := []byte{0xc1, 0xff}
+		c.put(store.Op{Key: workersPrefix + ws[0].Info().ID, Value: corrupt})
+		c.put(store.Op{Key: workersPrefix + "nobody", Value: corrupt})
 		time.Sleep(time.Second)
-		c.submit(v, c.work("second", job.Step{Tasks: 4}))
+		c.submit(v, c.newWork("second", job.Step{Tasks: 4}))
 		c.waitForState(v, "second", job.WorkCompleted, 10*time.Second)
 		c.waitForState(v, "first", job.WorkCompleted, time.Second)
-		is.Equal(c.runs("first")+c.runs("second"), 12)
+		is.Equal(c.countRuns("first")+c.countRuns("second"), 12)
 		for _, r := range c.floor.History() {
 			is.True(r.Task.Work == "first" || r.Worker == ws[1].Info().ID)
 		}
 		c.register(worker.Listing{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
-		c.submit(v, c.work("third", job.Step{Tasks: 8}))
+		c.submit(v, c.newWork("third", job.Step{Tasks: 8}))
 		c.waitForState(v, "third", job.WorkCompleted, 5*time.Second)
 		c.checkHistory()
 	})
--- a/dispatch/zone_test.go
+++ b/dispatch/zone_test.go
@@ -12,9 +12,8 @@
 	"turmericgap/worker"
 )
 
-// Checks of callers in three zones are under way when one zone is cut off. Its callers are lost until the cut
-// heals; the checks of the others must not wait for tasks on workers behind the cut, whose ends nobody can
-// hear: spread over all workers more than half of them would.
+// Guards against spreading checks over all zones: when one zone is cut off, checks of callers in the others would wait
+// for the ends of tasks there, which cannot be heard.
 func TestChecksStayInTheirCallersZone(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -30,33 +29,33 @@
 				cut = append(cut, w)
 			}
 		}
-		v := c.owner()
+		v := c.waitForOwner()
 		time.Sleep(time.Second)
-		handed := make(map[string]time.Time)
+		submitted := make(map[string]time.Time)
 		time.AfterFunc(1500*time.Millisecond, func() {
 			for _, w := range cut {
 				w.Set(floor.Faults{Cut: true})
 			}
 		})
 		for i := range 60 {
-			w := c.work(fmt.Sprintf("check%02d", i), job.Step{Tasks: 2, Estimate: 800 * time.Millisecond})
+			w := c.newWork(fmt.Sprintf("check%02d", i), job.Step{Tasks: 2, Estimate: 800 * time.Millisecond})
 			w.Zone = zones[i%len(zones)]
-			if err := v.disp.Accept(t.Context(), w); err != nil {
+			if err := v.dispatcher.Accept(t.Context(), w); err != nil {
 				t.Fatal(err)
 			}
 			if w.Zone != zones[2] {
-				handed[w.ID] = time.Now()
+				submitted[w.ID] = time.Now()
 			}
 			time.Sleep(25 * time.Millisecond)
 		}
 		time.Sleep(4 * time.Second)
-		ended, late := c.endedAt(), 0
-		for id, at := range handed {
+		ended, late := c.endTimes(), 0
+		for id, at := range submitted {
 			if end, ok := ended[id]; !ok || end.Sub(at) > 1400*time.Millisecond {
 				late++
 			}
 		}
-		t.Logf("%d of %d checks of the other zones were late", late, len(handed))
+		t.Logf("%d of %d checks of the other zones were late", late, len(submitted))
 		is.Equal(late, 0)
 		c.checkHistory()
 	})
