--- a/cmd/ctl/main_test.go
+++ b/cmd/ctl/main_test.go
@@ -118,7 +118,7 @@
 	const raw = `{"rules":[{"id":"a","then":[{"kind":"refuse","with":{"reason":"month end"}}]}]}`
 	c.Equal(c.set(0, raw), 0)
 	c.Equal(c.set(0, raw), exitConflict)
-	res, err := standIn.Keys.Store().Range(t.Context(), store.Range{Key: owner.RulesKey})
+	res, err := standIn.KV.Store().Range(t.Context(), store.Range{Key: owner.RulesKey})
 	c.NoErr(err)
 	c.Equal(len(res.Pairs), 1)
 	rules := configuration.NewRules(zap.NewNop())
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -90,8 +90,8 @@
 		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Take),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
-		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, Permits: ask,
-		Decide: p.rules.Decide, StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
+		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, AskPermit: ask,
+		EvaluateRules: p.rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
 	})
 	p.config.Start()
 	p.group.Start()
@@ -164,14 +164,14 @@
 }
 
 func (p *parts) serve(l listeners) {
-	handler := platform.Ingress(&platform.Callers{
+	handler := platform.IngressHandler(&platform.IngressBackend{
 		Config: p.config.Current, Submit: p.front.Submit, Status: p.front.Status, Cancel: p.front.Cancel,
-		Waiting: p.front.Waiting, Decided: p.decided,
+		Waiting: p.front.Waiting, OnAnswered: p.decided,
 	})
 	p.callers = &http.Server{
 		Handler: handler, MaxHeaderBytes: usualHeaderBytes, ReadHeaderTimeout: usualHeaderTimeout, IdleTimeout: usualIdleTimeout,
 	}
-	p.ready = &http.Server{Handler: platform.Readiness(p.check), ReadHeaderTimeout: usualHeaderTimeout}
+	p.ready = &http.Server{Handler: platform.ReadinessHandler(p.check), ReadHeaderTimeout: usualHeaderTimeout}
 	go p.run("callers", func() error { return p.callers.Serve(l.callers) })
 	go p.run("readiness", func() error { return p.ready.Serve(l.ready) })
 	go p.report()
@@ -220,7 +220,7 @@
 		if from.ID == p.settings.ID {
 			return local(ctx, q)
 		}
-		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodAsk, q)
+		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodAskPermit, q)
 	}
 }
 
--- a/cmd/journalload/main.go
+++ b/cmd/journalload/main.go
@@ -48,14 +48,14 @@
 	defer stop()
 	plan := load.DefaultPlan()
 	plan.Name = fmt.Sprintf("load-%d", os.Getpid())
-	plan.Zones, plan.Starts, plan.For = args.Zones, args.Starts, time.Duration(args.Seconds)*time.Second
+	plan.Zones, plan.Starts, plan.Duration = args.Zones, args.Starts, time.Duration(args.Seconds)*time.Second
 	plan.Journal = []record.Option{record.Rate(args.Rate, record.DefaultBurst)}
 	kv, err := store.Open(args.Store, args.Endpoint)
 	if err != nil {
 		return err
 	}
 	result, err := load.Run(ctx, plan, func() *store.Store { return kv })
-	fmt.Println(load.Head)
+	fmt.Println(load.RowHeader)
 	fmt.Println(result.Row(plan))
 	return err
 }
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -36,8 +36,8 @@
 		}
 		return exitFindings
 	}
-	old, findings := bench.ReadAll(o.Args.Old)
-	changed, more := bench.ReadAll(o.Args.New)
+	old, findings := bench.ReadReports(o.Args.Old)
+	changed, more := bench.ReadReports(o.Args.New)
 	findings = append(findings, more...)
 	c := trial.Compare(old, changed)
 	for _, write := range []func() error{
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -51,9 +51,9 @@
 	k.heard.Store(time.Now().UnixNano())
 	k.follow = &follow.Follower{
 		Store: kv, Prefix: key, Logger: log,
-		Reset:  func(pairs []store.Pair, _ int64) { k.takePairs(pairs) },
-		Change: func(events []store.Event, _ int64) { k.takePairs(follow.Written(events)) },
-		Alive:  k.alive,
+		OnReset:   func(pairs []store.Pair, _ int64) { k.takePairs(pairs) },
+		OnChange:  func(events []store.Event, _ int64) { k.takePairs(follow.Puts(events)) },
+		OnContact: k.alive,
 	}
 	return k
 }
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -221,7 +221,7 @@
 // it. An answer that was lost is resolved by trying again: the number in that key tells whether an
 // earlier try went through, and once a later commit has changed it, no earlier try ever can.
 func (t *term) commit(ch *commitBatch, before int64) (int64, error) {
-	b := retry.New(retry.Between(commitRetryMin, commitRetryMax))
+	b := retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
 	for first := true; ; first = false {
 		ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
 		res, err := t.o.Store.Txn(ctx, ch.txn)
@@ -253,7 +253,7 @@
 
 // resolve tells whether a refused transaction had gone through at an earlier try.
 func (t *term) resolve(ctx context.Context, ch *commitBatch, res *store.TxnResult) (int64, error) {
-	found := res.Found
+	found := res.Existing
 	if len(found) == 0 {
 		r, err := t.o.Store.Range(ctx, store.Range{Key: ch.stream.key})
 		if err != nil {
--- a/dispatch/committer.go
+++ b/dispatch/committer.go
@@ -72,7 +72,7 @@
 
 // init gives the lanes their keys, and pauses after commits that were declined.
 func (c *committer) init() {
-	c.backoff = retry.New(retry.Between(commitRetryMin, commitRetryMax))
+	c.backoff = retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
 	for i := range c.streams {
 		c.streams[i].key = commitPrefix + strconv.Itoa(i)
 	}
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -134,9 +134,9 @@
 // followWorkers hears of the workers' entries.
 func (t *term) followWorkers() {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: t.o.WorkersPrefix, Pause: workersPause, Logger: t.log,
-		Reset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
-		Change: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
+		Store: t.o.Store, Prefix: t.o.WorkersPrefix, MinInterval: workersPause, Logger: t.log,
+		OnReset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
+		OnChange: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
 	}
 	t.wg.Go(func() { f.Run(t.ctx) })
 }
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -31,7 +31,7 @@
 		reads.Go(func() {
 			res, err := retry.Read(t.ctx, func(ctx context.Context) (store.RangeResult, error) {
 				return t.o.Store.Range(ctx, store.Range{Key: prefix, End: store.PrefixEnd(prefix)})
-			}, retry.Between(commitRetryMin, commitRetryMax))
+			}, retry.Bounds(commitRetryMin, commitRetryMax))
 			if err == nil {
 				found[i] = res.Pairs
 			}
@@ -231,10 +231,10 @@
 // followWritten hears of the keys below a prefix that are there or are written.
 func (t *term) followWritten(prefix string, take func([]store.Pair)) {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: prefix, Pause: worksWatchPause, Logger: t.log,
-		Reset: func(pairs []store.Pair, _ int64) { take(pairs) },
-		Change: func(events []store.Event, _ int64) {
-			if pairs := follow.Written(events); len(pairs) > 0 {
+		Store: t.o.Store, Prefix: prefix, MinInterval: worksWatchPause, Logger: t.log,
+		OnReset: func(pairs []store.Pair, _ int64) { take(pairs) },
+		OnChange: func(events []store.Event, _ int64) {
+			if pairs := follow.Puts(events); len(pairs) > 0 {
 				take(pairs)
 			}
 		},
--- a/dispatch/store_test.go
+++ b/dispatch/store_test.go
@@ -19,13 +19,13 @@
 	for name, fault := range map[string]func(v *vm){
 		"answers are lost":                   func(v *vm) { v.store.LoseNext(12) },
 		"all answers are lost for some time": func(v *vm) { v.store.LoseAnswer(true) },
-		"writes are delayed":                 func(v *vm) { v.store.LateNext(6, 2*time.Second) },
+		"writes are delayed":                 func(v *vm) { v.store.DeferNext(6, 2*time.Second) },
 		"the store is down":                  func(v *vm) { v.store.Down(true) },
 		"the store does not answer":          func(v *vm) { v.store.Cut(true) },
 		"the store is slow":                  func(v *vm) { v.store.Delay(300 * time.Millisecond) },
 		"the store is compacted":             func(*vm) {},
-		"delayed writes and lost answers":    func(v *vm) { v.store.LateNext(4, 3*time.Second); v.store.LoseNext(8) },
-		"slow store and delayed writes":      func(v *vm) { v.store.Delay(200 * time.Millisecond); v.store.LateNext(4, 3*time.Second) },
+		"delayed writes and lost answers":    func(v *vm) { v.store.DeferNext(4, 3*time.Second); v.store.LoseNext(8) },
+		"slow store and delayed writes":      func(v *vm) { v.store.Delay(200 * time.Millisecond); v.store.DeferNext(4, 3*time.Second) },
 	} {
 		for _, kill := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, owner dies %v", name, kill), func(t *testing.T) {
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -104,7 +104,7 @@
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		return t.o.Store.Range(ctx, store.Range{Key: key})
-	}, retry.Between(commitRetryMin, commitRetryMax))
+	}, retry.Bounds(commitRetryMin, commitRetryMax))
 	if err != nil || len(res.Pairs) == 0 {
 		return nil, err
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -29,29 +29,29 @@
 	Gone State = "gone"
 )
 
-// Verdict says whether a member may get new work.
-type Verdict int
+// Decision says whether a member may get new work.
+type Decision int
 
 // The verdicts.
 const (
-	// Closed gives it nothing new.
-	Closed Verdict = iota
-	// Probe gives it one task at a time, or up to Limit.
-	Probe
-	// Open gives it whatever fits.
-	Open
+	// Deny gives it nothing new.
+	Deny Decision = iota
+	// AllowProbes gives it one task at a time, or up to Limit.
+	AllowProbes
+	// Allow gives it whatever fits.
+	Allow
 )
 
 // Admission is a verdict with its reason; the reason is empty for Open.
 type Admission struct {
-	Verdict Verdict
+	Decision Decision
 	// Limit is how many tasks it may have at once under Probe: it doubles with each that succeeds.
 	Limit  int
 	Reason string
 }
 
-// Entry is what the VM list says of a member.
-type Entry struct {
+// ListEntry is what the VM list says of a member.
+type ListEntry struct {
 	ID      string
 	Zone    string
 	Leaving bool
@@ -82,9 +82,9 @@
 // New returns a fleet without members.
 func New(opts ...Option) *Fleet {
 	o := Options{
-		Failures: DefaultFailures, FailureWindow: DefaultFailureWindow, Missed: DefaultMissed,
-		Probes: DefaultProbes, BackOff: DefaultBackOff, MaxBackOff: DefaultMaxBackOff,
-		Share: DefaultShare, Witnesses: DefaultWitnesses, Keep: DefaultKeep, ListLag: DefaultListLag,
+		FailureThreshold: DefaultFailureThreshold, FailureWindow: DefaultFailureWindow, MissedThreshold: DefaultMissedThreshold,
+		RequiredProbes: DefaultRequiredProbes, BackOff: DefaultBackOff, MaxBackOff: DefaultMaxBackOff,
+		EjectionDivisor: DefaultEjectionDivisor, MinHealthyFailures: DefaultMinHealthyFailures, Retention: DefaultRetention, ListLag: DefaultListLag,
 	}
 	for _, f := range opts {
 		f(&o)
@@ -94,29 +94,29 @@
 	}
 }
 
-// Seen tells that the member answered a heartbeat.
-func (f *Fleet) Seen(now time.Time, id string) {
+// RecordHeartbeat tells that the member answered a heartbeat.
+func (f *Fleet) RecordHeartbeat(now time.Time, id string) {
 	f.lock(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
 	m.alive(now)
 }
 
-// Missed tells that a heartbeat of the member failed.
-func (f *Fleet) Missed(now time.Time, id string) {
+// RecordMissedHeartbeat tells that a heartbeat of the member failed.
+func (f *Fleet) RecordMissedHeartbeat(now time.Time, id string) {
 	f.lock(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
 	m.missed++
-	if m.missed == f.opts.Missed {
+	if m.missed == f.opts.MissedThreshold {
 		m.missedSince = now
 	}
 }
 
-// Outcome tells how a task or request ended that the member ran; an empty job stands for a job of
+// RecordOutcome tells how a task or request ended that the member ran; an empty job stands for a job of
 // a single task or request, of which nothing is remembered. What the caller cancelled, what was
 // stopped, and what was never sent are no outcomes.
-func (f *Fleet) Outcome(now time.Time, id, job, class string, ok bool) {
+func (f *Fleet) RecordOutcome(now time.Time, id, job, class string, ok bool) {
 	f.lock(now)
 	defer f.mu.Unlock()
 	m := f.member(now, id)
@@ -134,8 +134,8 @@
 	f.exonerate(now, job, class)
 }
 
-// List takes in a reading of the VM list.
-func (f *Fleet) List(now time.Time, l []Entry) {
+// UpdateList takes in a reading of the VM list.
+func (f *Fleet) UpdateList(now time.Time, l []ListEntry) {
 	f.lock(now)
 	defer f.mu.Unlock()
 	listed := make(map[string]bool, len(l))
@@ -172,29 +172,29 @@
 		m.vanished, m.vanishedAt, m.massVanished = true, now, mass && !m.leaving
 	}
 	maps.DeleteFunc(f.members, func(id string, m *member) bool {
-		return !listed[id] && now.Sub(m.lastSign()) > f.opts.Keep
+		return !listed[id] && now.Sub(m.lastSign()) > f.opts.Retention
 	})
 	f.trimWork(now)
 }
 
-// Open tells whether the member may get new work now.
-func (f *Fleet) Open(now time.Time, id string) Admission {
+// Admission tells whether the member may get new work now.
+func (f *Fleet) Admission(now time.Time, id string) Admission {
 	f.lock(now)
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
 	if !ok {
-		return Admission{Verdict: Closed, Reason: "not listed"}
+		return Admission{Decision: Deny, Reason: "not listed"}
 	}
 	state, reason := f.state(now, m)
 	switch {
 	case state == Healthy:
-		return Admission{Verdict: Open}
+		return Admission{Decision: Allow}
 	case state == Probing:
-		return Admission{Verdict: Probe, Limit: 1 << m.probes, Reason: reason}
-	case state == Unknown, state == Suspect && m.missed < f.opts.Missed:
-		return Admission{Verdict: Probe, Limit: 1, Reason: reason}
+		return Admission{Decision: AllowProbes, Limit: 1 << m.probes, Reason: reason}
+	case state == Unknown, state == Suspect && m.missed < f.opts.MissedThreshold:
+		return Admission{Decision: AllowProbes, Limit: 1, Reason: reason}
 	default:
-		return Admission{Verdict: Closed, Reason: reason}
+		return Admission{Decision: Deny, Reason: reason}
 	}
 }
 
@@ -210,8 +210,8 @@
 	return state
 }
 
-// Reasons lists, by id, the members that are neither open nor unknown, as of the newest call.
-func (f *Fleet) Reasons() []Ejection {
+// Ejections lists, by id, the members that are neither open nor unknown, as of the newest call.
+func (f *Fleet) Ejections() []Ejection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now
@@ -245,8 +245,8 @@
 	return f.classFailing(class)
 }
 
-// Forget drops what is known of a job that is final.
-func (f *Fleet) Forget(job string) {
+// ForgetJob drops what is known of a job that is final.
+func (f *Fleet) ForgetJob(job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.jobs, job)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -25,15 +25,15 @@
 // cell lists n workers in zones of four and lets each answer a heartbeat.
 func cell(n int, opts ...Option) (f *Fleet, ids []string) {
 	f = New(opts...)
-	var l []Entry
+	var l []ListEntry
 	for i := range n {
 		id := fmt.Sprintf("w%02d", i)
 		ids = append(ids, id)
-		l = append(l, Entry{ID: id, Zone: fmt.Sprintf("z%d", i/4)})
+		l = append(l, ListEntry{ID: id, Zone: fmt.Sprintf("z%d", i/4)})
 	}
-	f.List(start, l)
+	f.UpdateList(start, l)
 	for _, id := range ids {
-		f.Seen(start, id)
+		f.RecordHeartbeat(start, id)
 	}
 	return f, ids
 }
@@ -50,11 +50,11 @@
 			id := rapid.SampledFrom(ids).Draw(t, "worker")
 			switch rapid.IntRange(0, 2).Draw(t, "job") {
 			case 0:
-				f.Outcome(now, id, fmt.Sprintf("good%d", i), "roster", true)
+				f.RecordOutcome(now, id, fmt.Sprintf("good%d", i), "roster", true)
 			case 1:
-				f.Outcome(now, id, "bad1", "sweep", false)
+				f.RecordOutcome(now, id, "bad1", "sweep", false)
 			case 2:
-				f.Outcome(now, id, "bad2", "matching", false)
+				f.RecordOutcome(now, id, "bad2", "matching", false)
 			}
 			for _, o := range ids {
 				if s := f.State(now, o); s != Healthy {
@@ -75,12 +75,12 @@
 		now := start
 		for j := range jobs {
 			for _, id := range ids[1:] {
-				f.Outcome(now, id, fmt.Sprint("job", j), "roster", true)
+				f.RecordOutcome(now, id, fmt.Sprint("job", j), "roster", true)
 			}
 		}
-		for range DefaultFailures {
-			is.New(t).True(f.Open(now, ids[0]).Verdict == Open)
-			f.Outcome(now, ids[0], fmt.Sprint("job", rapid.IntRange(0, jobs-1).Draw(t, "job")), "roster", false)
+		for range DefaultFailureThreshold {
+			is.New(t).True(f.Admission(now, ids[0]).Decision == Allow)
+			f.RecordOutcome(now, ids[0], fmt.Sprint("job", rapid.IntRange(0, jobs-1).Draw(t, "job")), "roster", false)
 		}
 		is.New(t).Equal(f.State(now, ids[0]), Ejected)
 		is.New(t).True(!f.JobFailing("job0"))
@@ -96,10 +96,10 @@
 		for i := range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "seconds")) * time.Second)
 			id := rapid.SampledFrom(ids).Draw(t, "worker")
-			if f.Open(now, id).Verdict == Closed {
+			if f.Admission(now, id).Decision == Deny {
 				continue
 			}
-			f.Outcome(now, id, fmt.Sprint(i%7), fmt.Sprint(i%3), rapid.IntRange(0, 9).Draw(t, "luck") == 0)
+			f.RecordOutcome(now, id, fmt.Sprint(i%7), fmt.Sprint(i%3), rapid.IntRange(0, 9).Draw(t, "luck") == 0)
 			out, kept := 0, map[string]bool{}
 			for j, o := range ids {
 				zone := fmt.Sprint(j / 4)
@@ -110,7 +110,7 @@
 				}
 				kept[zone] = kept[zone] || !isOut
 			}
-			if out > max(1, len(ids)/DefaultShare) || (out > 0 && out >= len(ids)) {
+			if out > max(1, len(ids)/DefaultEjectionDivisor) || (out > 0 && out >= len(ids)) {
 				t.Fatalf("%d of %d are ejected", out, len(ids))
 			}
 			for zone, ok := range kept {
@@ -129,23 +129,23 @@
 		is := is.New(t)
 		f, ids := cell(6)
 		now := start
-		for i := range DefaultFailures {
-			f.Outcome(now, ids[0], fmt.Sprint("first", i), "roster", false)
+		for i := range DefaultFailureThreshold {
+			f.RecordOutcome(now, ids[0], fmt.Sprint("first", i), "roster", false)
 		}
 		for i := range rapid.IntRange(0, 8).Draw(t, "failed probes") {
-			is.Equal(f.Open(now, ids[0]).Verdict, Closed)
-			now = f.Reasons()[0].Until
-			is.Equal(f.Open(now, ids[0]).Verdict, Probe)
-			f.Outcome(now, ids[0], fmt.Sprint("probe", i), "roster", false)
+			is.Equal(f.Admission(now, ids[0]).Decision, Deny)
+			now = f.Ejections()[0].Until
+			is.Equal(f.Admission(now, ids[0]).Decision, AllowProbes)
+			f.RecordOutcome(now, ids[0], fmt.Sprint("probe", i), "roster", false)
 		}
-		is.True(f.Reasons()[0].Until.Sub(now) <= DefaultMaxBackOff)
-		now = f.Reasons()[0].Until
-		for i := range DefaultProbes {
-			is.Equal(f.Open(now, ids[0]).Limit, 1<<i)
-			f.Outcome(now, ids[0], fmt.Sprint("healed", i), "roster", true)
+		is.True(f.Ejections()[0].Until.Sub(now) <= DefaultMaxBackOff)
+		now = f.Ejections()[0].Until
+		for i := range DefaultRequiredProbes {
+			is.Equal(f.Admission(now, ids[0]).Limit, 1<<i)
+			f.RecordOutcome(now, ids[0], fmt.Sprint("healed", i), "roster", true)
 		}
-		is.Equal(f.Open(now, ids[0]), Admission{Verdict: Open})
-		is.Equal(len(f.Reasons()), 0)
+		is.Equal(f.Admission(now, ids[0]), Admission{Decision: Allow})
+		is.Equal(len(f.Ejections()), 0)
 	})
 }
 
@@ -155,17 +155,17 @@
 	is := is.New(t)
 	f, ids := cell(9)
 	for _, id := range ids {
-		f.Outcome(start, id, "before", "matching", true)
+		f.RecordOutcome(start, id, "before", "matching", true)
 	}
-	for i := range DefaultFailures {
-		f.Outcome(start, ids[0], fmt.Sprint("roster", i), "roster", false)
+	for i := range DefaultFailureThreshold {
+		f.RecordOutcome(start, ids[0], fmt.Sprint("roster", i), "roster", false)
 	}
 	is.Equal(f.State(start, ids[0]), Ejected)
-	f.Outcome(start, ids[1], "roster8", "roster", false)
-	f.Outcome(start, ids[2], "roster9", "roster", false)
+	f.RecordOutcome(start, ids[1], "roster8", "roster", false)
+	f.RecordOutcome(start, ids[2], "roster9", "roster", false)
 	is.True(f.ClassFailing("roster"))
 	is.Equal(f.State(start, ids[0]), Probing)
-	f.Outcome(start, ids[1], "repaired", "roster", true)
+	f.RecordOutcome(start, ids[1], "repaired", "roster", true)
 	is.True(!f.ClassFailing("roster"))
 }
 
@@ -173,22 +173,22 @@
 	is := is.New(t)
 	f, ids := cell(8)
 	for _, id := range ids[:4] {
-		f.Outcome(start, id, "other", "matching", true)
+		f.RecordOutcome(start, id, "other", "matching", true)
 	}
 	for i, id := range ids[:3] {
 		is.True(!f.JobFailing("bad"))
-		f.Outcome(start, id, "bad", "sweep", false)
+		f.RecordOutcome(start, id, "bad", "sweep", false)
 		is.Equal(f.JobFailing("bad"), i == 2)
 	}
-	f.Outcome(start, ids[1], "another", "roster", false) // It fails otherwise, so it is no witness.
+	f.RecordOutcome(start, ids[1], "another", "roster", false) // It fails otherwise, so it is no witness.
 	is.True(!f.JobFailing("bad"))
-	f.Outcome(start, ids[3], "bad", "sweep", false)
+	f.RecordOutcome(start, ids[3], "bad", "sweep", false)
 	is.True(f.JobFailing("bad"))
-	f.Forget("bad")
+	f.ForgetJob("bad")
 	is.True(!f.JobFailing("bad"))
-	f.Outcome(start, ids[0], "partly", "sweep", true)
+	f.RecordOutcome(start, ids[0], "partly", "sweep", true)
 	for _, id := range ids {
-		f.Outcome(start, id, "partly", "sweep", false)
+		f.RecordOutcome(start, id, "partly", "sweep", false)
 	}
 	is.True(!f.JobFailing("partly"))
 }
@@ -197,52 +197,52 @@
 	second := start.Add(time.Second)
 	cases := []struct {
 		name string
-		do   func(f *Fleet, l []Entry)
+		do   func(f *Fleet, l []ListEntry)
 		want State
-		give Verdict
+		give Decision
 	}{
-		{"seen", func(*Fleet, []Entry) {}, Healthy, Open},
-		{"one missed heartbeat", func(f *Fleet, _ []Entry) { f.Missed(second, "w00") }, Healthy, Open},
-		{"missed heartbeats win over the list", func(f *Fleet, l []Entry) {
-			f.Missed(second, "w00")
-			f.Missed(second, "w00")
-			f.List(second, l)
-		}, Suspect, Closed},
-		{"an answer ends the suspicion", func(f *Fleet, _ []Entry) {
-			f.Missed(second, "w00")
-			f.Missed(second, "w00")
-			f.Seen(second, "w00")
-		}, Healthy, Open},
-		{"leaving", func(f *Fleet, l []Entry) {
+		{"seen", func(*Fleet, []ListEntry) {}, Healthy, Allow},
+		{"one missed heartbeat", func(f *Fleet, _ []ListEntry) { f.RecordMissedHeartbeat(second, "w00") }, Healthy, Allow},
+		{"missed heartbeats win over the list", func(f *Fleet, l []ListEntry) {
+			f.RecordMissedHeartbeat(second, "w00")
+			f.RecordMissedHeartbeat(second, "w00")
+			f.UpdateList(second, l)
+		}, Suspect, Deny},
+		{"an answer ends the suspicion", func(f *Fleet, _ []ListEntry) {
+			f.RecordMissedHeartbeat(second, "w00")
+			f.RecordMissedHeartbeat(second, "w00")
+			f.RecordHeartbeat(second, "w00")
+		}, Healthy, Allow},
+		{"leaving", func(f *Fleet, l []ListEntry) {
 			l[0].Leaving = true
-			f.List(second, l)
-			f.Seen(second, "w00")
-		}, Draining, Closed},
-		{"gone although it answers", func(f *Fleet, l []Entry) {
-			f.List(second, l[1:])
-			f.Seen(second.Add(1), "w00")
-		}, Gone, Closed},
-		{"listed again", func(f *Fleet, l []Entry) { f.List(second, l[1:]); f.List(second, l) }, Healthy, Open},
-		{"a list that lost most members is not believed of those that answer", func(f *Fleet, l []Entry) {
-			f.List(second, l[5:])
-			f.Seen(second.Add(1), "w00")
-		}, Healthy, Open},
-		{"but of those that do not", func(f *Fleet, l []Entry) { f.List(second, l[5:]) }, Gone, Closed},
-		{"listed and never seen", func(f *Fleet, l []Entry) {
-			f.List(second, append(l, Entry{ID: "new"}))
+			f.UpdateList(second, l)
+			f.RecordHeartbeat(second, "w00")
+		}, Draining, Deny},
+		{"gone although it answers", func(f *Fleet, l []ListEntry) {
+			f.UpdateList(second, l[1:])
+			f.RecordHeartbeat(second.Add(1), "w00")
+		}, Gone, Deny},
+		{"listed again", func(f *Fleet, l []ListEntry) { f.UpdateList(second, l[1:]); f.UpdateList(second, l) }, Healthy, Allow},
+		{"a list that lost most members is not believed of those that answer", func(f *Fleet, l []ListEntry) {
+			f.UpdateList(second, l[5:])
+			f.RecordHeartbeat(second.Add(1), "w00")
+		}, Healthy, Allow},
+		{"but of those that do not", func(f *Fleet, l []ListEntry) { f.UpdateList(second, l[5:]) }, Gone, Deny},
+		{"listed and never seen", func(f *Fleet, l []ListEntry) {
+			f.UpdateList(second, append(l, ListEntry{ID: "new"}))
 			f.members["w00"] = f.members["new"]
-		}, Unknown, Probe},
+		}, Unknown, AllowProbes},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f, ids := cell(6)
-			l := make([]Entry, len(ids))
+			l := make([]ListEntry, len(ids))
 			for i, id := range ids {
 				l[i].ID = id
 			}
 			c.do(f, l)
 			is.New(t).Equal(f.State(second, "w00"), c.want)
-			is.New(t).Equal(f.Open(second, "w00").Verdict, c.give)
+			is.New(t).Equal(f.Admission(second, "w00").Decision, c.give)
 		})
 	}
 }
@@ -253,9 +253,9 @@
 	now := start
 	for i := range 2000 {
 		now = now.Add(time.Minute)
-		f.List(now, []Entry{{ID: fmt.Sprint("w", i)}, {ID: fmt.Sprint("w", i+1)}})
-		f.Outcome(now, fmt.Sprint("w", i), fmt.Sprint("j", i), fmt.Sprint("c", i), i%2 == 0)
-		f.Forget(fmt.Sprint("j", i))
+		f.UpdateList(now, []ListEntry{{ID: fmt.Sprint("w", i)}, {ID: fmt.Sprint("w", i+1)}})
+		f.RecordOutcome(now, fmt.Sprint("w", i), fmt.Sprint("j", i), fmt.Sprint("c", i), i%2 == 0)
+		f.ForgetJob(fmt.Sprint("j", i))
 	}
 	is.True(len(f.members) < 10)
 	is.True(len(f.classes) < 70)
@@ -271,7 +271,7 @@
 func fleetPolicy(ids []string) policy {
 	f, _ := cell(len(ids))
 	return policy{
-		func(now time.Time, id string) bool { return f.Open(now, id).Verdict != Closed }, f.Outcome,
+		func(now time.Time, id string) bool { return f.Admission(now, id).Decision != Deny }, f.RecordOutcome,
 	}
 }
 
@@ -284,7 +284,7 @@
 			if fails[id]++; ok {
 				fails[id] = 0
 			}
-			if fails[id] >= DefaultFailures {
+			if fails[id] >= DefaultFailureThreshold {
 				fails[id], until[id] = 0, now.Add(DefaultBackOff)
 			}
 		},
@@ -349,7 +349,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		id := ids[i%len(ids)]
-		f.Outcome(start, id, "job", "roster", i%16 != 0)
-		f.Open(start, id)
+		f.RecordOutcome(start, id, "job", "roster", i%16 != 0)
+		f.Admission(start, id)
 	}
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -97,11 +97,11 @@
 		return Draining, "leaving"
 	case m.backsOff(now):
 		return Ejected, reason(m.cause)
-	case m.missed >= f.opts.Missed:
+	case m.missed >= f.opts.MissedThreshold:
 		return Suspect, fmt.Sprintf("%d heartbeats in a row failed", m.missed)
 	case m.ejected:
-		return Probing, fmt.Sprintf("%d of %d probes succeeded", m.probes, f.opts.Probes)
-	case len(m.failures) >= f.opts.Failures:
+		return Probing, fmt.Sprintf("%d of %d probes succeeded", m.probes, f.opts.RequiredProbes)
+	case len(m.failures) >= f.opts.FailureThreshold:
 		return Suspect, reason(m.failures) + ", but no more may be ejected"
 	case m.seen.IsZero():
 		return Unknown, "not seen yet"
@@ -128,7 +128,7 @@
 		return
 	}
 	m.probes++
-	if m.probes >= f.opts.Probes {
+	if m.probes >= f.opts.RequiredProbes {
 		m.ejected, m.openedAt, m.cause = false, now, nil
 	}
 }
@@ -139,13 +139,13 @@
 	if m.backsOff(now) || !f.counts(m, x) {
 		return
 	}
-	if len(m.failures) < f.opts.Failures {
+	if len(m.failures) < f.opts.FailureThreshold {
 		m.failures = append(m.failures, x)
 	}
 	switch {
 	case m.ejected && f.jobs[x.job].alone(m.id):
 		f.eject(now, m) // A probe failed whose job fails nowhere else.
-	case len(m.failures) >= f.opts.Failures && (m.ejected || f.mayEject(m)):
+	case len(m.failures) >= f.opts.FailureThreshold && (m.ejected || f.mayEject(m)):
 		f.eject(now, m)
 	}
 }
@@ -194,7 +194,7 @@
 			zoneOut++
 		}
 	}
-	return out < max(1, all/f.opts.Share) && out+1 < all && zoneOut+1 < zone
+	return out < max(1, all/f.opts.EjectionDivisor) && out+1 < all && zoneOut+1 < zone
 }
 
 // exonerate takes back the failures of a job or class that has turned out to fail everywhere, and
--- a/fleet/work.go
+++ b/fleet/work.go
@@ -21,7 +21,7 @@
 	w, ok := of[name]
 	if !ok {
 		w = &work{}
-		if name != "" && len(of) < MaxWork {
+		if name != "" && len(of) < MaxTracked {
 			of[name] = w
 		}
 	}
@@ -86,7 +86,7 @@
 			proven++
 		}
 	}
-	return proven >= f.opts.Witnesses || plausible >= 2*f.opts.Witnesses
+	return proven >= f.opts.MinHealthyFailures || plausible >= 2*f.opts.MinHealthyFailures
 }
 
 // succeedsElsewhere tells whether the work runs well on others: on two at least, and on four times
--- a/front/accept.go
+++ b/front/accept.go
@@ -83,7 +83,7 @@
 // probe asks the store for something that changes nothing, if it has not answered lately. A submission that
 // is sent into an outage nobody has noticed yet would have an open outcome.
 func (a *acceptor) probe(w *job.Work) error {
-	if time.Since(a.o.StoreHeard()) < probeAfter {
+	if time.Since(a.o.StoreLastAnswer()) < probeAfter {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, probeWithin)
@@ -203,7 +203,7 @@
 	if res.Succeeded {
 		return nil, nil
 	}
-	return dispatch.ExistingIDs(res.Found), nil
+	return dispatch.ExistingIDs(res.Existing), nil
 }
 
 // settle answers the submissions whose work exists: a repeat of an ID, or an earlier try that went
--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -28,7 +28,7 @@
 	monitor, kv := health.New(memory.New().Client(&d.faults))
 	ctx, cancel := context.WithCancel(t.Context())
 	d.acceptor = newAcceptor(ctx, &Options{
-		Store: kv, Logger: zap.NewNop(), Metrics: metric.New(), StoreHeard: monitor.Heard, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent,
+		Store: kv, Logger: zap.NewNop(), Metrics: metric.New(), StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent,
 	})
 	t.Cleanup(func() {
 		cancel()
--- a/front/front.go
+++ b/front/front.go
@@ -36,8 +36,8 @@
 	if o.Metrics == nil {
 		o.Metrics = metric.New()
 	}
-	if o.Decide == nil {
-		o.Decide = func(*job.Work) rule.Effect { return rule.Effect{} }
+	if o.EvaluateRules == nil {
+		o.EvaluateRules = func(*job.Work) rule.Effect { return rule.Effect{} }
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Front{o: o, cancel: cancel}
@@ -60,7 +60,7 @@
 func (f *Front) Submit(ctx context.Context, w *job.Work) error {
 	begun := time.Now()
 	w.Zone = f.o.Group.Self().Zone
-	if e := f.o.Decide(w); e.Refuse != "" {
+	if e := f.o.EvaluateRules(w); e.Refuse != "" {
 		return f.refuse(ctx, w, &e)
 	}
 	err := f.submit(ctx, w, begun)
--- a/front/options.go
+++ b/front/options.go
@@ -58,15 +58,15 @@
 	Dispatcher *dispatch.Dispatcher
 	Group      *owner.Group
 	Peers      *rpc.Pool
-	// Permits puts a question to the policy service from this VM.
-	Permits permit.AskFunc
-	// Decide gives what the operators' rules decide for a work; nil decides nothing.
-	Decide func(w *job.Work) rule.Effect
-	// StoreHeard gives when the store last answered. StoreFailing tells since when it gives no answers of
+	// AskPermit puts a question to the policy service from this VM.
+	AskPermit permit.AskFunc
+	// EvaluateRules gives what the operators' rules decide for a work; nil decides nothing.
+	EvaluateRules func(w *job.Work) rule.Effect
+	// StoreLastAnswer gives when the store last answered. StoreFailing tells since when it gives no answers of
 	// use, StoreSilent since when calls have an open outcome, and both whether it is so now.
-	StoreHeard   func() time.Time
-	StoreFailing func() (since time.Time, failing bool)
-	StoreSilent  func() (since time.Time, silent bool)
-	Logger       *zap.Logger
-	Metrics      *metric.Registry
+	StoreLastAnswer func() time.Time
+	StoreFailing    func() (since time.Time, failing bool)
+	StoreSilent     func() (since time.Time, silent bool)
+	Logger          *zap.Logger
+	Metrics         *metric.Registry
 }
--- a/front/serve.go
+++ b/front/serve.go
@@ -18,8 +18,8 @@
 	methodCancel  = "Front.Cancel"
 	methodWaiting = "Front.Waiting"
 	methodOwner   = "Front.Owner"
-	// MethodAsk puts a question to the policy service from the callee's VM.
-	MethodAsk = "Front.Ask"
+	// MethodAskPermit puts a question to the policy service from the callee's VM.
+	MethodAskPermit = "Front.Ask"
 )
 
 type none struct{}
@@ -75,7 +75,7 @@
 		return &waitingReply{Waiting: n}, err
 	})
 	rpc.Handle(s, methodOwner, f.serveOwner)
-	rpc.Handle(s, MethodAsk, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
-		return f.o.Permits(ctx, in)
+	rpc.Handle(s, MethodAskPermit, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
+		return f.o.AskPermit(ctx, in)
 	})
 }
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -141,8 +141,8 @@
 	return &loans, nil
 }
 
-// TakeBack serves a sibling's return of loans.
-func (g *Gate) TakeBack(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
+// AcceptReturn serves a sibling's return of loans.
+func (g *Gate) AcceptReturn(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
 	g.shares.AcceptReturn(r, time.Now())
 	signal(g.kick)
 	return &share.LoanReturnReply{}, nil
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -20,7 +20,7 @@
 func (g *Gate) Register(s *rpc.Server) {
 	rpc.Handle(s, MethodCheck, g.Forwarded)
 	rpc.Handle(s, MethodBorrow, g.Lend)
-	rpc.Handle(s, MethodReturn, g.TakeBack)
+	rpc.Handle(s, MethodReturn, g.AcceptReturn)
 	rpc.Handle(s, MethodConfirm, g.Hear)
 }
 
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -73,7 +73,7 @@
 			return gates[gate].Lend(ctx, ask)
 		},
 		func(ctx context.Context, gate string, r *share.LoanReturn) error {
-			_, err := gates[gate].TakeBack(ctx, r)
+			_, err := gates[gate].AcceptReturn(ctx, r)
 			return err
 		},
 		func(ctx context.Context, gate string, c *share.Confirmation) (*share.Confirmation, error) {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -140,7 +140,7 @@
 // those before have been answered: at a store that takes longer for an answer than the pause between
 // them, the lease is still kept.
 func (h *Holder) run() {
-	b := retry.New(retry.Between(retry.DefaultMin, h.renew))
+	b := retry.New(retry.Bounds(retry.DefaultMin, h.renew))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	for h.ctx.Err() == nil {
--- a/member/leave.go
+++ b/member/leave.go
@@ -24,7 +24,7 @@
 		return ctx.Err()
 	}
 	defer g.unlockTable()
-	b := retry.New(retry.Between(firstBackoff, lastBackoff))
+	b := retry.New(retry.Bounds(firstBackoff, lastBackoff))
 	for {
 		out, err := g.leaveStep(ctx, handOver)
 		if err == nil && out {
--- a/member/tend.go
+++ b/member/tend.go
@@ -28,8 +28,8 @@
 
 // tend joins the table and keeps it true: it wakes on changes, on suspicion and at long intervals.
 func (g *Group) tend(ctx context.Context) {
-	failures := retry.New(retry.Between(firstBackoff, lastBackoff))
-	looks := retry.New(retry.Between(firstBackoff, g.opts.PollInterval))
+	failures := retry.New(retry.Bounds(firstBackoff, lastBackoff))
+	looks := retry.New(retry.Bounds(firstBackoff, g.opts.PollInterval))
 	for wait := time.Duration(0); g.pause(ctx, wait); {
 		again, err := g.step(ctx)
 		if err != nil {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -264,7 +264,7 @@
 
 // watch keeps the nodes and the owner in sync with the store.
 func (g *Group) watch() {
-	f := follow.Follower{Store: g.store, Prefix: root, Reset: g.reset, Change: g.applyEvents, Logger: g.log}
+	f := follow.Follower{Store: g.store, Prefix: root, OnReset: g.reset, OnChange: g.applyEvents, Logger: g.log}
 	f.Run(g.ctx)
 }
 
--- a/record/codec.go
+++ b/record/codec.go
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrDamaged means that a stored value is not what a journal wrote.
-var ErrDamaged = errors.New("journal value damaged")
+// ErrCorrupt means that a stored value is not what a journal wrote.
+var ErrCorrupt = errors.New("journal value damaged")
 
 // Record is one change of the owner's state, or one item of a snapshot of it.
 type Record struct {
@@ -68,11 +68,11 @@
 
 func unseal(raw []byte) ([]byte, error) {
 	if len(raw) < sealBytes || string(raw[:len(magic)]) != magic {
-		return nil, fmt.Errorf("no seal: %w", ErrDamaged)
+		return nil, fmt.Errorf("no seal: %w", ErrCorrupt)
 	}
 	body := raw[sealBytes:]
 	if binary.BigEndian.Uint64(raw[len(magic):]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("wrong checksum: %w", ErrDamaged)
+		return nil, fmt.Errorf("wrong checksum: %w", ErrCorrupt)
 	}
 	return body, nil
 }
@@ -89,10 +89,10 @@
 		return h, err
 	}
 	if err := msgpack.Unmarshal(body, &h); err != nil {
-		return h, errors.Join(ErrDamaged, err)
+		return h, errors.Join(ErrCorrupt, err)
 	}
 	if h.First == 0 || (h.Generation == "") != (h.Parts == 0) {
-		return h, fmt.Errorf("head: %w", ErrDamaged)
+		return h, fmt.Errorf("head: %w", ErrCorrupt)
 	}
 	return h, nil
 }
@@ -124,10 +124,10 @@
 	}
 	r := bytes.NewReader(body)
 	if err := msgpack.NewDecoder(r).Decode(&b.blockHeader); err != nil {
-		return b, errors.Join(ErrDamaged, err)
+		return b, errors.Join(ErrCorrupt, err)
 	}
 	if b.Count < 0 {
-		return b, fmt.Errorf("negative count: %w", ErrDamaged)
+		return b, fmt.Errorf("negative count: %w", ErrCorrupt)
 	}
 	b.records = body[len(body)-r.Len():]
 	return b, nil
@@ -140,14 +140,14 @@
 	for range b.Count {
 		var rec Record
 		if err := dec.Decode(&rec); err != nil {
-			return errors.Join(ErrDamaged, err)
+			return errors.Join(ErrCorrupt, err)
 		}
 		if err := do(rec); err != nil {
 			return err
 		}
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("more records than counted: %w", ErrDamaged)
+		return fmt.Errorf("more records than counted: %w", ErrCorrupt)
 	}
 	return nil
 }
--- a/record/codec_test.go
+++ b/record/codec_test.go
@@ -48,7 +48,7 @@
 					t.Fatalf("%d records of %d", records, b.Count)
 				}
 			}
-			if err != nil && !errors.Is(err, ErrDamaged) {
+			if err != nil && !errors.Is(err, ErrCorrupt) {
 				t.Fatalf("not told as damaged: %v", err)
 			}
 		}
@@ -61,7 +61,7 @@
 		for _, value := range [][]byte{raw, seal(raw)} {
 			h, err := decodeHead(value)
 			if err != nil {
-				if !errors.Is(err, ErrDamaged) {
+				if !errors.Is(err, ErrCorrupt) {
 					t.Fatalf("not told as damaged: %v", err)
 				}
 				continue
@@ -88,9 +88,9 @@
 		broken := bytes.Clone(value)
 		broken[at] ^= 0x40
 		_, err := decodeBlock(broken)
-		is.True(errors.Is(err, ErrDamaged))
+		is.True(errors.Is(err, ErrCorrupt))
 		_, err = decodeBlock(value[:at])
-		is.True(errors.Is(err, ErrDamaged))
+		is.True(errors.Is(err, ErrCorrupt))
 	}
 }
 
--- a/record/fault_test.go
+++ b/record/fault_test.go
@@ -70,8 +70,8 @@
 		{"none", func(*scene) {}, nil, "1 nil,2 nil,3 nil", "1 2 3"},
 		{"lost answer", func(s *scene) { s.faults.LoseNext(1) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
 		{"lost answer twice", func(s *scene) { s.faults.LoseNext(2) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
-		{"late message", func(s *scene) { s.faults.LateNext(1, time.Second) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
-		{"late messages, and the resends too", func(s *scene) { s.faults.LateNext(3, time.Second) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
+		{"late message", func(s *scene) { s.faults.DeferNext(1, time.Second) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
+		{"late messages, and the resends too", func(s *scene) { s.faults.DeferNext(3, time.Second) }, nil, "1 nil,2 nil,3 nil", "1 2 3"},
 		{
 			"outage", func(s *scene) { s.faults.Down(true) },
 			func(s *scene) { time.Sleep(outage); s.faults.Down(false) }, "1 nil,2 nil,3 nil", "1 2 3",
@@ -107,7 +107,7 @@
 			"1 nil,2 nil,3 journal fenced", "1 2",
 		},
 		{
-			"not written, late message, replaced, then asks", func(s *scene) { s.faults.LateNext(1, outage); s.faults.Delay(time.Second) },
+			"not written, late message, replaced, then asks", func(s *scene) { s.faults.DeferNext(1, outage); s.faults.Delay(time.Second) },
 			func(s *scene) { time.Sleep(time.Second); s.successor(); time.Sleep(outage) },
 			"1 nil,2 journal fenced,3 journal fenced", "1",
 		},
@@ -162,11 +162,11 @@
 		found    string
 	}{
 		{"lost answer of a part", 2, func(s *scene) { s.faults.LoseNext(1) }, false, "0 1 2 3"},
-		{"late part", 2, func(s *scene) { s.faults.LateNext(1, 10*time.Second) }, false, "0 1 2 3"},
+		{"late part", 2, func(s *scene) { s.faults.DeferNext(1, 10*time.Second) }, false, "0 1 2 3"},
 		{"outage at a part", 2, func(s *scene) { s.faults.Down(true); time.AfterFunc(time.Minute, func() { s.faults.Down(false) }) }, false, "0 1 2 3"},
 		{"lost answer of the head", 4, func(s *scene) { s.faults.LoseNext(1) }, false, "0 1 2 3"},
 		{"lost answers of the head, and of its resend", 4, func(s *scene) { s.faults.LoseNext(2) }, false, "0 1 2 3"},
-		{"late head", 4, func(s *scene) { s.faults.LateNext(1, 10*time.Second) }, false, "0 1 2 3"},
+		{"late head", 4, func(s *scene) { s.faults.DeferNext(1, 10*time.Second) }, false, "0 1 2 3"},
 		{"outage at the head", 4, func(s *scene) { s.faults.Down(true); time.AfterFunc(time.Minute, func() { s.faults.Down(false) }) }, false, "0 1 2 3"},
 		{"replaced before the first part", 1, func(s *scene) { s.successor() }, true, "0 1 2"},
 		{"replaced between two parts", 2, func(s *scene) { s.successor() }, true, "0 1 2 3"},
@@ -242,7 +242,7 @@
 				s := newScene(t)
 				s.append(1)
 				synctest.Wait()
-				s.faults.LateNext(1, time.Hour)
+				s.faults.DeferNext(1, time.Hour)
 				c.late(s)
 				synctest.Wait()
 				s.faults.Down(true)
@@ -307,16 +307,16 @@
 		s.append(1)
 		synctest.Wait() // now on its way
 		s.append(2)
-		ticket, err := s.owner.Offer([]Record{record(3)}, func(error) { t.Error("told of a record that was withdrawn") })
+		ticket, err := s.owner.AppendCancelable([]Record{record(3)}, func(error) { t.Error("told of a record that was withdrawn") })
 		is.NoErr(err)
 		s.append(4)
 		is.Equal(s.told, []string{"4 not accepted"})
-		is.True(ticket.Withdraw())
-		is.True(!ticket.Withdraw())
-		ticket, err = s.owner.Offer([]Record{record(5)}, func(err error) { is.NoErr(err) })
+		is.True(ticket.Cancel())
+		is.True(!ticket.Cancel())
+		ticket, err = s.owner.AppendCancelable([]Record{record(5)}, func(err error) { is.NoErr(err) })
 		is.NoErr(err)
 		is.NoErr(s.owner.Snapshot([]Record{record(1), record(2), record(5)}))
-		is.True(!ticket.Withdraw()) // the snapshot holds it already
+		is.True(!ticket.Cancel()) // the snapshot holds it already
 		s.faults.Down(false)
 		is.NoErr(s.owner.Flush(context.Background()))
 		is.True(errors.Is(s.owner.Append([]Record{{Data: make([]byte, DefaultGroupBytes)}}, nil), ErrTooLarge))
--- a/record/inspect.go
+++ b/record/inspect.go
@@ -149,7 +149,7 @@
 		err = b.each(func(Record) error { in.report.Records++; return nil })
 	}
 	if err == nil && b.Number != n {
-		err = fmt.Errorf("bears the number %d: %w", b.Number, ErrDamaged)
+		err = fmt.Errorf("bears the number %d: %w", b.Number, ErrCorrupt)
 	}
 	if err != nil {
 		in.report.Findings.Add(place, "%s", err.Error())
--- a/record/load/load.go
+++ b/record/load/load.go
@@ -18,8 +18,8 @@
 const (
 	DefaultZones       = 6
 	DefaultStarts      = 330.0
-	DefaultFor         = time.Minute
-	DefaultJobLife     = 12 * time.Second
+	DefaultDuration    = time.Minute
+	DefaultJobLifetime = 12 * time.Second
 	DefaultAcceptBytes = 300
 	DefaultTaskBytes   = 120
 )
@@ -30,10 +30,10 @@
 	Name  string
 	Zones int
 	// Starts is the starts a second of all zones together.
-	Starts float64
-	For    time.Duration
-	// JobLife is how long a job is live; it tells how many records a snapshot has.
-	JobLife     time.Duration
+	Starts   float64
+	Duration time.Duration
+	// JobLifetime is how long a job is live; it tells how many records a snapshot has.
+	JobLifetime time.Duration
 	AcceptBytes int
 	TaskBytes   int
 	Journal     []record.Option
@@ -42,7 +42,7 @@
 // DefaultPlan is a cell of the two-year size.
 func DefaultPlan() Plan {
 	return Plan{
-		Name: "load", Zones: DefaultZones, Starts: DefaultStarts, For: DefaultFor, JobLife: DefaultJobLife,
+		Name: "load", Zones: DefaultZones, Starts: DefaultStarts, Duration: DefaultDuration, JobLifetime: DefaultJobLifetime,
 		AcceptBytes: DefaultAcceptBytes, TaskBytes: DefaultTaskBytes,
 	}
 }
@@ -52,7 +52,7 @@
 	Starts, Records, Refused, Failed int64
 	// Calls counts all calls of the store, Lost those without an answer.
 	Calls, Lost, Snapshots int64
-	Took                   time.Duration
+	Elapsed                time.Duration
 	Segments               int
 	// Bytes is what the journals held in the store at the end.
 	Bytes int
@@ -60,27 +60,27 @@
 }
 
 // CallsPerSecond is the load on the store.
-func (r Result) CallsPerSecond() float64 { return float64(r.Calls) / r.Took.Seconds() }
+func (r Result) CallsPerSecond() float64 { return float64(r.Calls) / r.Elapsed.Seconds() }
 
 // CallsPerRecord is the price of one record.
 func (r Result) CallsPerRecord() float64 { return float64(r.Calls) / float64(max(r.Records, 1)) }
 
-// Wait gives the quantile q of the time until a record was durable.
-func (r Result) Wait(q float64) time.Duration {
+// WaitQuantile gives the quantile q of the time until a record was durable.
+func (r Result) WaitQuantile(q float64) time.Duration {
 	if len(r.waits) == 0 {
 		return 0
 	}
 	return r.waits[int(q*float64(len(r.waits)-1))]
 }
 
-// Head names the columns of Row.
-const Head = "starts/s zones | calls/s calls/record | wait ms p50 p99 max | KB at the end, segments | refused lost failed"
+// RowHeader names the columns of Row.
+const RowHeader = "starts/s zones | calls/s calls/record | wait ms p50 p99 max | KB at the end, segments | refused lost failed"
 
 // Row gives the result as one line below Head.
 func (r Result) Row(p Plan) string {
 	return fmt.Sprintf("%8.0f %5d | %7.1f %12.3f | %11d %3d %3d | %13d, %8d | %7d %4d %6d",
 		p.Starts, p.Zones, r.CallsPerSecond(), r.CallsPerRecord(),
-		r.Wait(0.5).Milliseconds(), r.Wait(0.99).Milliseconds(), r.Wait(1).Milliseconds(),
+		r.WaitQuantile(0.5).Milliseconds(), r.WaitQuantile(0.99).Milliseconds(), r.WaitQuantile(1).Milliseconds(),
 		r.Bytes>>10, r.Segments, r.Refused, r.Lost, r.Failed)
 }
 
@@ -100,7 +100,7 @@
 	for _, o := range owners {
 		total.add(o.result)
 	}
-	total.Took = time.Since(started)
+	total.Elapsed = time.Since(started)
 	slices.Sort(total.waits)
 	return total, errors.Join(errs...)
 }
@@ -153,10 +153,10 @@
 // starts makes jobs start and end at a steady rate; each ends after its life.
 func (o *owner) starts(ctx context.Context) {
 	each := time.Duration(float64(time.Second) * float64(o.plan.Zones) / o.plan.Starts)
-	lives := int(o.plan.JobLife / each)
+	lives := int(o.plan.JobLifetime / each)
 	tick := time.NewTicker(each)
 	defer tick.Stop()
-	for n := range int(o.plan.For / each) {
+	for n := range int(o.plan.Duration / each) {
 		o.live[n] = true
 		o.result.Starts++
 		o.append(n, o.plan.AcceptBytes)
--- a/record/measure_test.go
+++ b/record/measure_test.go
@@ -24,7 +24,7 @@
 
 // The store's budget has to last for the cell at each rate; the figures are printed with -v.
 func TestMeasureWrites(t *testing.T) {
-	t.Log(load.Head)
+	t.Log(load.RowHeader)
 	for _, starts := range []float64{10, 100, 330} {
 		for _, zones := range []int{1, 6} {
 			synctest.Test(t, func(t *testing.T) {
--- a/record/record.go
+++ b/record/record.go
@@ -25,12 +25,12 @@
 	DefaultSnapshotRate  = 2.0
 	DefaultSnapshotBurst = 2
 	// DefaultGroupBytes stays well below store.MaxValueBytes, also in base64.
-	DefaultGroupBytes   = 512 << 10
-	DefaultQueueRecords = 16 << 10
-	DefaultQueueBytes   = 4 << 20
-	DefaultMaxSegments  = 128
-	DefaultSegmentBytes = 8 << 20
-	DefaultCallTimeout  = 5 * time.Second
+	DefaultGroupBytes      = 512 << 10
+	DefaultQueueRecords    = 16 << 10
+	DefaultQueueBytes      = 4 << 20
+	DefaultMaxSegments     = 128
+	DefaultMaxSegmentBytes = 8 << 20
+	DefaultCallTimeout     = 5 * time.Second
 	// pageLimit is how many segments or parts one read asks for.
 	pageLimit = 8
 )
@@ -134,7 +134,7 @@
 		store: s, keys: keys{root: Prefix + name + "/"}, epochKey: epochKey, epochRevision: epochRevision,
 		writer: rand.Text(), log: zap.NewNop(),
 		rate: DefaultRate, burst: DefaultBurst, queueRecords: DefaultQueueRecords, queueBytes: DefaultQueueBytes,
-		groupBytes: DefaultGroupBytes, maxSegments: DefaultMaxSegments, maxSegmentBytes: DefaultSegmentBytes,
+		groupBytes: DefaultGroupBytes, maxSegments: DefaultMaxSegments, maxSegmentBytes: DefaultMaxSegmentBytes,
 		callTimeout: DefaultCallTimeout, closing: make(chan struct{}), ended: make(chan struct{}),
 	}
 	for _, o := range opts {
@@ -162,7 +162,7 @@
 // on the journal's goroutine: with nil as soon as they are durable, or with ErrFenced, ErrClosed or
 // ErrUnknown. It must be quick, and must not call Flush or Close, which wait for that goroutine.
 func (j *Journal) Append(recs []Record, done func(error)) error {
-	_, err := j.Offer(recs, done)
+	_, err := j.AppendCancelable(recs, done)
 	return err
 }
 
@@ -172,12 +172,12 @@
 	seq   uint64
 }
 
-// Withdraw takes the records back. True means that they surely never were written nor will be, and
+// Cancel takes the records back. True means that they surely never were written nor will be, and
 // that done is not called; false that they are on their way, and done tells.
-func (t Ticket) Withdraw() bool { return t.queue.withdraw(t.seq) }
+func (t Ticket) Cancel() bool { return t.queue.withdraw(t.seq) }
 
-// Offer is Append with a ticket, for records whose caller may give up before they are durable.
-func (j *Journal) Offer(recs []Record, done func(error)) (Ticket, error) {
+// AppendCancelable is Append with a ticket, for records whose caller may give up before they are durable.
+func (j *Journal) AppendCancelable(recs []Record, done func(error)) (Ticket, error) {
 	raw, err := encodeRecords(recs)
 	if err != nil {
 		return Ticket{}, err
--- a/record/recover.go
+++ b/record/recover.go
@@ -62,14 +62,14 @@
 	next := uint64(0)
 	err := j.readBlocks(ctx, folder, next, func(b block, size int) error {
 		if b.Writer != j.head.Writer || b.Number != next {
-			return fmt.Errorf("part %d of snapshot %s: %w", next, j.head.Generation, ErrDamaged)
+			return fmt.Errorf("part %d of snapshot %s: %w", next, j.head.Generation, ErrCorrupt)
 		}
 		next++
 		j.stats.SnapshotBytes += size
 		return nil
 	})
 	if err == nil && next != j.head.Parts {
-		err = fmt.Errorf("snapshot %s has %d parts of %d: %w", j.head.Generation, next, j.head.Parts, ErrDamaged)
+		err = fmt.Errorf("snapshot %s has %d parts of %d: %w", j.head.Generation, next, j.head.Parts, ErrCorrupt)
 	}
 	return err
 }
@@ -78,7 +78,7 @@
 	j.next = j.head.First
 	err := j.readBlocks(ctx, j.keys.segments(), j.next, func(b block, size int) error {
 		if b.Number != j.next {
-			return fmt.Errorf("segment %d is followed by %d: %w", j.next-1, b.Number, ErrDamaged)
+			return fmt.Errorf("segment %d is followed by %d: %w", j.next-1, b.Number, ErrCorrupt)
 		}
 		j.next++
 		j.addSegment(size)
@@ -98,7 +98,7 @@
 		for _, p := range res.Pairs {
 			b, err := decodeBlock(p.Value)
 			if n, bad := parseNumber(strings.TrimPrefix(p.Key, folder)); bad != nil || n != b.Number {
-				err = errors.Join(err, ErrDamaged)
+				err = errors.Join(err, ErrCorrupt)
 			}
 			if err == nil {
 				err = each(b, len(p.Value))
--- a/record/schedule_test.go
+++ b/record/schedule_test.go
@@ -113,7 +113,7 @@
 		case 5:
 			m.faults.LoseNext(s.n)
 		case 6:
-			m.faults.LateNext(s.n, 4*d)
+			m.faults.DeferNext(s.n, 4*d)
 		case 7:
 			f := m.faults
 			f.Down(true)
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -92,7 +92,7 @@
 // withdraw removes a job whose record has not yet been sent to the store. It runs on the loop.
 func (t *term) withdraw(id string) bool {
 	e := t.jobs[id]
-	if e == nil || e.committed == nil || !e.ticket.Withdraw() {
+	if e == nil || e.committed == nil || !e.ticket.Cancel() {
 		return false
 	}
 	delete(t.jobs, id)
@@ -134,7 +134,7 @@
 	e := newEntry(id, jobRecord{Spec: *spec, Accepted: now.UTC(), Parent: parent})
 	e.durable, e.decision = false, d
 	wait := make(chan error, maxWaiters)
-	ticket, err := t.journal.Offer([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
+	ticket, err := t.journal.AppendCancelable([]record.Record{encode(kindJob, id, e.jobRecord)}, func(err error) {
 		if err != nil {
 			wait <- err
 			t.fail(err)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -166,28 +166,28 @@
 // updateLinks opens links to the zone's new workers, and returns the IDs of all listed workers.
 func (t *term) updateLinks(now time.Time) map[string]bool {
 	listed := make(map[string]bool)
-	var entries []fleet.Entry
+	var entries []fleet.ListEntry
 	for _, info := range t.o.Workers() {
 		if info.Zone != t.o.Zone {
 			continue
 		}
 		listed[info.ID] = true
-		entries = append(entries, fleet.Entry{ID: info.ID, Zone: info.Zone, Leaving: info.Leaving})
+		entries = append(entries, fleet.ListEntry{ID: info.ID, Zone: info.Zone, Leaving: info.Leaving})
 		if l := t.links[info.ID]; l != nil {
 			l.info = info
 		} else {
 			t.links[info.ID] = t.openLink(info)
 		}
 	}
-	t.fleet.List(now, entries)
+	t.fleet.UpdateList(now, entries)
 	return listed
 }
 
 // updateWorker tells the planner whether a worker may get new tasks, if that has changed.
 func (t *term) updateWorker(now time.Time, l *link) {
-	a := t.fleet.Open(now, l.info.ID)
-	open := l.answered && l.listed && !l.info.Leaving && a.Verdict != fleet.Closed
-	probe := a.Verdict == fleet.Probe
+	a := t.fleet.Admission(now, l.info.ID)
+	open := l.answered && l.listed && !l.info.Leaving && a.Decision != fleet.Deny
+	probe := a.Decision == fleet.AllowProbes
 	if l.plannerInfo == l.info && l.open == open && l.probe == probe {
 		return
 	}
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -22,13 +22,13 @@
 			l.lastPossibleRenewal = now
 		}
 		if t.ownsZone() {
-			t.fleet.Missed(now, l.info.ID)
+			t.fleet.RecordMissedHeartbeat(now, l.info.ID)
 		}
 		t.updateWorker(now, l)
 		return
 	}
 	l.lastPossibleRenewal, l.answered, l.ackedSentAt, l.boot = now, true, b.sentAt, b.reply.Boot
-	t.fleet.Seen(now, l.info.ID)
+	t.fleet.RecordHeartbeat(now, l.info.ID)
 	t.updateWorker(now, l)
 	for i := range b.reply.Reports {
 		t.onHeartbeatReport(l, &b.reply.Reports[i], now)
@@ -160,7 +160,7 @@
 	if len(e.tasks) == 1 && !e.Spec.Repeatable {
 		id = ""
 	}
-	t.fleet.Outcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
+	t.fleet.RecordOutcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
 	if l := t.links[k.Worker]; l != nil {
 		t.updateWorker(now, l)
 	}
@@ -211,7 +211,7 @@
 	}
 	e.close()
 	t.planner.DropPending(e.id)
-	t.fleet.Forget(e.id)
+	t.fleet.ForgetJob(e.id)
 	t.retire(e)
 	s := e.status(t.o.Zone)
 	for _, w := range e.waiters {
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -77,7 +77,7 @@
 func (t *term) state() *State {
 	s := &State{
 		Zone: t.o.Zone, Epoch: t.epoch, Live: len(t.live), Stats: t.planner.Stats(time.Now()),
-		Workers: t.planner.Loads(), Ejections: t.fleet.Reasons(),
+		Workers: t.planner.Loads(), Ejections: t.fleet.Ejections(),
 		Refusals: slices.Clone(t.refusals),
 	}
 	for _, e := range t.jobs {
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -73,7 +73,7 @@
 func NewCell(o *Options) (*Cell, error) {
 	c := &Cell{o: o, standin: platform.NewStandin(), works: make(map[string]*job.Work), queues: queues()}
 	c.floor = floor.New(c.behave)
-	c.standin.Allow = func(q *permit.Request) []string { return allowed(q.Work, q.Workers) }
+	c.standin.AllowWorkers = func(q *permit.Request) []string { return allowed(q.Work, q.Workers) }
 	if err := c.build(); err != nil {
 		c.Close()
 		return nil, err
@@ -160,7 +160,7 @@
 }
 
 func (c *Cell) put(op store.Op) error {
-	_, err := c.standin.Keys.Store().Txn(c.o.Context, store.Txn{Then: []store.Op{op}})
+	_, err := c.standin.KV.Store().Txn(c.o.Context, store.Txn{Then: []store.Op{op}})
 	return err
 }
 
@@ -193,7 +193,7 @@
 	w.now = w.cell.floor.Add(info)
 	h := platform.WorkerHandler(info.ID, w.cell.floor.Client(info))
 	w.handler.Store(&h)
-	key, raw, err := platform.Entry(&worker.Listing{Info: info, Pool: "desk", Labels: []string{"a", "r1"}})
+	key, raw, err := platform.EncodeWorker(&worker.Listing{Info: info, Pool: "desk", Labels: []string{"a", "r1"}})
 	if err != nil {
 		return err
 	}
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -160,13 +160,13 @@
 	return wire.LeaseResponse{ID: id, TTL: req.TTL}, err
 }
 
-func (s *Server) keepAlive(ctx context.Context, req wire.LeaseRequest) (wire.StreamOf[wire.LeaseResponse], error) {
+func (s *Server) keepAlive(ctx context.Context, req wire.LeaseRequest) (wire.StreamMessage[wire.LeaseResponse], error) {
 	ttl, err := s.inner.KeepAlive(ctx, req.ID)
 	if errors.Is(err, store.ErrLeaseGone) {
 		err = nil // The gateway tells a lapsed lease by the missing TTL.
 	}
 	res := wire.LeaseResponse{ID: req.ID, TTL: int64(ttl / time.Second)}
-	return wire.StreamOf[wire.LeaseResponse]{Result: res}, err
+	return wire.StreamMessage[wire.LeaseResponse]{Result: res}, err
 }
 
 func (s *Server) revoke(ctx context.Context, req wire.LeaseRequest) (wire.LeaseResponse, error) {
@@ -197,7 +197,7 @@
 }
 
 func stream(w http.ResponseWriter, m wire.WatchResponse) {
-	write(w, wire.StreamOf[wire.WatchResponse]{Result: m})
+	write(w, wire.StreamMessage[wire.WatchResponse]{Result: m})
 	// A writer that cannot flush delivers when the handler ends.
 	_ = http.NewResponseController(w).Flush()
 }
--- a/store/etcd/etcd.go
+++ b/store/etcd/etcd.go
@@ -225,7 +225,7 @@
 }
 
 func (c *client) keepAlive(ctx context.Context, lease int64) (time.Duration, error) {
-	resp, err := roundTrip[wire.StreamOf[wire.LeaseResponse]](ctx, c, wire.PathKeepAlive, wire.LeaseRequest{ID: lease})
+	resp, err := roundTrip[wire.StreamMessage[wire.LeaseResponse]](ctx, c, wire.PathKeepAlive, wire.LeaseRequest{ID: lease})
 	switch {
 	case err != nil:
 		return 0, err
@@ -256,7 +256,7 @@
 	dec := json.NewDecoder(limited)
 	for {
 		limited.N = c.maxBytes // for each message
-		var m wire.StreamOf[wire.WatchResponse]
+		var m wire.StreamMessage[wire.WatchResponse]
 		if err := dec.Decode(&m); err != nil {
 			return eris.Wrap(err, "store watch broken")
 		}
--- a/store/etcd/wire/wire.go
+++ b/store/etcd/wire/wire.go
@@ -116,8 +116,8 @@
 	TTL    int64  `json:"TTL,string,omitempty"`
 }
 
-// StreamOf is one message of a streamed answer.
-type StreamOf[T any] struct {
+// StreamMessage is one message of a streamed answer.
+type StreamMessage[T any] struct {
 	Result T      `json:"result"`
 	Error  *Error `json:"error,omitempty"`
 }
--- a/store/follow/follow.go
+++ b/store/follow/follow.go
@@ -12,8 +12,8 @@
 
 // Defaults.
 const (
-	// DefaultListWithin bounds one reading of all keys, of several pages.
-	DefaultListWithin = 5 * time.Second
+	// DefaultListTimeout bounds one reading of all keys, of several pages.
+	DefaultListTimeout = 5 * time.Second
 	// againMin and againMax bound the pauses after a failure; the longest is well below the two
 	// seconds in which new configuration must be in force.
 	againMin = 20 * time.Millisecond
@@ -24,16 +24,16 @@
 type Follower struct {
 	Store  *store.Store
 	Prefix string
-	// Reset gets all keys as they were at a revision; what it does not name is gone. A reading that
+	// OnReset gets all keys as they were at a revision; what it does not name is gone. A reading that
 	// is older than what was heard already is left out, so that nothing goes back.
-	Reset func(pairs []store.Pair, revision int64)
-	// Change gets what changed since.
-	Change func(events []store.Event, revision int64)
-	// Alive, if set, is told after each answer of the store and after each failure.
-	Alive func(err error)
-	// Pause is kept between two answers of the watch, so that a busy prefix costs few calls.
-	Pause  time.Duration
-	Logger *zap.Logger
+	OnReset func(pairs []store.Pair, revision int64)
+	// OnChange gets what changed since.
+	OnChange func(events []store.Event, revision int64)
+	// OnContact, if set, is told after each answer of the store and after each failure.
+	OnContact func(err error)
+	// MinInterval is kept between two answers of the watch, so that a busy prefix costs few calls.
+	MinInterval time.Duration
+	Logger      *zap.Logger
 }
 
 // Run follows until ctx ends.
@@ -42,7 +42,7 @@
 	if log == nil {
 		log = zap.NewNop()
 	}
-	b := retry.New(retry.Between(againMin, againMax))
+	b := retry.New(retry.Bounds(againMin, againMax))
 	var at int64
 	for ctx.Err() == nil {
 		next, err := f.list(ctx, at)
@@ -52,11 +52,11 @@
 				b.Reset()
 				f.alive(nil)
 				if len(batch.Events) > 0 {
-					f.Change(batch.Events, batch.Revision)
+					f.OnChange(batch.Events, batch.Revision)
 				}
 				at = max(at, batch.Revision)
-				if len(batch.Events) > 0 && f.Pause > 0 {
-					retry.Sleep(ctx, f.Pause)
+				if len(batch.Events) > 0 && f.MinInterval > 0 {
+					retry.Sleep(ctx, f.MinInterval)
 				}
 			})
 		}
@@ -70,13 +70,13 @@
 }
 
 func (f *Follower) alive(err error) {
-	if f.Alive != nil {
-		f.Alive(err)
+	if f.OnContact != nil {
+		f.OnContact(err)
 	}
 }
 
 func (f *Follower) list(ctx context.Context, heard int64) (int64, error) {
-	within, cancel := context.WithTimeout(ctx, DefaultListWithin)
+	within, cancel := context.WithTimeout(ctx, DefaultListTimeout)
 	defer cancel()
 	res, err := f.Store.Range(within, store.Range{Key: f.Prefix, End: store.PrefixEnd(f.Prefix)})
 	if err != nil {
@@ -86,12 +86,12 @@
 	if res.Revision < heard {
 		return heard, nil
 	}
-	f.Reset(res.Pairs, res.Revision)
+	f.OnReset(res.Pairs, res.Revision)
 	return res.Revision, nil
 }
 
-// Written gives the keys that were written by some changes, without those that were deleted.
-func Written(events []store.Event) []store.Pair {
+// Puts gives the keys that were written by some changes, without those that were deleted.
+func Puts(events []store.Event) []store.Pair {
 	var out []store.Pair
 	for i := range events {
 		if !events[i].Deleted {
--- a/store/health/health.go
+++ b/store/health/health.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Heard gives when the store last answered.
-func (m *Monitor) Heard() time.Time {
+// LastAnswer gives when the store last answered.
+func (m *Monitor) LastAnswer() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.answered
--- a/store/memory/faults.go
+++ b/store/memory/faults.go
@@ -60,9 +60,9 @@
 // LoseNext makes the next n calls that are not reads take effect and then fail.
 func (f *Faults) LoseNext(n int) { f.set(func() { f.lose = n }) }
 
-// LateNext makes the next n writes fail at once and take effect after d, as messages do that the
+// DeferNext makes the next n writes fail at once and take effect after d, as messages do that the
 // network held back.
-func (f *Faults) LateNext(n int, d time.Duration) { f.set(func() { f.late, f.lateBy = n, d }) }
+func (f *Faults) DeferNext(n int, d time.Duration) { f.set(func() { f.late, f.lateBy = n, d }) }
 
 // Calls counts the calls so far; a watch counts as one.
 func (f *Faults) Calls() int64 {
@@ -71,8 +71,8 @@
 	return f.calls
 }
 
-// Watching counts the watches that wait now.
-func (f *Faults) Watching() int {
+// WatchCount counts the watches that wait now.
+func (f *Faults) WatchCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watching
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -139,7 +139,7 @@
 	defer s.mu.Unlock()
 	for _, c := range t.Compares {
 		if s.revisionOf(c) != c.Revision {
-			return store.TxnResult{Revision: s.revision, Found: s.found(t.Compares)}, nil
+			return store.TxnResult{Revision: s.revision, Existing: s.found(t.Compares)}, nil
 		}
 	}
 	for _, op := range t.Then {
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -95,7 +95,7 @@
 		{"down", func(f *memory.Faults) { f.Down(true) }, true, true, false, 0},
 		{"lost answer", func(f *memory.Faults) { f.LoseNext(1) }, true, false, true, 0},
 		{"all answers lost", func(f *memory.Faults) { f.LoseAnswer(true) }, true, false, true, 0},
-		{"late", func(f *memory.Faults) { f.LateNext(1, time.Second) }, true, false, false, 0},
+		{"late", func(f *memory.Faults) { f.DeferNext(1, time.Second) }, true, false, false, 0},
 		{"slow", func(f *memory.Faults) { f.Delay(2 * time.Second) }, false, false, true, 2 * time.Second},
 		{"slower than the caller waits", func(f *memory.Faults) { f.Delay(time.Minute) }, true, false, false, 10 * time.Second},
 		{"cut", func(f *memory.Faults) { f.Cut(true) }, true, false, false, memory.DefaultCallTimeout},
@@ -142,7 +142,7 @@
 		}
 		go watch(1)
 		synctest.Wait()
-		is.Equal(f.Watching(), 1)
+		is.Equal(f.WatchCount(), 1)
 		f.Cut(true)
 		_, err := service.Store().Txn(context.Background(), put("a", 0))
 		is.NoErr(err)
@@ -154,6 +154,6 @@
 		is.Equal(events, 1)
 		f.Down(true)
 		is.True(<-ended != nil)
-		is.Equal(f.Watching(), 0)
+		is.Equal(f.WatchCount(), 0)
 	})
 }
--- a/store/retry/retry.go
+++ b/store/retry/retry.go
@@ -22,8 +22,8 @@
 // Option sets up a Backoff.
 type Option func(*Backoff)
 
-// Between bounds the pauses.
-func Between(least, most time.Duration) Option {
+// Bounds bounds the pauses.
+func Bounds(least, most time.Duration) Option {
 	return func(b *Backoff) { b.min, b.max = least, most }
 }
 
--- a/store/retry/retry_test.go
+++ b/store/retry/retry_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	seen := map[time.Duration]bool{}
 	for range 100 {
-		b := retry.New(retry.Between(time.Second, 5*time.Second))
+		b := retry.New(retry.Bounds(time.Second, 5*time.Second))
 		for _, bound := range []time.Duration{1, 2, 4, 5, 5} {
 			d := b.Next()
 			is.True(d >= bound*time.Second/2 && d <= bound*time.Second)
--- a/store/store.go
+++ b/store/store.go
@@ -67,9 +67,9 @@
 type TxnResult struct {
 	Succeeded bool
 	Revision  int64
-	// Found holds the compared keys that exist, as they stood when a Compare failed; a service may
+	// Existing holds the compared keys that exist, as they stood when a Compare failed; a service may
 	// leave it out.
-	Found []Pair
+	Existing []Pair
 }
 
 // Range asks for a key, or with End set for all keys from Key up to, but without, End.
--- a/view/view.go
+++ b/view/view.go
@@ -252,4 +252,4 @@
 	return k.opts.List(ctx)
 }
 
-func newBackoff() *retry.Backoff { return retry.New(retry.Between(firstBackoff, lastBackoff)) }
+func newBackoff() *retry.Backoff { return retry.New(retry.Bounds(firstBackoff, lastBackoff)) }
