--- a/dispatch/calllimiter.go
+++ b/dispatch/calllimiter.go
@@ -42,7 +42,7 @@
 
 // call calls a worker. A direct call waits for a slot first; a call through a relay does not, as the relay makes it.
 func (t *term) call(ctx context.Context, agent *worker.Agent, timeout time.Duration, do func(context.Context) error) error {
-	if agent.ByRelay() {
+	if agent.IsRelayed() {
 		timeout += relaySlack
 	} else {
 		done, ok := t.callLimiter.acquire(ctx)
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -31,8 +31,8 @@
 // taskResources returns the resources that one task is charged for. Filler tasks run on CPU that others leave unused
 // and are not charged for it.
 func (s *stage) taskResources() resources {
-	need := s.spec.Each
-	if s.spec.Filler {
+	need := s.spec.TaskResources
+	if s.spec.BestEffort {
 		need.Millicores = 0
 	}
 	return need
@@ -63,7 +63,7 @@
 
 // limitTasks bounds a number of tasks by the stage's limit per worker and by the worker's trial.
 func (t *term) limitTasks(s *stage, n *node, k int) int {
-	if limit := s.spec.MostPerWorker; limit > 0 {
+	if limit := s.spec.MaxPerWorker; limit > 0 {
 		k = min(k, limit-s.tasksOn(n))
 	}
 	if n.isOnTrial() {
@@ -186,11 +186,11 @@
 // interferes reports whether a stage should not share a worker with the tasks that run there. Filler tasks push the
 // tail latency of tasks with a latency bound over that bound, and nothing throttles them yet.
 func (s *stage) interferes(n *node) bool {
-	if !s.spec.Filler && s.spec.Tail == 0 {
+	if !s.spec.BestEffort && s.spec.TailLatency == 0 {
 		return false
 	}
 	for _, r := range n.runs {
-		if s.spec.Filler && r.stage.spec.Tail > 0 || s.spec.Tail > 0 && r.stage.spec.Filler {
+		if s.spec.BestEffort && r.stage.spec.TailLatency > 0 || s.spec.TailLatency > 0 && r.stage.spec.BestEffort {
 			return true
 		}
 	}
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -48,12 +48,12 @@
 	list := make([]*roster, 0, n)
 	for i := range n {
 		step := job.Step{
-			Tasks: max(1, int(math.Round(sample(8, 0.8, 24)))), Gang: true, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+			Tasks: max(1, int(math.Round(sample(8, 0.8, 24)))), Gang: true, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 			Estimate: time.Duration(sample(5000, 0.5, 14000)) * time.Millisecond,
 		}
 		w := c.newWork(fmt.Sprintf("roster%03d", i), step)
 		if random.Float64() < 0.2 {
-			step.After = []int{0}
+			step.DependsOn = []int{0}
 			w.Steps = append(w.Steps, step)
 		}
 		r := &roster{work: w, taskDuration: step.Estimate}
@@ -70,7 +70,7 @@
 // toSingleTasks replaces the steps of each roster with a single task of the same duration.
 func toSingleTasks(load []*roster) {
 	for _, r := range load {
-		r.work.Steps = []job.Step{{Tasks: 1, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.taskDuration}}
+		r.work.Steps = []job.Step{{Tasks: 1, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.taskDuration}}
 		r.size = r.taskDuration.Seconds()
 		r.objective = time.Duration(rosterSlack*float64(r.taskDuration)) + time.Second
 	}
@@ -145,9 +145,9 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Runs: r.taskDuration, How: worker.EndingDone, Needs: s.Each, Gang: requiredGangSize(s)}
+		return floor.Behaviour{Runs: r.taskDuration, How: worker.OutcomeDone, Needs: s.TaskResources, Gang: requiredGangSize(s)}
 	}, vms...)
-	c.config.Queues[0].Slack = rosterSlack
+	c.config.Queues[0].SlackFactor = rosterSlack
 	if o.useGangs {
 		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterPermitBase, PerWorker: rosterPermitPerWorker}
 		c.permits = allowQuarter
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -33,7 +33,7 @@
 }
 
 func (l *workload) newWork(kind string, i int, cost *job.PermitCost, step job.Step) *job.Work {
-	q := job.Queue{Name: kind, Pool: "p", Attempts: 3, Slack: 2.2, Target: time.Second, Permit: cost}
+	q := job.Queue{Name: kind, Pool: "p", MaxAttempts: 3, SlackFactor: 2.2, TargetDuration: time.Second, Permit: cost}
 	return &job.Work{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint("z", i%3), Queue: q, Steps: []job.Step{step}}
 }
 
@@ -42,7 +42,7 @@
 		runs := time.Duration(l.sample(640, 0.5, 1600)) * time.Millisecond
 		w := l.newWork("check", i, &checkCost, job.Step{
 			Tasks: max(1, int(l.sample(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
-			Each: job.Resources{Millicores: int64(l.sample(3900, 0.4, 9000)), MemoryMB: 700},
+			TaskResources: job.Resources{Millicores: int64(l.sample(3900, 0.4, 9000)), MemoryMB: 700},
 		})
 		l.replay.submitAt(time.Duration(i)*every, w, runs)
 	}
@@ -51,16 +51,16 @@
 func (l *workload) batches(n int, every time.Duration, cost *job.PermitCost) {
 	for i := range n {
 		runs := time.Duration(l.sample(2700, 0.5, 6000)) * time.Millisecond
-		step := job.Step{Tasks: max(2, int(l.sample(14, 0.6, 40))), Estimate: runs, Each: job.Resources{Millicores: int64(l.sample(2800, 0.4, 6000)), MemoryMB: 400}}
+		step := job.Step{Tasks: max(2, int(l.sample(14, 0.6, 40))), Estimate: runs, TaskResources: job.Resources{Millicores: int64(l.sample(2800, 0.4, 6000)), MemoryMB: 400}}
 		switch i % 4 {
 		case 0:
-			step.MostPerWorker = 2
+			step.MaxPerWorker = 2
 		case 1:
 			step.DataRack = "r1"
 		}
 		w := l.newWork("batch", i, cost, step)
 		second := step
-		second.After, second.Tasks = []int{0}, 3
+		second.DependsOn, second.Tasks = []int{0}, 3
 		w.Queue.Priority, w.Steps = 2, append(w.Steps, second)
 		l.replay.submitAt(time.Duration(i)*every+7*time.Millisecond, w, runs)
 	}
@@ -70,7 +70,7 @@
 	for i := range n {
 		runs := time.Duration(l.sample(4000, 0.5, 9000)) * time.Millisecond
 		w := l.newWork("roster", i, &rosterCost, job.Step{
-			Tasks: max(2, int(l.sample(9, 0.8, 30))), Gang: true, Estimate: runs, Each: job.Resources{Millicores: 4000, MemoryMB: 900},
+			Tasks: max(2, int(l.sample(9, 0.8, 30))), Gang: true, Estimate: runs, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 900},
 		})
 		w.Queue.Priority = 1
 		l.replay.submitAt(time.Duration(i)*every+13*time.Millisecond, w, runs)
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -17,12 +17,12 @@
 
 // gangBehaviour returns gang members that end together after d; member 0 ends as how. If it fails, the others run on
 // until the gang breaks.
-func gangBehaviour(size int, d time.Duration, how worker.Ending) func(worker.Task, int64) floor.Behaviour {
+func gangBehaviour(size int, d time.Duration, how worker.RunOutcome) func(worker.Task, int64) floor.Behaviour {
 	return func(task worker.Task, _ int64) floor.Behaviour {
-		b := floor.Behaviour{Runs: d, How: worker.EndingDone, Gang: size, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
+		b := floor.Behaviour{Runs: d, How: worker.OutcomeDone, Gang: size, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
 		if task.Index == 0 {
 			b.How = how
-		} else if how == worker.EndingFailed {
+		} else if how == worker.OutcomeFailed {
 			b.Runs = time.Hour
 		}
 		return b
@@ -30,14 +30,14 @@
 }
 
 func gangStep(size int) job.Step {
-	return job.Step{Tasks: size, Gang: true, Each: job.Resources{Millicores: 3000, MemoryMB: 100}}
+	return job.Step{Tasks: size, Gang: true, TaskResources: job.Resources{Millicores: 3000, MemoryMB: 100}}
 }
 
 // Checks that all members of a gang start together, on as many workers as needed, and end together.
 func TestGang(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangBehaviour(4, 2*time.Second, worker.EndingDone), "vm1", "vm2")
+		c := newCell(t, gangBehaviour(4, 2*time.Second, worker.OutcomeDone), "vm1", "vm2")
 		c.addWorkers(4, 4)
 		v := c.waitForOwner()
 		c.submit(v, c.newWork("gang", gangStep(4)))
@@ -52,7 +52,7 @@
 func TestGangAttemptsOutliveOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangBehaviour(2, time.Second, worker.EndingFailed), "vm1", "vm2")
+		c := newCell(t, gangBehaviour(2, time.Second, worker.OutcomeFailed), "vm1", "vm2")
 		ws := c.addWorkers(2, 4)
 		first := c.waitForOwner()
 		c.submit(first, c.newWork("gang", gangStep(2)))
@@ -79,7 +79,7 @@
 func TestGangAsksOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangBehaviour(4, time.Second, worker.EndingDone), "vm1", "vm2")
+		c := newCell(t, gangBehaviour(4, time.Second, worker.OutcomeDone), "vm1", "vm2")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		allowed := []string{"w06", "w07", "w08", "w09"}
 		requests := 0
@@ -113,11 +113,11 @@
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			if task.Work == "gang" {
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Runs: 2 * time.Second, How: worker.OutcomeDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
 			}
-			return floor.Behaviour{Runs: 3 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Runs: 3 * time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 20, Target: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
 		c.addWorkers(3, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
@@ -127,7 +127,7 @@
 			if i == 50 {
 				submitted = time.Now()
 				c.submit(v, c.newWork("gang", job.Step{
-					Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+					Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 				}))
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -149,7 +149,7 @@
 func TestGangAfterCrash(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangBehaviour(2, 4*time.Second, worker.EndingDone), "vm1")
+		c := newCell(t, gangBehaviour(2, 4*time.Second, worker.OutcomeDone), "vm1")
 		ws := c.addWorkers(4, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
@@ -174,7 +174,7 @@
 		t.Run(fmt.Sprint("owner dies ", kill), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangBehaviour(2, 2*time.Second, worker.EndingFailed), "vm1", "vm2")
+				c := newCell(t, gangBehaviour(2, 2*time.Second, worker.OutcomeFailed), "vm1", "vm2")
 				ws := c.addWorkers(6, 4)
 				v := c.waitForOwner()
 				time.Sleep(5 * time.Second)
@@ -209,7 +209,7 @@
 		t.Run(fmt.Sprint(attempt), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangBehaviour(3, 2*time.Second, worker.EndingFailed), "vm1")
+				c := newCell(t, gangBehaviour(3, 2*time.Second, worker.OutcomeFailed), "vm1")
 				ws := c.addWorkers(6, 4)
 				v := c.waitForOwner()
 				time.Sleep(5 * time.Second)
@@ -241,7 +241,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Gang: 2, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
+			return floor.Behaviour{Runs: time.Second, How: worker.OutcomeDone, Gang: 2, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
 		}, "vm1")
 		ws := c.addWorkers(4, 8)
 		ws[3].Set(floor.Faults{Fails: true}) // chosen first among equal workers
@@ -254,7 +254,7 @@
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
-			if r.How == worker.EndingFailed {
+			if r.How == worker.OutcomeFailed {
 				failed++
 			}
 		}
@@ -271,15 +271,15 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Runs: 2 * time.Second, How: worker.OutcomeDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
 			case "before":
-				return floor.Behaviour{Runs: 5 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Runs: 5 * time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Runs: time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, time.Millisecond
+		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 20, Target: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
 		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
 		c.addWorkers(2, 4)
 		v := c.waitForOwner()
@@ -290,7 +290,7 @@
 		submitCheck("before", 8)
 		submitted := time.Now()
 		c.submit(v, c.newWork("gang", job.Step{
-			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+			Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 		}))
 		time.Sleep(5200 * time.Millisecond)
 		for i := range 40 {
@@ -315,7 +315,7 @@
 		for i := range 16 {
 			vms = append(vms, fmt.Sprintf("vm%02d", i))
 		}
-		c := newCell(t, gangBehaviour(40, time.Second, worker.EndingDone), vms...)
+		c := newCell(t, gangBehaviour(40, time.Second, worker.OutcomeDone), vms...)
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		var mu sync.Mutex
 		named := make(map[string]int)
@@ -353,15 +353,15 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 3000}}
+				return floor.Behaviour{Runs: 2 * time.Second, How: worker.OutcomeDone, Gang: 2, Needs: job.Resources{Millicores: 3000}}
 			case "long":
-				return floor.Behaviour{Runs: time.Minute, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Runs: time.Minute, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Runs: time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, 20*time.Second
+		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, 20*time.Second
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 200 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 4, Target: time.Second})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 4, TargetDuration: time.Second})
 		c.permits = func(*permit.Request) ([]string, time.Duration) {
 			return []string{"w00", "w01"}, 240 * time.Millisecond
 		}
@@ -371,14 +371,14 @@
 		submitCheck := func(i int) {
 			c.submitToQueue(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second})
 		}
-		c.submit(v, c.newWork("long", job.Step{Tasks: 2, MostPerWorker: 1, Estimate: time.Minute}))
+		c.submit(v, c.newWork("long", job.Step{Tasks: 2, MaxPerWorker: 1, Estimate: time.Minute}))
 		time.Sleep(time.Second)
 		for i := range 10 {
 			submitCheck(i)
 		}
 		submitted := time.Now()
 		c.submit(v, c.newWork("gang", job.Step{
-			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 3000, MemoryMB: 100},
+			Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 3000, MemoryMB: 100},
 		}))
 		for i := range 160 { // uses seven of sixteen cores
 			submitCheck(100 + i)
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -62,16 +62,16 @@
 }
 
 // noteEnding updates the health of a worker after the end of a run.
-func (t *term) noteEnding(r *run, ending worker.Ending) {
+func (t *term) noteEnding(r *run, ending worker.RunOutcome) {
 	h := &r.node.health
 	if h.trialRun == r {
 		h.trialRun = nil
 	}
 	switch ending {
-	case worker.EndingDone:
+	case worker.OutcomeDone:
 		h.successes++
 		h.failedInARow, h.quarantine = 0, 0
-	case worker.EndingFailed:
+	case worker.OutcomeFailed:
 		h.failures++
 		t.countFailure(r)
 	default:
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -23,7 +23,7 @@
 // node is the owner's state of one lifetime of a worker.
 type node struct {
 	id      string
-	listing worker.Listing
+	listing worker.ListedWorker
 	// listed is true while the worker's entry is in the store.
 	listed bool
 	// unreadable is true while the entry exists but cannot be decoded. The worker then gets no new tasks; what its
@@ -173,7 +173,7 @@
 				hasLeft := n.hasLeft(time.Now())
 				t.onUnlisted(n)
 				if hasLeft {
-					t.endLifetime(n, worker.EndingLapsed, "it has left")
+					t.endLifetime(n, worker.OutcomeLeaseExpired, "it has left")
 				}
 			}
 			continue
@@ -251,7 +251,7 @@
 	return slices.BinarySearchFunc(t.sortedNodes, n, func(a, b *node) int { return strings.Compare(a.id, b.id) })
 }
 
-func (t *term) updateListing(l worker.Listing) {
+func (t *term) updateListing(l worker.ListedWorker) {
 	n := t.nodeFor(l.ID)
 	if !n.listed || n.listing.Leaving != l.Leaving {
 		t.log.Info("dispatch: worker listed", zap.String("worker", l.ID), zap.String("pool", l.Pool),
@@ -287,12 +287,12 @@
 	if n.stop != nil {
 		n.stop()
 	}
-	n.agent.End()
+	n.agent.Release()
 	t.removeNode(n)
 }
 
 // endLifetime ends all runs of a worker whose lifetime is over.
-func (t *term) endLifetime(n *node, ending worker.Ending, reason string) {
+func (t *term) endLifetime(n *node, ending worker.RunOutcome, reason string) {
 	t.log.Info("dispatch: worker's runs are over", zap.String("worker", n.id), zap.String("reason", reason), zap.Int("runs", len(n.runs)))
 	for _, r := range n.runs {
 		t.endRun(r, ending, "")
@@ -304,7 +304,7 @@
 func (t *term) endLapsed(now time.Time) {
 	for _, n := range t.nodes {
 		if len(n.runs) > 0 && (n.misses > 0 || !n.synced) && now.After(n.leaseEnd) {
-			t.endLifetime(n, worker.EndingLapsed, "silent until its lease had lapsed")
+			t.endLifetime(n, worker.OutcomeLeaseExpired, "silent until its lease had lapsed")
 		}
 	}
 }
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -82,8 +82,8 @@
 func (t *term) releases(out []release, s *stage, n *node, now time.Time) []release {
 	need := s.taskResources()
 	limit := len(s.tasks)
-	if s.spec.MostPerWorker > 0 {
-		limit = min(limit, s.spec.MostPerWorker-s.tasksOn(n))
+	if s.spec.MaxPerWorker > 0 {
+		limit = min(limit, s.spec.MaxPerWorker-s.tasksOn(n))
 	}
 	room := n.room()
 	fitting := min(fitCount(room, need), limit)
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -102,7 +102,7 @@
 	slices.SortFunc(pending, func(a, b maintenance.VM) int { return t.runCount(a) - t.runCount(b) })
 	for _, vm := range pending {
 		since, clearing := w.draining[vm.ID]
-		if !clearing && (unavailable >= w.Most || vm.State != maintenance.Up) {
+		if !clearing && (unavailable >= w.MaxUnavailable || vm.State != maintenance.Up) {
 			continue
 		}
 		if !clearing {
@@ -156,8 +156,8 @@
 
 // drainTimeout returns how long a VM may take to become empty if the wave is to finish in time.
 func (w *wave) drainTimeout(upkeepDuration time.Duration) time.Duration {
-	rounds := (len(w.VMs) + w.Most - 1) / w.Most
-	return max(w.Within/time.Duration(max(rounds, 1))-upkeepDuration-upkeepOverhead, upkeepOverhead)
+	rounds := (len(w.VMs) + w.MaxUnavailable - 1) / w.MaxUnavailable
+	return max(w.TimeLimit/time.Duration(max(rounds, 1))-upkeepDuration-upkeepOverhead, upkeepOverhead)
 }
 
 // drainVM drains a VM and orders its maintenance. In the first half of the timeout, runs may end by themselves. In the
@@ -189,7 +189,7 @@
 // canBeUnavailable reports whether a service task may be made unavailable. The number of other unavailable tasks of its step
 // must be below the limit that the caller set.
 func (t *term) canBeUnavailable(r *run) bool {
-	limit := r.stage.spec.MostAway
+	limit := r.stage.spec.MaxUnavailable
 	if limit == 0 || r.stopping {
 		return true
 	}
@@ -229,7 +229,7 @@
 		}
 		if err == nil {
 			ctx, cancel := context.WithTimeout(t.ctx, cloudTimeout)
-			err = waves.Cloud.Upkeep(ctx, maintenance.Order{VM: vm.ID, Wave: w.Number, Holder: waves.Self, Fence: t.tenure.Fence})
+			err = waves.Cloud.Upkeep(ctx, maintenance.UpkeepOrder{VM: vm.ID, Wave: w.Number, Holder: waves.Self, Fence: t.tenure.Fence})
 			cancel()
 		}
 		t.post(func() { t.onUpkeepOrdered(w, vm, err) })
@@ -250,7 +250,7 @@
 		t.recordWave(w)
 	case errors.Is(err, maintenance.ErrFenced), errors.Is(err, errTermClosed):
 		t.loseOwnership("an order for upkeep was refused", err)
-	case errors.Is(err, maintenance.ErrNotOfWave):
+	case errors.Is(err, maintenance.ErrNotInWave):
 		w.VMs = slices.DeleteFunc(slices.Clone(w.VMs), func(id string) bool { return id == vm.ID })
 		t.stopDraining(w, vm.ID)
 	default:
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.Order) error {
+func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.UpkeepOrder) error {
 	time.Sleep(k.orderDelay)
 	lost, err := k.execute(o)
 	if lost {
@@ -109,7 +109,7 @@
 }
 
 // execute carries out an order; lost reports that its answer never arrives.
-func (k *fakeCloud) execute(o maintenance.Order) (lost bool, err error) {
+func (k *fakeCloud) execute(o maintenance.UpkeepOrder) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ordersToDrop--; k.ordersToDrop >= 0 {
@@ -206,7 +206,7 @@
 				c.startVM("vm2")
 				v := c.waitForOwner()
 				time.Sleep(3 * time.Second)
-				c.putWave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, Within: 40 * time.Second, Most: 1})
+				c.putWave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, TimeLimit: 40 * time.Second, MaxUnavailable: 1})
 				start := time.Now()
 				for i := 0; !c.isWaveCompleted(7); i++ {
 					is.True(time.Since(start) < 40*time.Second)
@@ -224,7 +224,7 @@
 				is.Equal(k.violations, nil)
 				time.Sleep(20 * time.Second)
 				for _, r := range c.floor.History() {
-					is.True(r.How == worker.EndingDone)
+					is.True(r.How == worker.OutcomeDone)
 				}
 				c.checkHistory()
 			})
@@ -238,7 +238,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: time.Hour, How: worker.EndingDone, Lasts: true, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Runs: time.Hour, How: worker.OutcomeDone, Lasts: true, Needs: job.Resources{Millicores: 1000}}
 		})
 		ws := c.addWorkers(2, 4)
 		k := newFakeCloud(c, ws, 2)
@@ -246,11 +246,11 @@
 		c.startVM("vm1")
 		v := c.waitForOwner()
 		time.Sleep(3 * time.Second)
-		c.submit(v, c.newWork("desk", job.Step{Tasks: 2, Service: true, MostPerWorker: 1, MostAway: 1}))
+		c.submit(v, c.newWork("desk", job.Step{Tasks: 2, Service: true, MaxPerWorker: 1, MaxUnavailable: 1}))
 		time.Sleep(2 * time.Second)
 		c.addWorker("spare", 4)
 		time.Sleep(time.Second)
-		c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, Within: 20 * time.Second, Most: 2})
+		c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, TimeLimit: 20 * time.Second, MaxUnavailable: 2})
 		start := time.Now()
 		for !c.isWaveCompleted(1) {
 			is.True(time.Since(start) < 30*time.Second)
@@ -276,7 +276,7 @@
 }
 
 func (c *cell) putFullWave() {
-	c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, Within: 40 * time.Second, Most: 2})
+	c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, TimeLimit: 40 * time.Second, MaxUnavailable: 2})
 }
 
 // Guards against orders of a new owner while orders of the dead one may still be in flight. The platform does not
--- a/dispatch/urgency.go
+++ b/dispatch/urgency.go
@@ -36,7 +36,7 @@
 	e := s.entry
 	deadline := s.occurrence.deadline(e)
 	wait := time.Duration(t.sizes.WaitFactor(e.work.Queue.Name, e.size) * float64(e.objective))
-	u := urgency{stage: s, priority: e.priority(), sortTime: e.work.Due(s.occurrence.number).Add(wait).UnixNano()}
+	u := urgency{stage: s, priority: e.priority(), sortTime: e.work.DueAt(s.occurrence.number).Add(wait).UnixNano()}
 	if s.spec.Service {
 		u.service = 1
 	}
@@ -91,7 +91,7 @@
 		var laterSteps, firstSteps []urgency
 		var classes []aging.Class
 		for _, i := range indices {
-			if len(group[i].stage.spec.After) > 0 {
+			if len(group[i].stage.spec.DependsOn) > 0 {
 				laterSteps = append(laterSteps, group[i])
 				continue
 			}
