--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -41,7 +41,7 @@
 		time.Sleep(4 * time.Second)
 		var totalDelay time.Duration
 		for _, r := range c.floor.History() {
-			totalDelay += r.Begun.Sub(submitted[r.Task.Work])
+			totalDelay += r.Started.Sub(submitted[r.Task.Work])
 		}
 		mean := totalDelay / time.Duration(len(c.floor.History()))
 		t.Logf("mean delay from submission to start: %v", mean)
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -145,7 +145,7 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Runs: r.taskDuration, How: worker.OutcomeDone, Needs: s.TaskResources, Gang: requiredGangSize(s)}
+		return floor.Behaviour{Duration: r.taskDuration, Ending: worker.OutcomeDone, Resources: s.TaskResources, GangSize: requiredGangSize(s)}
 	}, vms...)
 	c.config.Queues[0].SlackFactor = rosterSlack
 	if o.useGangs {
