--- a/gate/options.go
+++ b/gate/options.go
@@ -101,8 +101,8 @@
 	return func(o *Options) { o.Valid, o.MemberSince = valid, since }
 }
 
-// Siblings sets how the zone's other gates are reached.
-func Siblings(s SiblingClient) Option { return func(o *Options) { o.Siblings = s } }
+// SiblingClient sets how the zone's other gates are reached.
+func SiblingClient(s SiblingClient) Option { return func(o *Options) { o.Siblings = s } }
 
 // OverRPC reaches the gates of all zones over rpc; address gives that of a gate of this zone by the
 // id that the gate table has for it, and peers those of another zone's gates.
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -67,7 +67,7 @@
 
 // direct gives the siblings among some gates, reached by calls that take a while.
 func direct(gates map[string]*Gate, takes time.Duration) Option {
-	return Siblings(SiblingClient{
+	return SiblingClient(SiblingClient{
 		func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error) {
 			time.Sleep(takes)
 			return gates[gate].HandleBorrow(ctx, r)
