--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -119,7 +119,7 @@
 	client := rpc.NewClient(w.rpc[0])
 	defer client.Close()
 	for began := time.Now(); time.Since(began) < patience; time.Sleep(pause) {
-		r, err := rpc.Call[view.NextCall, view.NextReply](context.Background(), client, view.NextMethod, &view.NextCall{})
+		r, err := rpc.Call[view.NextRequest, view.NextReply](context.Background(), client, view.NextMethod, &view.NextRequest{})
 		if err != nil {
 			continue
 		}
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -92,7 +92,7 @@
 	self := member.Member{ID: p.ID, Role: role, Zone: p.Zone, Address: p.RPCAddress, VM: p.VM}
 	base := []member.Option{
 		member.Logger(logger.Part(s.Logger(), "member")), member.Metrics(s.Metrics()),
-		member.ListedVMs(func() (map[string]bool, bool) { return v.View().Listed() }),
+		member.ListedVMs(func() (map[string]bool, bool) { return v.View().ListedVMs() }),
 		member.Rules(func() int64 { return v.View().Rules.Version }, v.Heard),
 	}
 	return member.New(kv, self, append(base, opts...)...)
@@ -107,14 +107,14 @@
 }
 
 // Listing reads the platform's VM list.
-func Listing(calls *webcall.Pool, address string) func(context.Context) (view.Listing, error) {
+func Listing(calls *webcall.Pool, address string) func(context.Context) (view.VMList, error) {
 	source := web.New(calls, address)
-	return func(ctx context.Context) (view.Listing, error) {
+	return func(ctx context.Context) (view.VMList, error) {
 		l, err := source.Read(ctx)
 		if err != nil {
-			return view.Listing{}, err
+			return view.VMList{}, err
 		}
-		out := view.Listing{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
+		out := view.VMList{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
 		for _, e := range l.Entries {
 			out.Entries[e.ID] = true
 		}
