--- a/gate/api.go
+++ b/gate/api.go
@@ -52,7 +52,7 @@
 	app := iris.New().Configure(iris.WithoutStartupLog, iris.WithoutPathCorrection,
 		iris.WithoutAutoFireStatusCode, iris.WithoutInterruptHandler)
 	app.Logger().SetLevel("disable")
-	v1 := app.Party("/v1", g.traced)
+	v1 := app.Party("/v1", g.traceRequest)
 	v1.Post("/jobs", g.postJob)
 	v1.Get("/jobs/{id}", g.getJob)
 	v1.Get("/jobs/{id}/wait", g.waitJob)
@@ -63,7 +63,7 @@
 	v1.Post("/sessions/{service}/stream", g.postStream)
 	v1.Delete("/sessions/{service}", g.deleteSession)
 	app.HandleMany("GET POST PUT PATCH DELETE", "/{path:path}", func(ctx iris.Context) {
-		write(ctx, http.StatusNotFound, &Body{Outcome: job.NotRun, Reason: "no such path"})
+		writeJSON(ctx, http.StatusNotFound, &Body{Outcome: job.NotRun, Reason: "no such path"})
 	})
 	if err := app.Build(); err != nil {
 		// The routes are fixed, so that only a fault of the program ends here.
@@ -79,7 +79,7 @@
 		Handler: g.handler, ReadHeaderTimeout: limits.ReadTimeout, IdleTimeout: limits.IdleTimeout,
 		MaxHeaderBytes: limits.HeaderBytes,
 	}
-	g.duties.Go(func() {
+	g.background.Go(func() {
 		<-g.stop
 		_ = server.Close()
 	})
@@ -90,23 +90,23 @@
 	return err
 }
 
-// traced starts the span of a request under the caller's own.
-func (g *Gate) traced(ctx iris.Context) {
+// traceRequest starts the span of a request under the caller's own.
+func (g *Gate) traceRequest(ctx iris.Context) {
 	r := ctx.Request()
 	parent := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	in, span := otel.Tracer(tracerName).Start(parent, r.Method+" "+ctx.GetCurrentRoute().Path(),
 		trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
 	ctx.ResetRequest(r.WithContext(in))
-	if g.work.isDraining() {
+	if g.inProgress.isDraining() {
 		// The balancer in front must open its next connection to another gate.
 		ctx.Header("Connection", "close")
 	}
 	ctx.Next()
 }
 
-// read gives the body of a request, with a finding where it is too long or does not arrive.
-func (g *Gate) read(ctx iris.Context, limit int64, l *finding.List) []byte {
+// readBody gives the body of a request, with a finding where it is too long or does not arrive.
+func (g *Gate) readBody(ctx iris.Context, limit int64, l *finding.List) []byte {
 	w := ctx.ResponseWriter().Naive()
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.opts.Limits.ReadTimeout))
 	raw, err := io.ReadAll(http.MaxBytesReader(w, ctx.Request().Body, limit))
@@ -121,14 +121,14 @@
 	return raw
 }
 
-// hold makes room for the body of a request, or answers that there is none; it gives what to drop.
-func (g *Gate) hold(ctx iris.Context) (int64, bool) {
+// reserveBody makes room for the body of a request, or answers that there is none; it gives what to drop.
+func (g *Gate) reserveBody(ctx iris.Context) (int64, bool) {
 	size := ctx.Request().ContentLength
 	if size < 0 || size > g.opts.Limits.BodyBytes {
 		size = g.opts.Limits.BodyBytes
 	}
-	if r := g.work.hold(size, g.opts.Limits.BufferedBytes); r != nil {
-		g.meters.shed.Inc(1)
+	if r := g.inProgress.reserveBody(size, g.opts.Limits.BufferedBytes); r != nil {
+		g.metrics.shed.Inc(1)
 		reply(ctx, r)
 		return 0, false
 	}
@@ -136,18 +136,18 @@
 }
 
 func (g *Gate) postCheck(ctx iris.Context) {
-	size, ok := g.hold(ctx)
+	size, ok := g.reserveBody(ctx)
 	if !ok {
 		return
 	}
-	defer g.work.drop(size)
+	defer g.inProgress.releaseBody(size)
 	var l finding.List
 	c := &Check{Service: ctx.Params().Get("service"), Method: ctx.Params().Get("method")}
 	g.readHeaders(ctx, c, &l)
 	checkNames(c, &l)
-	c.Body = g.read(ctx, g.opts.Limits.BodyBytes, &l)
+	c.Body = g.readBody(ctx, g.opts.Limits.BodyBytes, &l)
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return
 	}
 	reply(ctx, g.Do(ctx.Request().Context(), c))
@@ -186,18 +186,18 @@
 	}
 }
 
-func refuse(ctx iris.Context, l finding.List) {
-	write(ctx, http.StatusBadRequest, &Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
+func replyInvalid(ctx iris.Context, l finding.List) {
+	writeJSON(ctx, http.StatusBadRequest, &Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
 }
 
-func bodyOf(r *Result) *Body {
+func responseBody(r *Result) *Body {
 	return &Body{
 		Outcome: r.Outcome, Reason: r.Reason, Answer: r.Answer, Attempts: r.Attempts, Target: r.Target,
 		RetryAfterMillis: r.RetryAfter.Milliseconds(),
 	}
 }
 
-func statusOf(r *Result) int {
+func httpStatus(r *Result) int {
 	switch {
 	case r.Outcome == job.Done:
 		return http.StatusOK
@@ -212,18 +212,18 @@
 }
 
 func reply(ctx iris.Context, r *Result) {
-	retryAfter(ctx, r.RetryAfter)
-	write(ctx, statusOf(r), bodyOf(r))
+	setRetryAfter(ctx, r.RetryAfter)
+	writeJSON(ctx, httpStatus(r), responseBody(r))
 }
 
-// retryAfter sets the header, in whole seconds as HTTP wants it, rounded up.
-func retryAfter(ctx iris.Context, d time.Duration) {
+// setRetryAfter sets the header, in whole seconds as HTTP wants it, rounded up.
+func setRetryAfter(ctx iris.Context, d time.Duration) {
 	if d > 0 {
 		ctx.Header("Retry-After", strconv.Itoa(int(math.Ceil(d.Seconds()))))
 	}
 }
 
-func write(ctx iris.Context, status int, v any) {
+func writeJSON(ctx iris.Context, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		ctx.StatusCode(http.StatusInternalServerError)
--- a/gate/api_test.go
+++ b/gate/api_test.go
@@ -26,8 +26,8 @@
 	"turmericgap/standin/golden"
 )
 
-// owner answers for the owner of jobs; the job's key or id names what it does.
-func owner(_ context.Context, id string) (*job.Status, error) {
+// jobOwner answers for the jobOwner of jobs; the job's key or id names what it does.
+func jobOwner(_ context.Context, id string) (*job.Status, error) {
 	switch id {
 	case "invalid":
 		var l finding.List
@@ -49,16 +49,16 @@
 	return &job.Status{ID: id, State: job.Queued, Zone: "z1"}, nil
 }
 
-func owned() JobClient {
+func jobClient() JobClient {
 	return JobClient{
-		Submit: func(ctx context.Context, s *job.Submission) (*job.Status, error) { return owner(ctx, s.Key) },
-		Status: owner, Cancel: owner,
+		Submit: func(ctx context.Context, s *job.Submission) (*job.Status, error) { return jobOwner(ctx, s.Key) },
+		Status: jobOwner, Cancel: jobOwner,
 		Wait: func(ctx context.Context, id string) (*job.Status, error) {
 			if id == "slow" {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			return owner(ctx, id)
+			return jobOwner(ctx, id)
 		},
 	}
 }
@@ -101,13 +101,13 @@
 		{"unknown path", "GET", "/v1/nothing", "", ""},
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			if r.Method == "lost" {
 				return lost(ctx, r)
 			}
 			return answer(r, string(r.Body)), nil
 		})
-		g := f.gate(JobOwner(owned()), SessionKeys(sessionKey), Limit(func(l *Limits) { l.BodyBytes = 32 }),
+		g := f.newGate(JobOwner(jobClient()), SessionKeys(sessionKey), Limit(func(l *Limits) { l.BodyBytes = 32 }),
 			Rules(func(c *Check) Decision {
 				switch c.Method {
 				case "refuse":
@@ -118,7 +118,7 @@
 				return Decision{}
 			}))
 		defer g.Close()
-		token, _ := g.token(&session.Session{ID: "s", Service: "desk", Target: "ta", Zone: "z1"})
+		token, _ := g.issueToken(&session.Session{ID: "s", Service: "desk", Target: "ta", Zone: "z1"})
 		var got bytes.Buffer
 		for _, c := range cases {
 			r := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
@@ -147,13 +147,13 @@
 	defer otel.SetTracerProvider(before)
 	is := is.New(t)
 	parent := ""
-	f := newFakes(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
+	f := newFakeTargets(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
 		parent = r.Parent
 		return answer(r, ""), nil
 	})
-	near := f.gate()
+	near := f.newGate()
 	defer near.Close()
-	far := f.gate(Zone("z2"), Peers(func(string) []string { return []string{"10.0.0.1:1"} },
+	far := f.newGate(Zone("z2"), Peers(func(string) []string { return []string{"10.0.0.1:1"} },
 		func(ctx context.Context, _ string, c *Check) (*Result, error) { return near.HandleForwarded(ctx, c) }))
 	defer far.Close()
 	r := httptest.NewRequest(http.MethodPost, "/v1/checks/desk/seat", nil)
@@ -172,11 +172,11 @@
 func TestHeldBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
 			time.Sleep(time.Second)
 			return echo(ctx, id, r)
 		})
-		g := f.gate(Limit(func(l *Limits) { l.BufferedBytes = 10 }))
+		g := f.newGate(Limit(func(l *Limits) { l.BufferedBytes = 10 }))
 		defer g.Close()
 		codes := make(chan int, 3)
 		for range 3 {
@@ -188,16 +188,16 @@
 			synctest.Wait()
 		}
 		is.Equal([]int{<-codes, <-codes, <-codes}, []int{429, 200, 200})
-		is.Equal(g.work.bytes, int64(0))
+		is.Equal(g.inProgress.bodyBytes, int64(0))
 	})
 }
 
 // No body or header may make the gate fail, or give an answer without an outcome.
 func FuzzAPI(f *testing.F) {
-	fakes := newFakes(1, echo)
-	g := fakes.gate(JobOwner(owned()), SessionKeys(sessionKey))
+	fakes := newFakeTargets(1, echo)
+	g := fakes.newGate(JobOwner(jobClient()), SessionKeys(sessionKey))
 	f.Cleanup(g.Close)
-	token, _ := g.token(&session.Session{ID: "s", Service: "desk", Target: "ta", Zone: "z1"})
+	token, _ := g.issueToken(&session.Session{ID: "s", Service: "desk", Target: "ta", Zone: "z1"})
 	f.Add("/v1/jobs", submission("a"), "5", "true", "")
 	f.Add("/v1/checks/desk/seat", "x", "-1", "no", "k")
 	f.Add("/v1/sessions/desk/stream", `{"method":"add"}`, "", "", "")
--- a/gate/bench_test.go
+++ b/gate/bench_test.go
@@ -9,15 +9,15 @@
 
 // BenchmarkDo measures a check that finds a free slot among 50 targets.
 func BenchmarkDo(b *testing.B) {
-	f := newFakes(0, nil)
+	f := newFakeTargets(0, nil)
 	for i := range 50 {
 		id := "t" + string(rune('a'+i))
 		f.infos = append(f.infos, target.Info{ID: id, Address: id, Zone: "z1", Service: "desk", Slots: 8, Connections: 64})
 	}
 	f.do = func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-		return whole1(ctx, r)
+		return wholeAnswer(ctx, r)
 	}
-	g := f.gate()
+	g := f.newGate()
 	defer g.Close()
 	c := &Check{Service: "desk", Method: "seat", Key: "k", Repeatable: true}
 	b.ReportAllocs()
--- a/gate/forward.go
+++ b/gate/forward.go
@@ -16,8 +16,8 @@
 	"turmericgap/rpc"
 )
 
-// peersTried bounds the gates of one zone that a check is offered to.
-const peersTried = 2
+// maxPeersTried bounds the gates of one zone that a check is offered to.
+const maxPeersTried = 2
 
 // route tries the preferred zone, then this one, then others, and goes on only while nothing of
 // the check was started and the zone has no usable target.
@@ -26,7 +26,7 @@
 		return g.run(ctx, cl)
 	}
 	r := notRun("no target runs this service", 0)
-	for _, zone := range g.order(cl) {
+	for _, zone := range g.zoneOrder(cl) {
 		if zone == g.opts.Zone {
 			r = g.run(ctx, cl)
 		} else {
@@ -39,13 +39,13 @@
 	return r
 }
 
-// order lists the zones to try. Another zone is preferred only for a reason, as its targets are
+// zoneOrder lists the zones to try. Another zone is preferred only for a reason, as its targets are
 // farther away.
-func (g *Gate) order(cl *call) []string {
+func (g *Gate) zoneOrder(cl *call) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	service := cl.check.Service
-	known := g.zones[service]
+	known := g.serviceZones[service]
 	zones := make([]string, 0, len(known))
 	add := func(zone string) {
 		for _, z := range zones {
@@ -65,7 +65,7 @@
 			add(zone)
 		}
 	}
-	start := int(g.serial.Add(1) % math.MaxInt32)
+	start := int(g.sequence.Add(1) % math.MaxInt32)
 	for i := range known {
 		add(known[(start+i)%len(known)])
 	}
@@ -76,13 +76,13 @@
 func (g *Gate) forward(ctx context.Context, cl *call, zone string) *Result {
 	peers := slices.Clone(g.opts.Peers(zone))
 	r := notRun("no gate of zone "+zone+" reached", noTargetRetry)
-	start := int(g.serial.Add(1) % math.MaxInt32)
+	start := int(g.sequence.Add(1) % math.MaxInt32)
 	if cl.check.Session != "" {
 		// All requests of a session pass the same gate while it lives, which keeps their order.
 		slices.Sort(peers)
 		start = int(xxhash.Sum64String(cl.check.Session) % math.MaxInt32)
 	}
-	for i := range min(peersTried, len(peers)) {
+	for i := range min(maxPeersTried, len(peers)) {
 		var next bool
 		if r, next = g.forwardTo(ctx, cl, peers[(start+i)%len(peers)]); !next {
 			return r
@@ -98,10 +98,10 @@
 	defer span.End()
 	c := cl.check
 	c.Forwarded, c.Deadline = true, time.Until(cl.deadline)
-	if c.Deadline < leastRun || ctx.Err() != nil {
-		return cl.finish(notRun("no time left", leastRetryAfter)), false
+	if c.Deadline < minRunTime || ctx.Err() != nil {
+		return cl.finish(notRun("no time left", minRetryAfter)), false
 	}
-	g.meters.forwarded.Inc(1)
+	g.metrics.forwarded.Inc(1)
 	r, err := g.opts.Forward(ctx, address, &c)
 	switch fault := rpc.AsFault(err); {
 	case err == nil && r != nil:
@@ -112,7 +112,7 @@
 	case fault != nil && fault.Code == rpc.CodeRefused:
 		return cl.finish(notRun(fault.Reason, fault.RetryAfter)), true
 	}
-	cl.mayRun = true
+	cl.mayHaveRun = true
 	return cl.finish(notRun("no answer from gate "+address, 0)), false
 }
 
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -42,38 +42,38 @@
 
 	tracerName      = "turmericgap/gate"
 	refreshInterval = 100 * time.Millisecond
-	turnInterval    = 10 * time.Millisecond
+	serveInterval   = 10 * time.Millisecond
 	sessionKeyBytes = 32
-	// driftPart is how much of a loan's life, one in so many, its lender adds for the drift of clocks.
-	driftPart = 20
+	// clockDriftDivisor is how much of a loan's life, one in so many, its lender adds for the drift of clocks.
+	clockDriftDivisor = 20
 )
 
 // Gate faces the callers of one entry VM.
 type Gate struct {
-	opts    Options
-	log     *zap.Logger
-	meters  meters
-	budget  *budget.Budget
-	handler http.Handler
-	serial  atomic.Uint64
+	opts     Options
+	log      *zap.Logger
+	metrics  gateMetrics
+	budget   *budget.Budget
+	handler  http.Handler
+	sequence atomic.Uint64
 
 	shares *share.Allocator
 	tokens *session.Signer
 
-	mu    sync.Mutex
-	pools map[string]*pool
-	zones map[string][]string
-	// where gives the zone of each listed target.
-	where map[string]string
-	lanes map[string]*lane
+	mu           sync.Mutex
+	pools        map[string]*pool
+	serviceZones map[string][]string
+	// targetZones gives the zone of each listed target.
+	targetZones   map[string]string
+	sessionQueues map[string]*sessionQueue
 
-	work    work
-	kick    chan struct{}
-	need    chan struct{}
-	tables  chan struct{}
-	stop    chan struct{}
-	stopped sync.Once
-	duties  sync.WaitGroup
+	inProgress   inProgress
+	wake         chan struct{}
+	borrowNeeded chan struct{}
+	tableChanged chan struct{}
+	stop         chan struct{}
+	stopOnce     sync.Once
+	background   sync.WaitGroup
 }
 
 // New returns a Gate that serves at once; Close ends it.
@@ -83,31 +83,31 @@
 		f(&o)
 	}
 	g := &Gate{
-		opts: o, log: o.Logger, meters: newMeters(o.Metrics), budget: budget.New(),
-		pools: make(map[string]*pool), zones: make(map[string][]string),
-		lanes: make(map[string]*lane), tokens: newSigner(o.Keys), shares: newHolder(&o),
-		kick: make(chan struct{}, 1), need: make(chan struct{}, 1),
-		tables: make(chan struct{}, 1), stop: make(chan struct{}),
+		opts: o, log: o.Logger, metrics: newGateMetrics(o.Metrics), budget: budget.New(),
+		pools: make(map[string]*pool), serviceZones: make(map[string][]string),
+		sessionQueues: make(map[string]*sessionQueue), tokens: newSigner(o.Keys), shares: newAllocator(&o),
+		wake: make(chan struct{}, 1), borrowNeeded: make(chan struct{}, 1),
+		tableChanged: make(chan struct{}, 1), stop: make(chan struct{}),
 	}
-	g.work.moving = make(chan struct{})
+	g.inProgress.moveStreams = make(chan struct{})
 	g.handler = g.newHandler()
-	g.refresh()
-	g.duties.Go(g.keepList)
-	g.duties.Go(g.keepTurn)
+	g.refreshTargets()
+	g.background.Go(g.pollTargets)
+	g.background.Go(g.serveLoop)
 	if g.opts.Siblings.Borrow != nil {
-		g.duties.Go(g.keepLoans)
-		g.duties.Go(g.keepConfirming)
+		g.background.Go(g.loanLoop)
+		g.background.Go(g.confirmLoop)
 	}
 	return g
 }
 
-// newHolder makes the holder of this gate's shares. A loan lives for two thirds of the longest
+// newAllocator makes the holder of this gate's shares. A loan lives for two thirds of the longest
 // deadline, so that most checks fit into it; a removed gate's last requests and loans have ended when
 // the longest of both is over.
-func newHolder(o *Options) *share.Allocator {
+func newAllocator(o *Options) *share.Allocator {
 	if o.Valid != nil {
 		life := o.Limits.MaxTimeout * 2 / 3
-		drift := life / driftPart
+		drift := life / clockDriftDivisor
 		settle := max(o.Limits.MaxTimeout+o.Limits.Grace, life+drift)
 		return share.New(o.ID, share.RemovalGrace(settle), share.LoanTTL(life, drift), share.Valid(o.Valid), share.MemberSince(o.MemberSince))
 	}
@@ -155,7 +155,7 @@
 
 // Do runs a check and gives its final state.
 func (g *Gate) Do(ctx context.Context, c *Check) *Result {
-	return g.traceCheck(ctx, c, g.admitted)
+	return g.traceCheck(ctx, c, g.admitAndPerform)
 }
 
 func (g *Gate) traceCheck(ctx context.Context, c *Check, do func(context.Context, *Check) *Result) *Result {
@@ -165,28 +165,28 @@
 	start := time.Now()
 	r := do(ctx, c)
 	span.SetAttributes(attribute.String("outcome", string(r.Outcome)), attribute.Int("attempts", r.Attempts))
-	g.meters.ended(r, time.Since(start))
+	g.metrics.recordCheck(r, time.Since(start))
 	return r
 }
 
-// admitted performs a check unless the gate is full or stopping.
-func (g *Gate) admitted(ctx context.Context, c *Check) *Result {
-	if r := g.work.enter(g.opts.Limits.Checks); r != nil {
+// admitAndPerform performs a check unless the gate is full or stopping.
+func (g *Gate) admitAndPerform(ctx context.Context, c *Check) *Result {
+	if r := g.inProgress.admitCheck(g.opts.Limits.Checks); r != nil {
 		return r
 	}
-	defer g.work.leave()
+	defer g.inProgress.checkDone()
 	return g.perform(ctx, c)
 }
 
 func (g *Gate) perform(ctx context.Context, c *Check) *Result {
-	call, r := g.decide(c)
+	call, r := g.applyRules(c)
 	if r != nil {
 		return r
 	}
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	if c.Target != "" {
-		return g.doSession(ctx, call)
+		return g.runSession(ctx, call)
 	}
 	return g.route(ctx, call)
 }
@@ -201,13 +201,13 @@
 	// attempts counts the requests that were sent, tries also those that came to nothing before.
 	attempts int
 	tries    int
-	// mayRun says that an attempt may have run; the check is then never called notRun.
-	mayRun bool
-	avoid  string
+	// mayHaveRun says that an attempt may have run; the check is then never called notRun.
+	mayHaveRun bool
+	avoid      string
 }
 
-// decide asks the rules and applies the limits.
-func (g *Gate) decide(c *Check) (*call, *Result) {
+// applyRules asks the rules and applies the limits.
+func (g *Gate) applyRules(c *Check) (*call, *Result) {
 	d := g.opts.Rules(c)
 	if d.RefusalReason != "" {
 		return nil, notRun("refused by rule: "+d.RefusalReason, 0)
@@ -244,15 +244,15 @@
 }
 
 func (g *Gate) nextID(kind string) string {
-	return g.opts.ID + "/" + kind + "/" + strconv.FormatUint(g.serial.Add(1), 36)
+	return g.opts.ID + "/" + kind + "/" + strconv.FormatUint(g.sequence.Add(1), 36)
 }
 
 func notRun(reason string, retryAfter time.Duration) *Result {
 	return &Result{Outcome: job.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// keepList follows the list of targets.
-func (g *Gate) keepList() {
+// pollTargets follows the list of targets.
+func (g *Gate) pollTargets() {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
 	for {
@@ -260,24 +260,24 @@
 		case <-g.stop:
 			return
 		case <-t.C:
-			g.refresh()
+			g.refreshTargets()
 		}
 	}
 }
 
-// keepTurn serves waiters whose turn comes with time alone: by a probe, a pause or a loan.
-func (g *Gate) keepTurn() {
+// serveLoop serves waiters whose turn comes with time alone: by a probe, a pause or a loan.
+func (g *Gate) serveLoop() {
 	for {
 		select {
 		case <-g.stop:
 			return
-		case <-g.kick:
+		case <-g.wake:
 		}
-		for g.turn() {
+		for g.serveAllWaiters() {
 			select {
 			case <-g.stop:
 				return
-			case <-time.After(turnInterval):
+			case <-time.After(serveInterval):
 			}
 		}
 	}
@@ -285,6 +285,6 @@
 
 // Close ends the gate's duties; requests in progress are not waited for.
 func (g *Gate) Close() {
-	g.stopped.Do(func() { close(g.stop) })
-	g.duties.Wait()
+	g.stopOnce.Do(func() { close(g.stop) })
+	g.background.Wait()
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -17,16 +17,16 @@
 	"turmericgap/job"
 )
 
-// fakes is a set of targets whose behaviour is one function.
-type fakes struct {
+// fakeTargets is a set of targets whose behaviour is one function.
+type fakeTargets struct {
 	mu    sync.Mutex
 	infos []target.Info
 	calls atomic.Int64
 	do    func(ctx context.Context, id string, r *target.Request) (*target.Response, error)
 }
 
-func newFakes(n int, do func(context.Context, string, *target.Request) (*target.Response, error)) *fakes {
-	f := &fakes{do: do}
+func newFakeTargets(n int, do func(context.Context, string, *target.Request) (*target.Response, error)) *fakeTargets {
+	f := &fakeTargets{do: do}
 	for i := range n {
 		id := "t" + string(rune('a'+i))
 		f.infos = append(f.infos, target.Info{ID: id, Address: id, Zone: "z1", Service: "desk", Slots: 2, Connections: 64})
@@ -34,21 +34,21 @@
 	return f
 }
 
-func (f *fakes) dial(info target.Info, _ int) *target.Client {
+func (f *fakeTargets) dial(info target.Info, _ int) *target.Client {
 	return &target.Client{Do: func(ctx context.Context, r *target.Request) (*target.Response, error) {
 		f.calls.Add(1)
 		return f.do(ctx, info.ID, r)
 	}}
 }
 
-func (f *fakes) list() []target.Info {
+func (f *fakeTargets) list() []target.Info {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.infos
 }
 
-// change gives each target to keep, which may change it, and lists those for which it returns true.
-func (f *fakes) change(keep func(*target.Info) bool) {
+// updateInfos gives each target to keep, which may updateInfos it, and lists those for which it returns true.
+func (f *fakeTargets) updateInfos(keep func(*target.Info) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var next []target.Info
@@ -60,7 +60,7 @@
 	f.infos = next
 }
 
-func (f *fakes) gate(opts ...Option) *Gate {
+func (f *fakeTargets) newGate(opts ...Option) *Gate {
 	base := []Option{ID("g1"), Zone("z1"), Targets(f.list), Dial(f.dial)}
 	return New(append(base, opts...)...)
 }
@@ -72,11 +72,11 @@
 // script is what the targets do at the first, second, and each later call.
 type script []func(ctx context.Context, r *target.Request) (*target.Response, error)
 
-func (s script) play(n int64) func(context.Context, *target.Request) (*target.Response, error) {
+func (s script) step(n int64) func(context.Context, *target.Request) (*target.Response, error) {
 	return s[min(int(n), len(s))-1]
 }
 
-func whole1(_ context.Context, r *target.Request) (*target.Response, error) {
+func wholeAnswer(_ context.Context, r *target.Request) (*target.Response, error) {
 	return answer(r, "seat"), nil
 }
 
@@ -125,34 +125,34 @@
 		want       job.Outcome
 		calls      int64
 	}{
-		{"whole answer", script{whole1}, false, job.Done, 1},
-		{"not reached, then whole", script{notSent, whole1}, false, job.Done, 2},
-		{"refused, then whole", script{refused, whole1}, false, job.Done, 2},
-		{"busy, then whole", script{busy, whole1}, false, job.Done, 2},
+		{"whole answer", script{wholeAnswer}, false, job.Done, 1},
+		{"not reached, then whole", script{notSent, wholeAnswer}, false, job.Done, 2},
+		{"refused, then whole", script{refused, wholeAnswer}, false, job.Done, 2},
+		{"busy, then whole", script{busy, wholeAnswer}, false, job.Done, 2},
 		{"never reached", script{notSent}, false, job.NotRun, 3},
 		{"always busy", script{busy}, true, job.NotRun, 3},
-		{"answer lost", script{lost, whole1}, false, job.Unknown, 1},
-		{"answer lost, repeatable", script{lost, whole1}, true, job.Done, 2},
+		{"answer lost", script{lost, wholeAnswer}, false, job.Unknown, 1},
+		{"answer lost, repeatable", script{lost, wholeAnswer}, true, job.Done, 2},
 		{"lost, then never reached", script{lost, notSent}, true, job.Unknown, 3},
-		{"refused, then lost", script{refused, lost, whole1}, false, job.Unknown, 2},
-		{"answer of another try", script{late, whole1}, false, job.Unknown, 1},
-		{"answer of another try, repeatable", script{late, whole1}, true, job.Done, 2},
-		{"cut answer", script{cut, whole1}, false, job.Unknown, 1},
-		{"cut answer, repeatable", script{cut, whole1}, true, job.Done, 2},
-		{"no answer at all", script{empty, whole1}, false, job.Unknown, 1},
-		{"hangs", script{hang, whole1}, false, job.Unknown, 1},
-		{"hangs, repeatable", script{hang, whole1}, true, job.Done, 2},
+		{"refused, then lost", script{refused, lost, wholeAnswer}, false, job.Unknown, 2},
+		{"answer of another try", script{late, wholeAnswer}, false, job.Unknown, 1},
+		{"answer of another try, repeatable", script{late, wholeAnswer}, true, job.Done, 2},
+		{"cut answer", script{cut, wholeAnswer}, false, job.Unknown, 1},
+		{"cut answer, repeatable", script{cut, wholeAnswer}, true, job.Done, 2},
+		{"no answer at all", script{empty, wholeAnswer}, false, job.Unknown, 1},
+		{"hangs", script{hang, wholeAnswer}, false, job.Unknown, 1},
+		{"hangs, repeatable", script{hang, wholeAnswer}, true, job.Done, 2},
 		{"always hangs, repeatable", script{hang}, true, job.Unknown, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var f *fakes
-				f = newFakes(4, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-					return c.script.play(f.calls.Load())(ctx, r)
+				var f *fakeTargets
+				f = newFakeTargets(4, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+					return c.script.step(f.calls.Load())(ctx, r)
 				})
-				g := f.gate()
+				g := f.newGate()
 				defer g.Close()
 				r := g.Do(context.Background(), &Check{Service: "desk", Method: "seat", Repeatable: c.repeatable})
 				is.Equal(r.Outcome, c.want)
@@ -172,12 +172,12 @@
 func TestNoTimeLeftIsNoRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return whole1(ctx, r)
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+			return wholeAnswer(ctx, r)
 		})
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
-		r := g.Do(context.Background(), &Check{Service: "desk", Repeatable: true, Deadline: leastRun / 2})
+		r := g.Do(context.Background(), &Check{Service: "desk", Repeatable: true, Deadline: minRunTime / 2})
 		is.Equal(r.Outcome, job.NotRun)
 		is.Equal(f.calls.Load(), int64(0))
 		for range budget.DefaultBurst {
@@ -190,17 +190,17 @@
 func TestSlotSurvivesList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			time.Sleep(time.Second)
-			return whole1(ctx, r)
+			return wholeAnswer(ctx, r)
 		})
 		all := f.infos
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		result := make(chan *Result, 1)
 		go func() { result <- g.Do(context.Background(), &Check{Service: "desk"}) }()
 		synctest.Wait()
-		f.change(func(*target.Info) bool { return false })
+		f.updateInfos(func(*target.Info) bool { return false })
 		is.Equal((<-result).Outcome, job.Done)
 		is.Equal(g.Status().Shares.Used, 0)
 		f.mu.Lock()
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		told := 0
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			if string(r.Body) != "hang" {
 				return answer(r, "seat"), nil
 			}
@@ -227,7 +227,7 @@
 			return nil, ctx.Err()
 		})
 		f.infos[0].Slots = 1
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		ctx, hangUp := context.WithCancel(context.Background())
 		results := make(chan *Result, 2)
@@ -255,12 +255,12 @@
 func TestShedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
 			time.Sleep(100 * time.Millisecond)
 			return answer(r, "seat"), nil
 		})
 		f.infos[0].Slots = 1
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		for range 100 { // The gate learns how long a check takes.
 			g.Do(context.Background(), &Check{Service: "desk"})
@@ -296,10 +296,10 @@
 func TestOutageIsNotMultiplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(10, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(10, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			return lost(ctx, r)
 		})
-		g := f.gate(Limit(func(l *Limits) { l.Grace = 0 }))
+		g := f.newGate(Limit(func(l *Limits) { l.Grace = 0 }))
 		defer g.Close()
 		const checks = 1000
 		for range checks {
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -29,7 +29,7 @@
 func (g *Gate) postJob(ctx iris.Context) {
 	var l finding.List
 	s := &job.Submission{}
-	raw := g.read(ctx, maxJobBytes, &l)
+	raw := g.readBody(ctx, maxJobBytes, &l)
 	if len(l) == 0 {
 		check := func(found *finding.List) {
 			if s.Key == "" {
@@ -38,14 +38,14 @@
 			*found = append(*found, s.Check()...)
 		}
 		if err := setting.Decode(raw, s, check); err != nil {
-			l = findings(err)
+			l = findingsOf(err)
 		}
 	}
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return
 	}
-	g.jobCall(ctx, func(in context.Context) (*job.Status, error) { return g.opts.Jobs.Submit(in, s) })
+	g.callOwner(ctx, func(in context.Context) (*job.Status, error) { return g.opts.Jobs.Submit(in, s) })
 }
 
 func (g *Gate) getJob(ctx iris.Context) {
@@ -57,28 +57,28 @@
 }
 
 func (g *Gate) jobByID(ctx iris.Context, call func(context.Context, string) (*job.Status, error)) {
-	g.jobCall(ctx, func(in context.Context) (*job.Status, error) { return call(in, ctx.Params().Get("id")) })
+	g.callOwner(ctx, func(in context.Context) (*job.Status, error) { return call(in, ctx.Params().Get("id")) })
 }
 
-// jobCall runs one call to a job's owner and answers with its status or its fault.
-func (g *Gate) jobCall(ctx iris.Context, call func(context.Context) (*job.Status, error)) {
-	if !g.admit(ctx) {
+// callOwner runs one call to a job's owner and answers with its status or its fault.
+func (g *Gate) callOwner(ctx iris.Context, call func(context.Context) (*job.Status, error)) {
+	if !g.admitJobCall(ctx) {
 		return
 	}
-	defer g.work.leave()
+	defer g.inProgress.checkDone()
 	in, cancel := context.WithTimeout(ctx.Request().Context(), jobTimeout)
 	defer cancel()
 	s, err := call(in)
 	replyJob(ctx, s, err)
 }
 
-// admit counts a job call as work in progress, or answers that it was not run.
-func (g *Gate) admit(ctx iris.Context) bool {
+// admitJobCall counts a job call as work in progress, or answers that it was not run.
+func (g *Gate) admitJobCall(ctx iris.Context) bool {
 	if g.opts.Jobs.Submit == nil {
 		reply(ctx, notRun(reasonNoService, 0))
 		return false
 	}
-	if r := g.work.enter(g.opts.Limits.Checks); r != nil {
+	if r := g.inProgress.admitCheck(g.opts.Limits.Checks); r != nil {
 		reply(ctx, r)
 		return false
 	}
@@ -92,26 +92,26 @@
 		if err != nil || n < 1 || n > maxWait.Milliseconds() {
 			var l finding.List
 			l.Add(paramTimeout, "must be a whole number from 1 to %d", maxWait.Milliseconds())
-			refuse(ctx, l)
+			replyInvalid(ctx, l)
 			return
 		}
 		wait = time.Duration(n) * time.Millisecond
 	}
-	if !g.admit(ctx) {
+	if !g.admitJobCall(ctx) {
 		return
 	}
-	defer g.work.leave()
-	s, err := g.waitUntil(ctx.Request().Context(), ctx.Params().Get("id"), wait)
+	defer g.inProgress.checkDone()
+	s, err := g.waitForJob(ctx.Request().Context(), ctx.Params().Get("id"), wait)
 	replyJob(ctx, s, err)
 }
 
-// waitUntil gives the status of a job that is final, or as it is when the wait or this gate ends.
-func (g *Gate) waitUntil(ctx context.Context, id string, wait time.Duration) (*job.Status, error) {
+// waitForJob gives the status of a job that is final, or as it is when the wait or this gate ends.
+func (g *Gate) waitForJob(ctx context.Context, id string, wait time.Duration) (*job.Status, error) {
 	in, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	go func() {
 		select {
-		case <-g.work.moving:
+		case <-g.inProgress.moveStreams:
 			cancel()
 		case <-in.Done():
 		}
@@ -125,7 +125,7 @@
 	return g.opts.Jobs.Status(late, id)
 }
 
-func findings(err error) finding.List {
+func findingsOf(err error) finding.List {
 	var l finding.List
 	if errors.As(err, &l) {
 		for i := range l {
@@ -142,10 +142,10 @@
 func replyJob(ctx iris.Context, s *job.Status, err error) {
 	switch {
 	case err == nil && s != nil && (s.State == job.Final || ctx.Method() == http.MethodGet):
-		write(ctx, http.StatusOK, s)
+		writeJSON(ctx, http.StatusOK, s)
 	case err == nil && s != nil:
 		// Accepted, or asked to stop; the outcome comes later.
-		write(ctx, http.StatusAccepted, s)
+		writeJSON(ctx, http.StatusAccepted, s)
 	default:
 		replyFault(ctx, err)
 	}
@@ -155,29 +155,29 @@
 func replyFault(ctx iris.Context, err error) {
 	fault := rpc.AsFault(err)
 	if fault == nil {
-		write(ctx, http.StatusGatewayTimeout, &Body{Outcome: job.Unknown, Reason: reasonNoAnswer})
+		writeJSON(ctx, http.StatusGatewayTimeout, &Body{Outcome: job.Unknown, Reason: reasonNoAnswer})
 		return
 	}
 	body := &Body{Outcome: job.NotRun, Reason: fault.Reason, Findings: fault.Findings}
 	switch fault.Code {
 	case rpc.CodeInvalid:
-		write(ctx, http.StatusBadRequest, body)
+		writeJSON(ctx, http.StatusBadRequest, body)
 	case rpc.CodeConflict:
-		write(ctx, http.StatusConflict, body)
+		writeJSON(ctx, http.StatusConflict, body)
 	case rpc.CodeNotFound:
-		write(ctx, http.StatusNotFound, body)
+		writeJSON(ctx, http.StatusNotFound, body)
 	case rpc.CodeRefused, rpc.CodeNotOwner, rpc.CodeMoved:
 		if fault.Code == rpc.CodeRefused && fault.RetryAfter == 0 {
 			// To try again is no use: a caller that is told when to come back would come for ever.
-			write(ctx, http.StatusUnprocessableEntity, body)
+			writeJSON(ctx, http.StatusUnprocessableEntity, body)
 			return
 		}
 		after := max(fault.RetryAfter, noOwnerRetry)
 		body.RetryAfterMillis = after.Milliseconds()
-		retryAfter(ctx, after)
-		write(ctx, http.StatusServiceUnavailable, body)
+		setRetryAfter(ctx, after)
+		writeJSON(ctx, http.StatusServiceUnavailable, body)
 	case rpc.CodeUnknown:
 		body.Outcome = job.Unknown
-		write(ctx, http.StatusGatewayTimeout, body)
+		writeJSON(ctx, http.StatusGatewayTimeout, body)
 	}
 }
--- a/gate/meters.go
+++ b/gate/metrics.go
@@ -9,7 +9,7 @@
 	"turmericgap/metric"
 )
 
-type meters struct {
+type gateMetrics struct {
 	done, notRun, unknown               metrics.Counter
 	attempts, retries, noBudget         metrics.Counter
 	shed, dropped, forwarded, cancelled metrics.Counter
@@ -18,8 +18,8 @@
 	waitMicros, checkMicros             metrics.Histogram
 }
 
-func newMeters(r *metric.Registry) meters {
-	return meters{
+func newGateMetrics(r *metric.Registry) gateMetrics {
+	return gateMetrics{
 		done: r.Counter("gate.checks.done"), notRun: r.Counter("gate.checks.notRun"),
 		unknown: r.Counter("gate.checks.unknown"), attempts: r.Counter("gate.attempts"),
 		retries: r.Counter("gate.retries"), noBudget: r.Counter("gate.retries.denied"),
@@ -32,7 +32,7 @@
 	}
 }
 
-func (m *meters) ended(r *Result, took time.Duration) {
+func (m *gateMetrics) recordCheck(r *Result, took time.Duration) {
 	switch r.Outcome {
 	case job.Done:
 		m.done.Inc(1)
--- a/gate/options.go
+++ b/gate/options.go
@@ -108,7 +108,7 @@
 // id that the gate table has for it, and peers those of another zone's gates.
 func OverRPC(pool *rpc.Pool, address func(gate string) (string, bool), peers func(zone string) []string) Option {
 	return func(o *Options) {
-		o.Siblings = siblingsOverRPC(pool, address)
+		o.Siblings = newSiblingClient(pool, address)
 		o.Peers = peers
 		o.Forward = func(ctx context.Context, address string, c *Check) (*Result, error) {
 			return rpc.Call[Check, Result](ctx, pool.Get(address), MethodCheck, c)
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -23,27 +23,27 @@
 
 // The cell of course-desk: 50 targets of 8 slots in three zones, 8 gates, and more callers at some.
 const (
-	cellTargets  = 50
-	cellSlots    = 8
-	cellZones    = 3
-	cellMean     = 100 * time.Millisecond
-	cellRate     = 2600 // checks a second, about two thirds of what the well targets can do
-	cellDeadline = 2 * time.Second
+	testTargets   = 50
+	testSlots     = 8
+	testZones     = 3
+	meanRunTime   = 100 * time.Millisecond
+	checkRate     = 2600 // checks a second, about two thirds of what the well targets can do
+	checkDeadline = 2 * time.Second
 )
 
-var lasts = flag.Duration("lasts", 2*time.Second, "how long callers send checks in the comparison of policies")
+var loadDuration = flag.Duration("lasts", 2*time.Second, "how long callers send checks in the comparison of policies")
 
-var cellGates = []int{3, 3, 2}
+var gatesPerZone = []int{3, 3, 2}
 
 // policy is a way to choose targets; order is nil for the gate's own.
 type policy struct {
-	name   string
-	order  func() func(n int) []int
-	budget int
+	name       string
+	order      func() func(n int) []int
+	retryBurst int
 }
 
-// picker takes the first target with a free slot in the order of the policy, and knows no health.
-func (p *policy) picker(b *balancer.Balancer, infos []target.Info) func(*balancer.Constraints, time.Time) (balancer.Choice, bool) {
+// newPicker takes the first target with a free slot in the order of the policy, and knows no health.
+func (p *policy) newPicker(b *balancer.Balancer, infos []target.Info) func(*balancer.Constraints, time.Time) (balancer.Choice, bool) {
 	order := p.order()
 	return func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool) {
 		for _, i := range order(len(infos)) {
@@ -72,11 +72,11 @@
 	}
 }
 
-// cell is one run: its figures are about all checks of all gates.
-type cell struct {
+// loadTest is one run: its figures are about all checks of all gates.
+type loadTest struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
-	sick     func(id int, r *target.Request) (time.Duration, error)
+	fault    func(id int, r *target.Request) (time.Duration, error)
 	waits    []time.Duration
 	times    []time.Duration
 	outcomes map[job.Outcome]int
@@ -88,16 +88,16 @@
 
 type arrivalKey struct{}
 
-func (c *cell) serve(ctx context.Context, id int, r *target.Request) (*target.Response, error) {
+func (c *loadTest) serve(ctx context.Context, id int, r *target.Request) (*target.Response, error) {
 	c.mu.Lock()
 	c.sent++
 	if a, ok := ctx.Value(arrivalKey{}).(*arrival); ok && !a.at.IsZero() {
 		c.waits = append(c.waits, time.Since(a.at))
 		a.at = time.Time{}
 	}
-	took := time.Duration(float64(cellMean) * (0.2 + 0.8*c.rng.ExpFloat64()))
+	took := time.Duration(float64(meanRunTime) * (0.2 + 0.8*c.rng.ExpFloat64()))
 	c.mu.Unlock()
-	factor, err := c.sick(id, r)
+	factor, err := c.fault(id, r)
 	if err != nil {
 		took = time.Millisecond
 	}
@@ -113,12 +113,12 @@
 }
 
 // run sends checks for the given time through all gates of the cell and waits for their ends.
-func (c *cell) run(p policy, rate int, lasts time.Duration) {
+func (c *loadTest) run(p policy, rate int, lasts time.Duration) {
 	c.rng, c.outcomes = rand.New(rand.NewPCG(1, 2)), make(map[job.Outcome]int)
 	var infos []target.Info
-	for i := range cellTargets {
+	for i := range testTargets {
 		infos = append(infos, target.Info{
-			ID: fmt.Sprint(i), Address: fmt.Sprint(i), Zone: fmt.Sprint("z", i%cellZones), Service: "desk", Slots: cellSlots, Connections: 64,
+			ID: fmt.Sprint(i), Address: fmt.Sprint(i), Zone: fmt.Sprint("z", i%testZones), Service: "desk", Slots: testSlots, Connections: 64,
 		})
 	}
 	dial := func(info target.Info, _ int) *target.Client {
@@ -127,21 +127,21 @@
 		return &target.Client{Do: func(ctx context.Context, r *target.Request) (*target.Response, error) { return c.serve(ctx, id, r) }}
 	}
 	var all []*Gate
-	for z, n := range cellGates {
+	for z, n := range gatesPerZone {
 		siblings := make(map[string]*Gate)
 		var ids []string
 		for i := range n {
 			id := fmt.Sprint("z", z, "g", i)
 			g := New(ID(id), Zone(fmt.Sprint("z", z)), Targets(func() []target.Info { return infos }), Dial(dial), Seed(uint64(i)),
-				listed, direct(siblings, time.Millisecond))
+				alwaysMember, directSiblings(siblings, time.Millisecond))
 			if p.order != nil {
 				local := slices.DeleteFunc(slices.Clone(infos), func(info target.Info) bool { return info.Zone != g.opts.Zone })
 				g.mu.Lock()
-				g.pools["desk"].pick = p.picker(g.pools["desk"].balancer, local)
+				g.pools["desk"].pick = p.newPicker(g.pools["desk"].balancer, local)
 				g.mu.Unlock()
 			}
-			if p.budget > 0 {
-				g.budget = budget.New(budget.Burst(p.budget))
+			if p.retryBurst > 0 {
+				g.budget = budget.New(budget.Burst(p.retryBurst))
 			}
 			siblings[id] = g
 			ids = append(ids, id)
@@ -152,14 +152,14 @@
 		}
 	}
 	time.Sleep(20 * time.Second)
-	c.load(all, rate, lasts)
+	c.sendChecks(all, rate, lasts)
 	for _, g := range all {
 		g.Close()
 	}
 }
 
-// load lets checks arrive at random; of each zone's callers half come to its first gate.
-func (c *cell) load(all []*Gate, rate int, lasts time.Duration) {
+// sendChecks lets checks arrive at random; of each zone's callers half come to its first gate.
+func (c *loadTest) sendChecks(all []*Gate, rate int, lasts time.Duration) {
 	var calls sync.WaitGroup
 	arrivals := rand.New(rand.NewPCG(3, 4))
 	weights := []int{0, 0, 0, 1, 1, 2, 3, 3, 3, 4, 4, 5, 6, 6, 6, 7, 7}
@@ -169,7 +169,7 @@
 		arrived := time.Now()
 		calls.Go(func() {
 			ctx := context.WithValue(context.Background(), arrivalKey{}, &arrival{arrived})
-			r := g.Do(ctx, &Check{Service: "desk", Deadline: cellDeadline, Repeatable: true})
+			r := g.Do(ctx, &Check{Service: "desk", Deadline: checkDeadline, Repeatable: true})
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.outcomes[r.Outcome]++
@@ -179,7 +179,7 @@
 	calls.Wait()
 }
 
-func at(all []time.Duration, q float64) time.Duration {
+func quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
 	}
@@ -187,8 +187,8 @@
 	return all[int(q*float64(len(all)-1))].Round(100 * time.Microsecond)
 }
 
-// sickness makes two targets ten times slower, two cut each connection, and one never answer.
-func sickness(id int, _ *target.Request) (time.Duration, error) {
+// fiveFaulty makes two targets ten times slower, two cut each connection, and one never answer.
+func fiveFaulty(id int, _ *target.Request) (time.Duration, error) {
 	switch id {
 	case 0, 1:
 		return 10, nil
@@ -200,7 +200,7 @@
 	return 1, nil
 }
 
-func well(int, *target.Request) (time.Duration, error) { return 1, nil }
+func allHealthy(int, *target.Request) (time.Duration, error) { return 1, nil }
 
 // Callers wait least with the gate's own policy. The same seeded load runs against each policy, with
 // all targets well, with five of fifty sick, and at a rate close to what the well targets can do.
@@ -209,37 +209,37 @@
 		name string
 		sick func(int, *target.Request) (time.Duration, error)
 		rate int
-	}{{"all well", well, cellRate}, {"five sick", sickness, cellRate}, {"five sick, busy", sickness, 3000}} {
+	}{{"all well", allHealthy, checkRate}, {"five sick", fiveFaulty, checkRate}, {"five sick, busy", fiveFaulty, 3000}} {
 		lost := make(map[string]float64)
 		p99 := make(map[string]time.Duration)
 		for _, p := range []policy{{name: "gate"}, {name: "random", order: randomOrder}, {name: "round robin", order: roundRobin}} {
 			synctest.Test(t, func(t *testing.T) {
-				c := &cell{sick: load.sick}
-				c.run(p, load.rate, *lasts)
+				c := &loadTest{fault: load.sick}
+				c.run(p, load.rate, *loadDuration)
 				n := c.outcomes[job.Done] + c.outcomes[job.NotRun] + c.outcomes[job.Unknown]
 				lost[p.name] = 100 * float64(n-c.outcomes[job.Done]) / float64(n)
-				p99[p.name] = at(c.times, 0.99)
+				p99[p.name] = quantile(c.times, 0.99)
 				t.Logf("%-16s %-12s %6d checks, waiting p50 %8s p99 %8s, response p50 %8s p99 %8s, not done %6.3f%%, sent per check %.3f",
-					load.name, p.name, n, at(c.waits, 0.5), at(c.waits, 0.99), at(c.times, 0.5), p99[p.name], lost[p.name], float64(c.sent)/float64(n))
+					load.name, p.name, n, quantile(c.waits, 0.5), quantile(c.waits, 0.99), quantile(c.times, 0.5), p99[p.name], lost[p.name], float64(c.sent)/float64(n))
 			})
 		}
 		for _, other := range []string{"random", "round robin"} {
 			is.New(t).True(lost["gate"] < 0.5)
-			is.New(t).True(p99["gate"] <= p99[other]+cellMean)
+			is.New(t).True(p99["gate"] <= p99[other]+meanRunTime)
 		}
 	}
 }
 
 // In an outage of all targets the load on them stays close to what the callers ask for.
 func TestOutageLoad(t *testing.T) {
-	for _, p := range []policy{{name: "budget"}, {name: "no budget", budget: 1 << 30}} {
+	for _, p := range []policy{{name: "budget"}, {name: "no budget", retryBurst: 1 << 30}} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &cell{sick: func(int, *target.Request) (time.Duration, error) { return 1, errors.New("connection cut") }}
-			c.run(p, 500, *lasts)
+			c := &loadTest{fault: func(int, *target.Request) (time.Duration, error) { return 1, errors.New("connection cut") }}
+			c.run(p, 500, *loadDuration)
 			n := len(c.times)
 			ratio := float64(c.sent) / float64(n)
 			t.Logf("%-10s %d checks, sent per check %.3f", p.name, n, ratio)
-			is.New(t).True(p.budget > 0 || c.sent <= n+8*budget.DefaultBurst)
+			is.New(t).True(p.retryBurst > 0 || c.sent <= n+8*budget.DefaultBurst)
 		})
 	}
 }
--- a/gate/pool.go
+++ b/gate/pool.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	leastRetryAfter = 100 * time.Millisecond
-	mostRetryAfter  = 30 * time.Second
-	firstRunTime    = 0.02
-	spreadPart      = 4
-	runSmoothing    = 0.05
-	noTargetRetry   = time.Second
-	// scanWaiters bounds how many waiters are looked at when the first can't take the free slot.
-	scanWaiters = 8
+	minRetryAfter      = 100 * time.Millisecond
+	maxRetryAfter      = 30 * time.Second
+	initialRunTime     = 0.02
+	retryJitterDivisor = 4
+	runSmoothing       = 0.05
+	noTargetRetry      = time.Second
+	// maxWaitersScanned bounds how many waiters are looked at when the first can't take the free slot.
+	maxWaitersScanned = 8
 	// maxGates is for how many gates of a zone a target's connections suffice. They are divided by
 	// this fixed number, so that no share of them has to move when the gate table does.
 	maxGates = 8
-	// leastRun is the time that must be left for a check to be sent at all.
-	leastRun = 2 * time.Millisecond
+	// minRunTime is the time that must be left for a check to be sent at all.
+	minRunTime = 2 * time.Millisecond
 )
 
 // pool holds the targets of one service in this zone and the checks that wait for them.
@@ -32,11 +32,11 @@
 type pool struct {
 	balancer *balancer.Balancer
 	// pick chooses a target; tests put other policies here to compare them.
-	pick    func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool)
-	shares  *share.Allocator
-	clients map[string]*client
-	waiting *list.List
-	bound   map[string]*list.List
+	pick        func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool)
+	shares      *share.Allocator
+	clients     map[string]*client
+	sharedQueue *list.List
+	boundQueues map[string]*list.List
 	// runTime is the smoothed time in seconds that a check occupies a slot.
 	runTime float64
 	slots   int
@@ -55,18 +55,18 @@
 	slot   *share.Slot
 	probe  bool
 	client *target.Client
-	// granted is when the slot was given.
-	granted time.Time
+	// grantedAt is when the slot was given.
+	grantedAt time.Time
 }
 
 type waiter struct {
-	pool  *pool
-	ask   balancer.Constraints
-	bound string
-	// until gives when a request that is sent now has surely left its target.
-	until func(now time.Time) time.Time
-	ready chan *ticket
-	item  *list.Element
+	pool        *pool
+	constraints balancer.Constraints
+	targetID    string
+	// occupiedUntil gives when a request that is sent now has surely left its target.
+	occupiedUntil func(now time.Time) time.Time
+	ready         chan *ticket
+	element       *list.Element
 }
 
 func newPool(seed uint64, shares *share.Allocator) *pool {
@@ -76,70 +76,70 @@
 		shares:   shares,
 		rng:      rng,
 		balancer: b, pick: b.Pick, clients: make(map[string]*client),
-		waiting: list.New(), bound: make(map[string]*list.List), runTime: firstRunTime,
+		sharedQueue: list.New(), boundQueues: make(map[string]*list.List), runTime: initialRunTime,
 	}
 }
 
-// queue gives the list in which a waiter stands: one for the service, and one for each target that
+// queueOf gives the list in which a waiter stands: one for the service, and one for each target that
 // sessions wait for, so that a session does not hold up the checks of others.
-func (p *pool) queue(w *waiter) *list.List {
-	if w.bound == "" {
-		return p.waiting
+func (p *pool) queueOf(w *waiter) *list.List {
+	if w.targetID == "" {
+		return p.sharedQueue
 	}
-	q, ok := p.bound[w.bound]
+	q, ok := p.boundQueues[w.targetID]
 	if !ok {
 		q = list.New()
-		p.bound[w.bound] = q
+		p.boundQueues[w.targetID] = q
 	}
 	return q
 }
 
 func (p *pool) remove(w *waiter) {
-	if w.item == nil {
+	if w.element == nil {
 		return
 	}
-	q := p.queue(w)
-	q.Remove(w.item)
-	w.item = nil
-	if w.bound != "" && q.Len() == 0 {
-		delete(p.bound, w.bound)
+	q := p.queueOf(w)
+	q.Remove(w.element)
+	w.element = nil
+	if w.targetID != "" && q.Len() == 0 {
+		delete(p.boundQueues, w.targetID)
 	}
 }
 
-func (p *pool) len() int {
-	n := p.waiting.Len()
-	for _, q := range p.bound {
+func (p *pool) waitingCount() int {
+	n := p.sharedQueue.Len()
+	for _, q := range p.boundQueues {
 		n += q.Len()
 	}
 	return n
 }
 
-// expected gives how long a check waits behind n others: the slots, each freed once a run time,
+// expectedWait gives how long a check waits behind n others: the slots, each freed once a run time,
 // are the rate at which the queue drains.
-func (p *pool) expected(n int) time.Duration {
+func (p *pool) expectedWait(n int) time.Duration {
 	return time.Duration(float64(n+1) * p.runTime / float64(max(1, p.slots)) * float64(time.Second))
 }
 
-// run gives how long a check occupies a slot.
-func (p *pool) run() time.Duration { return time.Duration(p.runTime * float64(time.Second)) }
+// expectedRun gives how long a check occupies a slot.
+func (p *pool) expectedRun() time.Duration { return time.Duration(p.runTime * float64(time.Second)) }
 
 // retryAfter gives when the queue will have drained, and up to a quarter more: callers that were
 // refused together must not all come back together.
 func (p *pool) retryAfter() time.Duration {
-	drained := max(p.expected(p.waiting.Len()), leastRetryAfter)
-	return min(drained+time.Duration(p.rng.Int64N(int64(drained)/spreadPart)), mostRetryAfter)
+	drained := max(p.expectedWait(p.sharedQueue.Len()), minRetryAfter)
+	return min(drained+time.Duration(p.rng.Int64N(int64(drained)/retryJitterDivisor)), maxRetryAfter)
 }
 
-// grant gives a waiter a target if one may take it now.
-func (p *pool) grant(w *waiter, now time.Time) *ticket {
-	until := w.until(now)
-	w.ask.FreeSlots = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
+// tryGrant gives a waiter a target if one may take it now.
+func (p *pool) tryGrant(w *waiter, now time.Time) *ticket {
+	until := w.occupiedUntil(now)
+	w.constraints.FreeSlots = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
 	var c balancer.Choice
 	var ok bool
-	if w.bound == "" {
-		c, ok = p.pick(&w.ask, now)
+	if w.targetID == "" {
+		c, ok = p.pick(&w.constraints, now)
 	} else {
-		c, ok = p.balancer.PickByID(w.bound, &w.ask, now)
+		c, ok = p.balancer.PickByID(w.targetID, &w.constraints, now)
 	}
 	if !ok {
 		return nil
@@ -150,23 +150,23 @@
 		p.balancer.Undo(c)
 		return nil
 	}
-	return &ticket{pool: p, info: c.Info, slot: slot, probe: c.Probe, client: p.clients[c.Info.ID].call, granted: now}
+	return &ticket{pool: p, info: c.Info, slot: slot, probe: c.Probe, client: p.clients[c.Info.ID].call, grantedAt: now}
 }
 
-// dispatch hands free slots to the waiters, first come, first served.
-func (p *pool) dispatch(now time.Time) {
-	for _, q := range p.bound {
-		p.serve(q, now)
+// serveWaiters hands free slots to the waiters, first come, first served.
+func (p *pool) serveWaiters(now time.Time) {
+	for _, q := range p.boundQueues {
+		p.serveQueue(q, now)
 	}
-	p.serve(p.waiting, now)
+	p.serveQueue(p.sharedQueue, now)
 }
 
-func (p *pool) serve(q *list.List, now time.Time) {
+func (p *pool) serveQueue(q *list.List, now time.Time) {
 	missed := 0
-	for e := q.Front(); e != nil && missed < scanWaiters; {
+	for e := q.Front(); e != nil && missed < maxWaitersScanned; {
 		next := e.Next()
 		w := e.Value.(*waiter)
-		if t := p.grant(w, now); t != nil {
+		if t := p.tryGrant(w, now); t != nil {
 			p.remove(w)
 			w.ready <- t
 		} else {
@@ -176,10 +176,12 @@
 	}
 }
 
-func (p *pool) learn(took time.Duration) { p.runTime += runSmoothing * (took.Seconds() - p.runTime) }
+func (p *pool) observeRunTime(took time.Duration) {
+	p.runTime += runSmoothing * (took.Seconds() - p.runTime)
+}
 
-// refresh takes over the current list of targets.
-func (g *Gate) refresh() {
+// refreshTargets takes over the current list of targets.
+func (g *Gate) refreshTargets() {
 	local := make(map[string][]target.Info)
 	zones := make(map[string][]string)
 	where := make(map[string]string)
@@ -199,7 +201,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.zones, g.where = zones, where
+	g.serviceZones, g.targetZones = zones, where
 	g.shares.RetainTargets(here)
 	for service := range local {
 		if g.pools[service] == nil {
@@ -209,13 +211,13 @@
 	ejected := 0
 	for service, p := range g.pools {
 		p.update(local[service], g.opts.Dial, now)
-		if len(local[service]) == 0 && p.len() == 0 {
+		if len(local[service]) == 0 && p.waitingCount() == 0 {
 			delete(g.pools, service)
 		}
 		ejected += p.balancer.EjectedCount()
 	}
-	g.meters.ejected.Update(int64(ejected))
-	g.meters.streams.Update(int64(g.work.openStreams()))
+	g.metrics.ejected.Update(int64(ejected))
+	g.metrics.streams.Update(int64(g.inProgress.streamCount()))
 }
 
 func (p *pool) update(infos []target.Info, dial target.Dial, now time.Time) {
@@ -233,20 +235,20 @@
 		}
 	}
 	p.clients = clients
-	p.dispatch(now)
+	p.serveWaiters(now)
 }
 
-// turn serves waiters and reports whether any are left.
-func (g *Gate) turn() bool {
+// serveAllWaiters serves waiters and reports whether any are left.
+func (g *Gate) serveAllWaiters() bool {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
 	for _, p := range g.pools {
-		p.dispatch(now)
-		n += p.len()
+		p.serveWaiters(now)
+		n += p.waitingCount()
 	}
-	g.meters.waiting.Update(int64(n))
+	g.metrics.waiting.Update(int64(n))
 	return n > 0
 }
 
@@ -254,22 +256,22 @@
 func (g *Gate) acquire(ctx context.Context, cl *call) (*ticket, *Result) {
 	start := time.Now()
 	w := &waiter{
-		ask:   balancer.Constraints{Avoid: cl.avoid, Repeatable: cl.check.Repeatable},
-		bound: cl.check.Target,
-		until: func(now time.Time) time.Time { return g.attemptEnd(cl, now).Add(g.opts.Limits.Grace) },
+		constraints:   balancer.Constraints{Avoid: cl.avoid, Repeatable: cl.check.Repeatable},
+		targetID:      cl.check.Target,
+		occupiedUntil: func(now time.Time) time.Time { return g.attemptEnd(cl, now).Add(g.opts.Limits.Grace) },
 	}
 	t, r := g.enqueue(cl, w, start)
 	if t != nil || r != nil {
 		return t, r
 	}
-	signal(g.kick)
-	signal(g.need)
+	signal(g.wake)
+	signal(g.borrowNeeded)
 	select {
 	case t = <-w.ready:
-		g.meters.waitMicros.Update(time.Since(start).Microseconds())
+		g.metrics.waitMicros.Update(time.Since(start).Microseconds())
 		return t, nil
 	case <-ctx.Done():
-		return nil, g.giveUp(w)
+		return nil, g.abandonWait(w)
 	}
 }
 
@@ -285,52 +287,52 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.pools[cl.check.Service]
-	if p == nil || (w.bound == "" && p.balancer.UsableCount() == 0) {
+	if p == nil || (w.targetID == "" && p.balancer.UsableCount() == 0) {
 		return nil, notRun("no usable target", noTargetRetry)
 	}
 	if !g.shares.Valid() {
 		return nil, notRun("gate is not a member of its zone", noTargetRetry)
 	}
-	q := p.queue(w)
+	q := p.queueOf(w)
 	if q.Len() == 0 {
-		if t := p.grant(w, now); t != nil {
+		if t := p.tryGrant(w, now); t != nil {
 			return t, nil
 		}
 	}
 	if q.Len() >= cl.queue {
-		return nil, limited("queue is full", p.retryAfter())
+		return nil, limitExceeded("queue is full", p.retryAfter())
 	}
-	if now.Add(p.expected(q.Len()) + p.run()).After(cl.deadline) {
-		return nil, limited("expected wait and run exceed the time left", p.retryAfter())
+	if now.Add(p.expectedWait(q.Len()) + p.expectedRun()).After(cl.deadline) {
+		return nil, limitExceeded("expected wait and run exceed the time left", p.retryAfter())
 	}
 	w.pool, w.ready = p, make(chan *ticket, 1)
-	w.item = q.PushBack(w)
+	w.element = q.PushBack(w)
 	return nil, nil
 }
 
-func limited(reason string, retryAfter time.Duration) *Result {
+func limitExceeded(reason string, retryAfter time.Duration) *Result {
 	r := notRun(reason, retryAfter)
 	r.Limited = true
 	return r
 }
 
-// giveUp takes a waiter whose caller is gone or whose time is up out of its queue.
-func (g *Gate) giveUp(w *waiter) *Result {
+// abandonWait takes a waiter whose caller is gone or whose time is up out of its queue.
+func (g *Gate) abandonWait(w *waiter) *Result {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w.pool.remove(w)
 	select {
 	case t := <-w.ready:
-		g.free(t, now)
+		g.releaseSlot(t, now)
 	default:
 	}
-	return limited("time ran out in the queue", w.pool.retryAfter())
+	return limitExceeded("time ran out in the queue", w.pool.retryAfter())
 }
 
-// free gives a slot back and hands it on.
-func (g *Gate) free(t *ticket, now time.Time) {
+// releaseSlot gives a slot back and hands it on.
+func (g *Gate) releaseSlot(t *ticket, now time.Time) {
 	t.pool.balancer.Release(t.info.ID)
 	g.shares.Release(t.slot, now)
-	t.pool.dispatch(now)
+	t.pool.serveWaiters(now)
 }
--- a/gate/send.go
+++ b/gate/send.go
@@ -16,12 +16,12 @@
 	tracing "turmericgap/trace"
 )
 
-// ending says what is known of one attempt.
-type ending int
+// attemptState says what is known of one attempt.
+type attemptState int
 
 const (
-	// whole means that its whole answer is there.
-	whole ending = iota
+	// answered means that its answered answer is there.
+	answered attemptState = iota
 	// notStarted means that it surely did not run.
 	notStarted
 	// mayHaveRun means that nothing more is known.
@@ -30,13 +30,13 @@
 
 // attempt is one request to a target and what came of it.
 type attempt struct {
-	ending  ending
-	verdict balancer.Outcome
+	state   attemptState
+	outcome balancer.Outcome
 	reason  string
 	answer  *job.Answer
 	leaving bool
-	// until is when a request that was given up has surely left its target.
-	until time.Time
+	// occupiedUntil is when a request that was given up has surely left its target.
+	occupiedUntil time.Time
 }
 
 // run makes attempts at targets of this zone until the check has a final state.
@@ -47,15 +47,15 @@
 			return cl.finish(r)
 		}
 		a := g.send(ctx, cl, t)
-		g.settle(t, a)
-		if a.ending == whole {
+		g.finishAttempt(t, a)
+		if a.state == answered {
 			g.budget.Deposit()
 			return &Result{Outcome: job.Done, Answer: a.answer, Attempts: cl.attempts, Target: t.info.ID}
 		}
-		cl.mayRun = cl.mayRun || a.ending == mayHaveRun
+		cl.mayHaveRun = cl.mayHaveRun || a.state == mayHaveRun
 		cl.avoid = t.info.ID
-		if !g.again(ctx, cl, a) {
-			r := notRun(a.reason, leastRetryAfter)
+		if !g.shouldRetry(ctx, cl, a) {
+			r := notRun(a.reason, minRetryAfter)
 			r.Target = t.info.ID
 			return cl.finish(r)
 		}
@@ -65,7 +65,7 @@
 // finish turns a result into the check's final state: what may have run is never called notRun.
 func (cl *call) finish(r *Result) *Result {
 	r.Attempts = cl.attempts
-	if cl.mayRun && r.Outcome == job.NotRun {
+	if cl.mayHaveRun && r.Outcome == job.NotRun {
 		r.Outcome = job.Unknown
 		if !cl.check.Repeatable {
 			// To try again could run it twice.
@@ -75,20 +75,20 @@
 	return r
 }
 
-// again decides whether the check may be tried once more.
-func (g *Gate) again(ctx context.Context, cl *call, a *attempt) bool {
-	if cl.mayRun && !cl.check.Repeatable {
+// shouldRetry decides whether the check may be tried once more.
+func (g *Gate) shouldRetry(ctx context.Context, cl *call, a *attempt) bool {
+	if cl.mayHaveRun && !cl.check.Repeatable {
 		// A second attempt could run the request twice.
 		return false
 	}
-	if cl.tries > cl.retries || ctx.Err() != nil || time.Until(cl.deadline) < leastRun || (a.ending == mayHaveRun && cl.check.Target != "") {
+	if cl.tries > cl.retries || ctx.Err() != nil || time.Until(cl.deadline) < minRunTime || (a.state == mayHaveRun && cl.check.Target != "") {
 		return false
 	}
 	if !g.budget.TryWithdraw() {
-		g.meters.noBudget.Inc(1)
+		g.metrics.noBudget.Inc(1)
 		return false
 	}
-	g.meters.retries.Inc(1)
+	g.metrics.retries.Inc(1)
 	return true
 }
 
@@ -97,8 +97,8 @@
 	now := time.Now()
 	end := g.attemptEnd(cl, now)
 	cl.tries++
-	if end.Sub(now) < leastRun || ctx.Err() != nil {
-		return &attempt{ending: notStarted, verdict: balancer.Abandoned, reason: "no time left"}
+	if end.Sub(now) < minRunTime || ctx.Err() != nil {
+		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "no time left"}
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
@@ -111,14 +111,14 @@
 	}
 	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
 		// The process was paused since the slot was given; a sibling may have it by now.
-		return &attempt{ending: notStarted, verdict: balancer.Abandoned, reason: "slot was lost before the send"}
+		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "slot was lost before the send"}
 	}
 	cl.attempts++
-	g.meters.attempts.Inc(1)
+	g.metrics.attempts.Inc(1)
 	resp, err := t.client.Do(ctx, req)
-	a := g.judge(ctx, req, resp, err)
-	a.until = end.Add(g.opts.Limits.Grace)
-	if a.ending != whole {
+	a := g.classify(ctx, req, resp, err)
+	a.occupiedUntil = end.Add(g.opts.Limits.Grace)
+	if a.state != answered {
 		span.SetStatus(codes.Error, a.reason)
 	}
 	return a
@@ -133,30 +133,30 @@
 	return now.Add(cl.deadline.Sub(now) / 2)
 }
 
-// judge tells what is known of an attempt. Only what the target said about this very attempt
+// classify tells what is known of an attempt. Only what the target said about this very attempt
 // counts: an answer to another one, or a cut one, says no more than that this one may have run.
-func (g *Gate) judge(ctx context.Context, req *target.Request, resp *target.Response, err error) *attempt {
+func (g *Gate) classify(ctx context.Context, req *target.Request, resp *target.Response, err error) *attempt {
 	switch {
 	case errors.Is(err, target.ErrNotSent):
-		return &attempt{ending: notStarted, verdict: failedUnless(ctx), reason: "target not reached"}
+		return &attempt{state: notStarted, outcome: failureOutcome(ctx), reason: "target not reached"}
 	case errors.Is(err, target.ErrRefused):
-		return &attempt{ending: notStarted, verdict: balancer.Failed, reason: "target refused"}
+		return &attempt{state: notStarted, outcome: balancer.Failed, reason: "target refused"}
 	case err != nil:
-		return &attempt{ending: mayHaveRun, verdict: failedUnless(ctx), reason: "no answer: " + err.Error()}
+		return &attempt{state: mayHaveRun, outcome: failureOutcome(ctx), reason: "no answer: " + err.Error()}
 	case resp == nil || resp.ID != req.ID:
-		g.meters.dropped.Inc(1)
-		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer to another request"}
+		g.metrics.dropped.Inc(1)
+		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer to another request"}
 	case resp.Busy:
-		return &attempt{ending: notStarted, verdict: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
+		return &attempt{state: notStarted, outcome: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
 	case !resp.Answer.Whole():
-		g.meters.dropped.Inc(1)
-		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
+		g.metrics.dropped.Inc(1)
+		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
 	}
-	return &attempt{ending: whole, verdict: balancer.Succeeded, answer: &resp.Answer, leaving: resp.Leaving}
+	return &attempt{state: answered, outcome: balancer.Succeeded, answer: &resp.Answer, leaving: resp.Leaving}
 }
 
-// failedUnless gives Failed unless the caller itself went away.
-func failedUnless(ctx context.Context) balancer.Outcome {
+// failureOutcome gives Failed unless the caller itself went away.
+func failureOutcome(ctx context.Context) balancer.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.Abandoned
 	}
--- a/gate/session_test.go
+++ b/gate/session_test.go
@@ -23,16 +23,18 @@
 
 var sessionKey = []byte("a key of sixteen bytes or more")
 
-// pipes is a listener whose connections are pipes, which the virtual clock can wait for.
-type pipes struct {
+// pipeListener is a listener whose connections are pipeListener, which the virtual clock can wait for.
+type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
 	ended chan struct{}
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), ended: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -41,10 +43,10 @@
 	}
 }
 
-func (p *pipes) Close() error   { p.once.Do(func() { close(p.ended) }); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.ended) }); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) client() *http.Client {
+func (p *pipeListener) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		near, far := net.Pipe()
 		select {
@@ -79,10 +81,10 @@
 	return resp.StatusCode, b, o
 }
 
-// served runs a gate behind pipes, for a test that stops all at its end.
-func served(t *testing.T, f *fakes, opts ...Option) (*Gate, *caller) {
-	g := f.gate(append(opts, SessionKeys(sessionKey))...)
-	l := newPipes()
+// serveGate runs a gate behind pipes, for a test that stops all at its end.
+func serveGate(t *testing.T, f *fakeTargets, opts ...Option) (*Gate, *caller) {
+	g := f.newGate(append(opts, SessionKeys(sessionKey))...)
+	l := newPipeListener()
 	go g.Serve(l)
 	c := &caller{Client: l.client()}
 	t.Cleanup(func() {
@@ -103,18 +105,18 @@
 func TestSessionOutlivesItsGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(3, echo)
-		first, c := served(t, f)
+		f := newFakeTargets(3, echo)
+		first, c := serveGate(t, f)
 		code, _, opened := c.call("POST", "/sessions/desk", "")
 		is.Equal(code, http.StatusCreated)
 		first.Close()
 
-		second, c := served(t, f, ID("g2"))
+		second, c := serveGate(t, f, ID("g2"))
 		c.token = opened.Token
 		_, b, _ := c.call("POST", "/sessions/desk/requests?method=add", "1")
 		is.Equal(string(b.Answer.Body), opened.Target+" "+opened.Session+" 1")
 
-		_, far := served(t, f, ID("g3"), Zone("z2"), Rules(func(*Check) Decision { return Decision{Zone: "z2"} }),
+		_, far := serveGate(t, f, ID("g3"), Zone("z2"), Rules(func(*Check) Decision { return Decision{Zone: "z2"} }),
 			Targets(func() []target.Info { return nil }), Peers(func(zone string) []string { return []string{zone} },
 				func(ctx context.Context, zone string, in *Check) (*Result, error) {
 					is.Equal(zone, "z1")
@@ -124,7 +126,7 @@
 		_, b, _ = far.call("POST", "/sessions/desk/requests?method=add", "2")
 		is.Equal(string(b.Answer.Body), opened.Target+" "+opened.Session+" 2")
 
-		f.change(func(info *target.Info) bool { info.Leaving = info.ID == opened.Target; return true })
+		f.updateInfos(func(info *target.Info) bool { info.Leaving = info.ID == opened.Target; return true })
 		time.Sleep(time.Second)
 		_, b, _ = c.call("POST", "/sessions/desk/requests?method=add", "3")
 		is.Equal(string(b.Answer.Body), opened.Target+" "+opened.Session+" 3")
@@ -133,7 +135,7 @@
 			is.True(b.Target != opened.Target)
 		}
 
-		f.change(func(info *target.Info) bool { return info.ID != opened.Target })
+		f.updateInfos(func(info *target.Info) bool { return info.ID != opened.Target })
 		time.Sleep(time.Second)
 		code, b, _ = c.call("POST", "/sessions/desk/requests?method=add", "4")
 		is.Equal(code, http.StatusGone)
@@ -152,7 +154,7 @@
 		is := is.New(t)
 		var mu sync.Mutex
 		var ran []string
-		f := newFakes(1, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
 			mu.Lock()
 			ran = append(ran, string(r.Body))
 			mu.Unlock()
@@ -162,7 +164,7 @@
 			}
 			return echo(ctx, id, r)
 		})
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		results := make([]*Result, 5)
 		var all sync.WaitGroup
@@ -177,7 +179,7 @@
 		for i, want := range []job.Outcome{job.Done, job.Done, job.Unknown, job.NotRun, job.NotRun} {
 			is.Equal(results[i].Outcome, want)
 		}
-		is.Equal(len(g.lanes), 0)
+		is.Equal(len(g.sessionQueues), 0)
 	})
 }
 
@@ -188,11 +190,11 @@
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(2, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(2, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
 			time.Sleep(time.Second)
 			return echo(ctx, id, r)
 		})
-		g, c := served(t, f)
+		g, c := serveGate(t, f)
 		_, _, opened := c.call("POST", "/sessions/desk", "")
 		c.token = opened.Token
 		lines, send := io.Pipe()
@@ -229,7 +231,7 @@
 		send.Close()
 		resp.Body.Close()
 
-		_, next := served(t, f, ID("g2"))
+		_, next := serveGate(t, f, ID("g2"))
 		next.token = moved.Token
 		_, b, _ = next.call("POST", "/sessions/desk/requests?method=add", "2")
 		is.Equal(string(b.Answer.Body), opened.Target+" "+opened.Session+" 2")
@@ -240,8 +242,8 @@
 func TestStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, echo)
-		_, c := served(t, f, Limit(func(l *Limits) { l.BodyBytes = 16 }))
+		f := newFakeTargets(1, echo)
+		_, c := serveGate(t, f, Limit(func(l *Limits) { l.BodyBytes = 16 }))
 		_, _, opened := c.call("POST", "/sessions/desk", "")
 		in := "{\"method\":\"add\",\"body\":\"MQ==\"}\n{\"methd\":1}\n{\"method\":\"add\",\"body\":\"Mg==\"}\n" +
 			strings.Repeat("x", 8<<10) + "\n"
--- a/gate/sessions.go
+++ b/gate/sessions.go
@@ -50,42 +50,42 @@
 	g.readHeaders(ctx, c, &l)
 	checkNames(c, &l)
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return
 	}
-	if r := g.work.enter(g.opts.Limits.Checks); r != nil {
+	if r := g.inProgress.admitCheck(g.opts.Limits.Checks); r != nil {
 		reply(ctx, r)
 		return
 	}
-	defer g.work.leave()
-	cl, r := g.decide(c)
+	defer g.inProgress.checkDone()
+	cl, r := g.applyRules(c)
 	if r != nil {
 		reply(ctx, r)
 		return
 	}
-	info, ok := g.place(cl)
+	info, ok := g.placeSession(cl)
 	if !ok {
 		reply(ctx, notRun("no usable target", noTargetRetry))
 		return
 	}
 	s := &session.Session{ID: rand.Text(), Service: info.Service, Target: info.ID, Zone: info.Zone}
-	token, err := g.token(s)
+	token, err := g.issueToken(s)
 	if err != nil {
 		g.log.Error("gate: token not made", zap.Error(err))
 		reply(ctx, notRun("token not made", noTargetRetry))
 		return
 	}
-	write(ctx, http.StatusCreated, &OpenedSession{token, s.ID, s.Target, s.Zone, s.Expires})
+	writeJSON(ctx, http.StatusCreated, &OpenedSession{token, s.ID, s.Target, s.Zone, s.Expires})
 }
 
-func (g *Gate) token(s *session.Session) (string, error) {
+func (g *Gate) issueToken(s *session.Session) (string, error) {
 	s.Expires = time.Now().Add(g.opts.Limits.SessionTTL).UTC().Truncate(time.Second)
 	return g.tokens.Sign(s)
 }
 
-// place chooses the target of a new session: here if one is usable, else in the next zone.
-func (g *Gate) place(cl *call) (target.Info, bool) {
-	zones := g.order(cl)
+// placeSession chooses the target of a new session: here if one is usable, else in the next zone.
+func (g *Gate) placeSession(cl *call) (target.Info, bool) {
+	zones := g.zoneOrder(cl)
 	targets := g.opts.Targets()
 	now := time.Now()
 	g.mu.Lock()
@@ -99,7 +99,7 @@
 			}
 			continue
 		}
-		start := int(g.serial.Add(1) % uint64(max(1, len(targets))))
+		start := int(g.sequence.Add(1) % uint64(max(1, len(targets))))
 		for i := range targets {
 			info := targets[(start+i)%len(targets)]
 			if info.Service == cl.check.Service && info.Zone == zone && !info.Leaving && zone != g.opts.Zone {
@@ -110,11 +110,11 @@
 	return target.Info{}, false
 }
 
-// open checks the token of a request and gives the check that it stands for.
-func (g *Gate) open(ctx iris.Context) (*session.Session, *Check, bool) {
+// verifySession checks the token of a request and gives the check that it stands for.
+func (g *Gate) verifySession(ctx iris.Context) (*session.Session, *Check, bool) {
 	s, err := g.tokens.Verify(ctx.GetHeader(HeaderSession), time.Now())
 	if errors.Is(err, session.ErrExpired) {
-		write(ctx, http.StatusGone, &Body{Outcome: job.NotRun, Reason: err.Error()})
+		writeJSON(ctx, http.StatusGone, &Body{Outcome: job.NotRun, Reason: err.Error()})
 		return nil, nil, false
 	}
 	var l finding.List
@@ -126,52 +126,52 @@
 		l.Add(HeaderSession, "is for service %q", s.Service)
 	}
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return nil, nil, false
 	}
-	bind(c, s)
+	bindToSession(c, s)
 	return s, c, true
 }
 
-func bind(c *Check, s *session.Session) {
+func bindToSession(c *Check, s *session.Session) {
 	c.Service, c.Session, c.Target, c.Zone = s.Service, s.ID, s.Target, s.Zone
 }
 
 func (g *Gate) postRequest(ctx iris.Context) {
-	s, c, ok := g.open(ctx)
+	s, c, ok := g.verifySession(ctx)
 	if !ok {
 		return
 	}
-	size, ok := g.hold(ctx)
+	size, ok := g.reserveBody(ctx)
 	if !ok {
 		return
 	}
-	defer g.work.drop(size)
+	defer g.inProgress.releaseBody(size)
 	var l finding.List
 	c.Method = ctx.URLParam("method")
 	checkNames(c, &l)
 	if c.Method == "" {
 		l.Add("method", "must not be empty")
 	}
-	c.Body = g.read(ctx, g.opts.Limits.BodyBytes, &l)
+	c.Body = g.readBody(ctx, g.opts.Limits.BodyBytes, &l)
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return
 	}
 	r := g.Do(ctx.Request().Context(), c)
-	body := bodyOf(r)
-	body.Token = g.renewed(s)
-	retryAfter(ctx, r.RetryAfter)
-	write(ctx, statusOf(r), body)
+	body := responseBody(r)
+	body.Token = g.renewToken(s)
+	setRetryAfter(ctx, r.RetryAfter)
+	writeJSON(ctx, httpStatus(r), body)
 }
 
-// renewed gives a new token when more than half of the old one's life is over.
-func (g *Gate) renewed(s *session.Session) string {
+// renewToken gives a new token when more than half of the old one's life is over.
+func (g *Gate) renewToken(s *session.Session) string {
 	if time.Until(s.Expires) > g.opts.Limits.SessionTTL/2 {
 		return ""
 	}
 	next := *s
-	token, err := g.token(&next)
+	token, err := g.issueToken(&next)
 	if err != nil {
 		return ""
 	}
@@ -180,7 +180,7 @@
 }
 
 func (g *Gate) deleteSession(ctx iris.Context) {
-	_, c, ok := g.open(ctx)
+	_, c, ok := g.verifySession(ctx)
 	if !ok {
 		return
 	}
@@ -195,15 +195,15 @@
 
 // postStream serves the requests of a session, one a line, in order, and answers each with a line.
 func (g *Gate) postStream(ctx iris.Context) {
-	s, first, ok := g.open(ctx)
+	s, first, ok := g.verifySession(ctx)
 	if !ok {
 		return
 	}
-	if r := g.work.enterStream(&g.opts.Limits); r != nil {
+	if r := g.inProgress.admitStream(&g.opts.Limits); r != nil {
 		reply(ctx, r)
 		return
 	}
-	defer g.work.leaveStream()
+	defer g.inProgress.streamDone()
 	out := ctx.ResponseWriter()
 	control := http.NewResponseController(out.Naive())
 	// Answers go out while requests come in.
@@ -215,6 +215,6 @@
 	ctx.Header("Connection", "close")
 	ctx.StatusCode(http.StatusOK)
 	out.Flush()
-	st := &stream{gate: g, session: s, template: *first, out: out, encoder: json.NewEncoder(out), control: control}
+	st := &stream{gate: g, session: s, template: *first, flusher: out, encoder: json.NewEncoder(out), control: control}
 	st.serve(ctx.Request())
 }
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -22,7 +22,7 @@
 // Reasons why a gate is not ready.
 var (
 	errStopping  = errors.New("gate is stopping")
-	errNoMember  = errors.New("gate is not a member of its zone")
+	errNotMember = errors.New("gate is not a member of its zone")
 	errNotAgreed = errors.New("gates of the zone have not yet agreed on their shares")
 )
 
@@ -33,17 +33,17 @@
 		g.log.Error("gate: connections are not divided for so many gates", zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
 	}
 	g.shares.SetTable(t, time.Now())
-	signal(g.kick)
-	signal(g.tables)
+	signal(g.wake)
+	signal(g.tableChanged)
 }
 
 // Ready gives the reason why the gate can't use the targets of its zone yet, or nil.
 func (g *Gate) Ready() error {
 	switch r := g.shares.Report(time.Now()); {
-	case g.work.isDraining():
+	case g.inProgress.isDraining():
 		return errStopping
 	case !r.Valid:
-		return errNoMember
+		return errNotMember
 	case r.Agreed == 0:
 		return errNotAgreed
 	}
@@ -54,14 +54,14 @@
 func (g *Gate) HandleConfirmation(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
 	now := time.Now()
 	g.shares.AddConfirmation(*c, now)
-	signal(g.kick)
+	signal(g.wake)
 	own := g.shares.Confirmation(now)
 	return &own, nil
 }
 
-// keepConfirming exchanges confirmations while the gates of the zone have not agreed on a table.
-func (g *Gate) keepConfirming() {
-	ctx, cancel := g.untilStop()
+// confirmLoop exchanges confirmations while the gates of the zone have not agreed on a table.
+func (g *Gate) confirmLoop() {
+	ctx, cancel := g.contextUntilStop()
 	defer cancel()
 	told := make(map[string]share.Confirmation)
 	t := time.NewTicker(confirmInterval)
@@ -71,7 +71,7 @@
 		case <-g.stop:
 			return
 		case <-t.C:
-		case <-g.tables:
+		case <-g.tableChanged:
 		}
 		g.confirm(ctx, told)
 	}
@@ -100,12 +100,12 @@
 		told[gate] = own
 		g.shares.AddConfirmation(*theirs, time.Now())
 	}
-	signal(g.kick)
+	signal(g.wake)
 }
 
-// sayLeft tells the siblings that nothing here uses a target any more, so that they take over this
+// announceLeave tells the siblings that nothing here uses a target any more, so that they take over this
 // gate's share as soon as the table lacks it.
-func (g *Gate) sayLeft() {
+func (g *Gate) announceLeave() {
 	if g.opts.Siblings.Confirm == nil {
 		return
 	}
@@ -119,10 +119,10 @@
 	}
 }
 
-// untilStop gives a context that ends with the gate.
-func (g *Gate) untilStop() (context.Context, context.CancelFunc) {
+// contextUntilStop gives a context that ends with the gate.
+func (g *Gate) contextUntilStop() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g.duties.Go(func() {
+	g.background.Go(func() {
 		select {
 		case <-g.stop:
 			cancel()
@@ -136,7 +136,7 @@
 func (g *Gate) HandleBorrow(_ context.Context, ask *share.LoanRequest) (*share.LoanReply, error) {
 	loans := g.shares.Lend(ask, time.Now())
 	for _, l := range loans.Loans {
-		g.meters.lent.Inc(int64(l.Slots))
+		g.metrics.lent.Inc(int64(l.Slots))
 	}
 	return &loans, nil
 }
@@ -144,38 +144,38 @@
 // AcceptReturn serves a sibling's return of loans.
 func (g *Gate) AcceptReturn(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
 	g.shares.AcceptReturn(r, time.Now())
-	signal(g.kick)
+	signal(g.wake)
 	return &share.LoanReturnReply{}, nil
 }
 
-// keepLoans borrows while checks wait and returns what is no longer needed.
-func (g *Gate) keepLoans() {
+// loanLoop borrows while checks wait and returns what is no longer needed.
+func (g *Gate) loanLoop() {
 	t := time.NewTicker(returnInterval)
 	defer t.Stop()
-	ctx, cancel := g.untilStop()
+	ctx, cancel := g.contextUntilStop()
 	defer cancel()
 	for {
 		select {
 		case <-g.stop:
 			return
 		case <-t.C:
-			g.giveBack(ctx)
+			g.returnIdleLoans(ctx)
 			g.renewLoans(ctx)
-		case <-g.need:
+		case <-g.borrowNeeded:
 			g.borrow(ctx)
 			select {
 			case <-g.stop:
 				return
 			case <-time.After(borrowInterval):
 			}
-			if g.turn() {
-				signal(g.need)
+			if g.serveAllWaiters() {
+				signal(g.borrowNeeded)
 			}
 		}
 	}
 }
 
-func (g *Gate) giveBack(ctx context.Context) {
+func (g *Gate) returnIdleLoans(ctx context.Context) {
 	for gate, r := range g.shares.ReturnIdle(time.Now()) {
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		if err := g.opts.Siblings.Return(in, gate, r); err != nil {
@@ -190,12 +190,12 @@
 // queue for new ones.
 func (g *Gate) renewLoans(ctx context.Context) {
 	for gate, ask := range g.shares.Renewals(time.Now()) {
-		g.ask(ctx, gate, ask)
+		g.requestLoan(ctx, gate, ask)
 	}
 }
 
-// ask asks one sibling and gives how many slots it lent.
-func (g *Gate) ask(ctx context.Context, gate string, ask *share.LoanRequest) int {
+// requestLoan asks one sibling and gives how many slots it lent.
+func (g *Gate) requestLoan(ctx context.Context, gate string, ask *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	asked := time.Now()
@@ -205,29 +205,29 @@
 		return 0
 	}
 	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
-	g.meters.borrowed.Inc(int64(n))
+	g.metrics.borrowed.Inc(int64(n))
 	return n
 }
 
 // borrow asks each sibling in turn for what the waiting checks need.
 func (g *Gate) borrow(ctx context.Context) {
-	for _, ask := range g.wants() {
+	for _, ask := range g.loanRequests() {
 		for _, gate := range g.shares.Peers() {
-			if ask.Want -= g.ask(ctx, gate, ask); ask.Want <= 0 {
+			if ask.Want -= g.requestLoan(ctx, gate, ask); ask.Want <= 0 {
 				break
 			}
 		}
-		signal(g.kick)
+		signal(g.wake)
 	}
 }
 
-// wants lists one request for each service whose checks wait.
-func (g *Gate) wants() []*share.LoanRequest {
+// loanRequests lists one request for each service whose checks wait.
+func (g *Gate) loanRequests() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var asks []*share.LoanRequest
 	for _, p := range g.pools {
-		if n := p.len(); n > 0 {
+		if n := p.waitingCount(); n > 0 {
 			asks = append(asks, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
 		}
 	}
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -26,7 +26,7 @@
 
 var errNotListed = errors.New("gate is not listed")
 
-func siblingsOverRPC(pool *rpc.Pool, address func(gate string) (string, bool)) SiblingClient {
+func newSiblingClient(pool *rpc.Pool, address func(gate string) (string, bool)) SiblingClient {
 	return SiblingClient{
 		Borrow: func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
 			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, ask)
--- a/gate/stream.go
+++ b/gate/stream.go
@@ -19,7 +19,7 @@
 	gate     *Gate
 	session  *session.Session
 	template Check
-	out      http.Flusher
+	flusher  http.Flusher
 	encoder  *json.Encoder
 	control  *http.ResponseController
 	// readErr is why the reading ended; it is set before the lines are closed.
@@ -33,34 +33,34 @@
 	ctx, cancel := context.WithCancel(r.Context())
 	var reading sync.WaitGroup
 	defer reading.Wait()
-	defer st.endReading()
+	defer st.unblockReader()
 	defer cancel()
-	reading.Go(func() { st.read(ctx, r, lines) })
+	reading.Go(func() { st.readLines(ctx, r, lines) })
 	for {
 		select {
-		case <-st.gate.work.moving:
-			st.move()
+		case <-st.gate.inProgress.moveStreams:
+			st.askToMove()
 			return
 		default:
 		}
 		select {
-		case <-st.gate.work.moving:
-			st.move()
+		case <-st.gate.inProgress.moveStreams:
+			st.askToMove()
 			return
 		case line, more := <-lines:
 			if !more {
-				st.explainEnd(ctx)
+				st.reportReadError(ctx)
 				return
 			}
-			if !st.answer(ctx, line) {
+			if !st.handleLine(ctx, line) {
 				return
 			}
 		}
 	}
 }
 
-// read hands the lines over; it ends with the body, at a line that is too long, or with ctx.
-func (st *stream) read(ctx context.Context, r *http.Request, lines chan<- []byte) {
+// readLines hands the lines over; it ends with the body, at a line that is too long, or with ctx.
+func (st *stream) readLines(ctx context.Context, r *http.Request, lines chan<- []byte) {
 	defer close(lines)
 	limit := int(st.gate.opts.Limits.BodyBytes)*4/3 + streamLineExtra
 	scanner := bufio.NewScanner(r.Body)
@@ -76,8 +76,8 @@
 	st.readErr = scanner.Err()
 }
 
-// explainEnd tells the caller of a line that could not be read.
-func (st *stream) explainEnd(ctx context.Context) {
+// reportReadError tells the caller of a line that could not be read.
+func (st *stream) reportReadError(ctx context.Context) {
 	if st.readErr == nil || ctx.Err() != nil {
 		return
 	}
@@ -86,21 +86,21 @@
 	st.send(&Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
 }
 
-// endReading wakes a read that waits for the caller's next line.
-func (st *stream) endReading() { _ = st.control.SetReadDeadline(time.Now()) }
+// unblockReader wakes a read that waits for the caller's next line.
+func (st *stream) unblockReader() { _ = st.control.SetReadDeadline(time.Now()) }
 
-func (st *stream) answer(ctx context.Context, raw []byte) bool {
-	c, l := st.parse(raw)
+func (st *stream) handleLine(ctx context.Context, raw []byte) bool {
+	c, l := st.parseLine(raw)
 	if len(l) > 0 {
 		return st.send(&Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
 	}
 	r := st.gate.traceCheck(ctx, c, st.gate.perform)
-	body := bodyOf(r)
-	body.Token = st.gate.renewed(st.session)
+	body := responseBody(r)
+	body.Token = st.gate.renewToken(st.session)
 	return st.send(body)
 }
 
-func (st *stream) parse(raw []byte) (*Check, finding.List) {
+func (st *stream) parseLine(raw []byte) (*Check, finding.List) {
 	var in StreamRequest
 	c := st.template
 	check := func(l *finding.List) {
@@ -118,17 +118,17 @@
 		checkNames(&c, l)
 	}
 	if err := setting.Decode(raw, &in, check); err != nil {
-		return nil, findings(err)
+		return nil, findingsOf(err)
 	}
 	c.Key, c.Body, c.Repeatable = in.Key, in.Body, in.Repeatable
 	c.Deadline = setting.Millis(in.DeadlineMillis)
 	return &c, nil
 }
 
-// move asks the caller to go on elsewhere. The token is what another gate needs.
-func (st *stream) move() {
+// askToMove asks the caller to go on elsewhere. The token is what another gate needs.
+func (st *stream) askToMove() {
 	s := *st.session
-	token, err := st.gate.token(&s)
+	token, err := st.gate.issueToken(&s)
 	if err == nil {
 		st.send(&Body{Outcome: job.NotRun, Reason: reasonMove, Token: token, Move: true})
 	}
@@ -139,6 +139,6 @@
 	if st.encoder.Encode(b) != nil {
 		return false
 	}
-	st.out.Flush()
+	st.flusher.Flush()
 	return true
 }
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -19,19 +19,19 @@
 	"turmericgap/share"
 )
 
-// zone is several gates before the same targets. Heartbeats and loans go by direct calls.
-type zone struct {
-	*fakes
+// testZone is several gates before the same targets. Heartbeats and loans go by direct calls.
+type testZone struct {
+	*fakeTargets
 	mu    sync.Mutex
 	gates map[string]*Gate
 	// most is the greatest number of requests that one target had at once.
-	now  map[string]int
-	most int
+	current       map[string]int
+	maxConcurrent int
 }
 
-func newZone(targets, slots int, run time.Duration, gates ...string) *zone {
-	z := &zone{gates: make(map[string]*Gate), now: make(map[string]int)}
-	z.fakes = newFakes(targets, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
+func newTestZone(targets, slots int, run time.Duration, gates ...string) *testZone {
+	z := &testZone{gates: make(map[string]*Gate), current: make(map[string]int)}
+	z.fakeTargets = newFakeTargets(targets, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
 		z.count(id, 1)
 		defer z.count(id, -1)
 		select {
@@ -45,28 +45,28 @@
 		z.infos[i].Slots = slots
 	}
 	for _, id := range gates {
-		z.gates[id] = z.gate(ID(id), listed, direct(z.gates, 0))
+		z.gates[id] = z.newGate(ID(id), alwaysMember, directSiblings(z.gates, 0))
 	}
-	z.table(1, gates...)
+	z.setTable(1, gates...)
 	time.Sleep(20 * time.Second) // A new zone waits for the last requests of gates before it.
 	return z
 }
 
-func (z *zone) count(id string, n int) {
+func (z *testZone) count(id string, n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.now[id] += n
-	z.most = max(z.most, z.now[id])
+	z.current[id] += n
+	z.maxConcurrent = max(z.maxConcurrent, z.current[id])
 }
 
-func (z *zone) peak() int {
+func (z *testZone) peak() int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.most
+	return z.maxConcurrent
 }
 
-// direct gives the siblings among some gates, reached by calls that take a while.
-func direct(gates map[string]*Gate, takes time.Duration) Option {
+// directSiblings gives the siblings among some gates, reached by calls that take a while.
+func directSiblings(gates map[string]*Gate, takes time.Duration) Option {
 	return Siblings(SiblingClient{
 		func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
 			time.Sleep(takes)
@@ -82,15 +82,15 @@
 	})
 }
 
-var listed = Member(func() bool { return true }, func() int64 { return 1 })
+var alwaysMember = Member(func() bool { return true }, func() int64 { return 1 })
 
-func (z *zone) table(version int64, gates ...string) {
+func (z *testZone) setTable(version int64, gates ...string) {
 	for _, id := range gates {
 		z.gates[id].SetTable(share.Table{Version: version, Gates: gates})
 	}
 }
 
-func (z *zone) close() {
+func (z *testZone) close() {
 	for _, g := range z.gates {
 		g.Close()
 	}
@@ -102,7 +102,7 @@
 func TestIdleShareReachesBusyGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newZone(10, 8, 100*time.Millisecond, "g1", "g2", "g3")
+		z := newTestZone(10, 8, 100*time.Millisecond, "g1", "g2", "g3")
 		defer z.close()
 		for _, g := range []string{"g2", "g3"} {
 			// The siblings have a little to do too.
@@ -136,11 +136,11 @@
 func TestNoShareWithoutMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return whole1(ctx, r)
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+			return wholeAnswer(ctx, r)
 		})
 		member := true
-		g := f.gate(Member(func() bool { return member }, func() int64 { return 1 }))
+		g := f.newGate(Member(func() bool { return member }, func() int64 { return 1 }))
 		defer g.Close()
 		g.SetTable(share.Table{Version: 1, Gates: []string{"g1"}})
 		is.Equal(g.Ready(), errNotAgreed)
@@ -148,7 +148,7 @@
 		is.NoErr(g.Ready())
 		is.Equal(g.Do(context.Background(), &Check{Service: "desk"}).Outcome, job.Done)
 		member = false
-		is.Equal(g.Ready(), errNoMember)
+		is.Equal(g.Ready(), errNotMember)
 		start := time.Now()
 		r := g.Do(context.Background(), &Check{Service: "desk"})
 		is.Equal(r.Outcome, job.NotRun)
@@ -186,13 +186,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFakes(2, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-					return whole1(ctx, r)
+				f := newFakeTargets(2, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+					return wholeAnswer(ctx, r)
 				})
 				f.infos[0].Zone = "z2"
 				f.infos[1].Leaving = !c.local
 				reached := 0
-				g := f.gate(Peers(func(string) []string { return []string{"10.0.0.2:1", "10.0.0.3:1"} },
+				g := f.newGate(Peers(func(string) []string { return []string{"10.0.0.2:1", "10.0.0.3:1"} },
 					func(_ context.Context, _ string, in *Check) (*Result, error) {
 						is.True(in.Forwarded)
 						reached++
@@ -218,13 +218,13 @@
 			go servers[address].ServeConn(far)
 			return near, nil
 		}))
-		z := newZone(1, 8, time.Second)
+		z := newTestZone(1, 8, time.Second)
 		reach := OverRPC(pool, func(gate string) (string, bool) { return gate, true }, func(string) []string { return []string{"g1"} })
 		for id, zone := range map[string]string{"g1": "z1", "g2": "z1", "g3": "z2"} {
-			z.gates[id] = z.gate(ID(id), Zone(zone), listed, reach)
+			z.gates[id] = z.newGate(ID(id), Zone(zone), alwaysMember, reach)
 			z.gates[id].Register(servers[id])
 		}
-		z.table(1, "g1", "g2")
+		z.setTable(1, "g1", "g2")
 		time.Sleep(20 * time.Second)
 		results := make(chan *Result, 7)
 		for range 6 {
@@ -242,7 +242,7 @@
 		}
 		time.Sleep(3 * time.Second) // What was borrowed is returned.
 		is.Equal(z.gates["g2"].Drain(time.Now()), 0)
-		z.table(2, "g1")
+		z.setTable(2, "g1")
 		is.Equal(z.gates["g1"].Status().Shares.Agreed, int64(2)) // It has left, and need not be waited for.
 		z.close()
 		pool.Close()
