--- a/gate/api.go
+++ b/gate/api.go
@@ -20,7 +20,7 @@
 	"turmericgap/job"
 )
 
-// The headers of the API.
+// HTTP headers of the API.
 const (
 	HeaderKey        = "Idempotency-Key"
 	HeaderDeadline   = "Turmericgap-Deadline-Millis"
@@ -32,19 +32,19 @@
 	reasonInvalid = "request is not valid"
 )
 
-// Body is the answer to every request that has an outcome.
+// Body is the JSON reply to a check, a session request or a failed job call.
 type Body struct {
 	Outcome job.Outcome `json:"outcome"`
 	Reason  string      `json:"reason,omitempty"`
 	Answer  *job.Answer `json:"answer,omitempty"`
-	// RetryAfterMillis is when to try again; it is left out when no time is known.
+	// RetryAfterMillis is the delay before the next try; it is omitted if no delay is known.
 	RetryAfterMillis int64        `json:"retryAfterMillis,omitempty"`
 	Attempts         int          `json:"attempts,omitempty"`
 	Target           string       `json:"target,omitempty"`
 	Findings         finding.List `json:"findings,omitempty"`
-	// Token goes on with the session, at this gate or any other.
+	// Token is the renewed session token, which any gate accepts.
 	Token string `json:"token,omitempty"`
-	// Move asks the caller to go on with Token on a new connection.
+	// Move tells the caller to open a new connection and continue the session there with Token.
 	Move bool `json:"move,omitempty"`
 }
 
@@ -66,13 +66,13 @@
 		writeJSON(ctx, http.StatusNotFound, &Body{Outcome: job.NotRun, Reason: "no such path"})
 	})
 	if err := app.Build(); err != nil {
-		// The routes are fixed, so that only a fault of the program ends here.
+		// The routes are constants, so Build fails only because of a programming error.
 		panic(err)
 	}
 	return app
 }
 
-// Serve answers callers on l until Close or Stop ends the gate.
+// Serve handles HTTP connections of l until Close is called.
 func (g *Gate) Serve(l net.Listener) error {
 	limits := &g.opts.Limits
 	server := &http.Server{
@@ -90,7 +90,7 @@
 	return err
 }
 
-// traceRequest starts the span of a request under the caller's own.
+// traceRequest starts the server span of a request as a child of the caller's span.
 func (g *Gate) traceRequest(ctx iris.Context) {
 	r := ctx.Request()
 	parent := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
@@ -99,13 +99,14 @@
 	defer span.End()
 	ctx.ResetRequest(r.WithContext(in))
 	if g.inProgress.isDraining() {
-		// The balancer in front must open its next connection to another gate.
+		// Closing the connection makes the load balancer open its next one to another gate.
 		ctx.Header("Connection", "close")
 	}
 	ctx.Next()
 }
 
-// readBody gives the body of a request, with a finding where it is too long or does not arrive.
+// readBody reads the request body within limit and the read timeout, and adds a finding if that
+// fails.
 func (g *Gate) readBody(ctx iris.Context, limit int64, l *finding.List) []byte {
 	w := ctx.ResponseWriter().Naive()
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.opts.Limits.ReadTimeout))
@@ -121,7 +122,8 @@
 	return raw
 }
 
-// reserveBody makes room for the body of a request, or answers that there is none; it gives what to drop.
+// reserveBody reserves memory for the body of a request and returns the number of bytes to release.
+// If the memory budget is exhausted it replies to the caller and returns false.
 func (g *Gate) reserveBody(ctx iris.Context) (int64, bool) {
 	size := ctx.Request().ContentLength
 	if size < 0 || size > g.opts.Limits.BodyBytes {
@@ -162,7 +164,8 @@
 	}
 }
 
-// readHeaders takes the headers that say how a check is to be treated.
+// readHeaders parses the idempotency key, the deadline, the repeatable flag and the zone of a
+// check.
 func (g *Gate) readHeaders(ctx iris.Context, c *Check, l *finding.List) {
 	c.Key = ctx.GetHeader(HeaderKey)
 	if len(c.Key) > job.MaxKeyBytes {
@@ -170,8 +173,8 @@
 	}
 	if v := ctx.GetHeader(HeaderDeadline); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
-		if most := g.opts.Limits.MaxTimeout.Milliseconds(); err != nil || n < 1 || n > most {
-			l.Add(HeaderDeadline, "must be a whole number from 1 to %d", most)
+		if limit := g.opts.Limits.MaxTimeout.Milliseconds(); err != nil || n < 1 || n > limit {
+			l.Add(HeaderDeadline, "must be a whole number from 1 to %d", limit)
 		}
 		c.Deadline = time.Duration(n) * time.Millisecond
 	}
@@ -216,7 +219,7 @@
 	writeJSON(ctx, httpStatus(r), responseBody(r))
 }
 
-// setRetryAfter sets the header, in whole seconds as HTTP wants it, rounded up.
+// setRetryAfter sets the Retry-After header, which HTTP defines in whole seconds, rounded up.
 func setRetryAfter(ctx iris.Context, d time.Duration) {
 	if d > 0 {
 		ctx.Header("Retry-After", strconv.Itoa(int(math.Ceil(d.Seconds()))))
@@ -229,7 +232,8 @@
 		ctx.StatusCode(http.StatusInternalServerError)
 		return
 	}
-	// A caller that does not read must not hold the connection and its memory for ever.
+	// Without a write deadline, a caller that does not read would hold the connection and its
+	// memory forever.
 	_ = http.NewResponseController(ctx.ResponseWriter().Naive()).SetWriteDeadline(time.Now().Add(DefaultReadTimeout))
 	ctx.ContentType("application/json")
 	ctx.StatusCode(status)
--- a/gate/api_test.go
+++ b/gate/api_test.go
@@ -26,7 +26,7 @@
 	"turmericgap/standin/golden"
 )
 
-// jobOwner answers for the jobOwner of jobs; the job's key or id names what it does.
+// jobOwner simulates the owner of jobs; the job's key or ID selects the reply.
 func jobOwner(_ context.Context, id string) (*job.Status, error) {
 	switch id {
 	case "invalid":
@@ -103,7 +103,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			if r.Method == "lost" {
-				return lost(ctx, r)
+				return connectionLost(ctx, r)
 			}
 			return answer(r, string(r.Body)), nil
 		})
@@ -139,7 +139,8 @@
 	})
 }
 
-// The operator sees each hop of a check as a span of the caller's own trace.
+// Guards against hops of a check that are missing in the caller's trace: every hop must add a span
+// to the trace of the traceparent header.
 func TestTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	before := otel.GetTracerProvider()
@@ -168,7 +169,8 @@
 	is.True(strings.HasPrefix(parent, "00-0af7651916cd43dd8448eb211c80319c-"))
 }
 
-// The callers of a gate that holds as much as it may are told so before their bodies are read.
+// Guards against running out of memory under large bodies: when the body budget is exhausted, a
+// request must be rejected before its body is read.
 func TestHeldBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,7 +194,7 @@
 	})
 }
 
-// No body or header may make the gate fail, or give an answer without an outcome.
+// Guards against bodies and headers that crash the gate or get a reply without an outcome.
 func FuzzAPI(f *testing.F) {
 	fakes := newFakeTargets(1, echo)
 	g := fakes.newGate(JobOwner(jobClient()), SessionKeys(sessionKey))
--- a/gate/doc.go
+++ b/gate/doc.go
@@ -1,3 +1,3 @@
-// Package gate faces the callers: it routes checks, sessions and jobs, bounds what waits, retries
-// within a budget, and gives every request one of the three final outcomes.
+// Package gate serves the callers of the cell over HTTP. It routes checks, sessions and jobs,
+// limits its queues, retries within a budget, and ends every request as done, not run or unknown.
 package gate
--- a/gate/finish.go
+++ b/gate/finish.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// finishAttempt learns from an attempt and gives its slot back. A request that was given up may work on
-// in its target; its slot stays taken until the deadline that the target was told has passed.
+// finishAttempt records the outcome of an attempt and releases its slot. The target may still work
+// on a request that was given up, so its slot is released only after the deadline sent to the
+// target.
 func (g *Gate) finishAttempt(t *ticket, a *attempt) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// The pool of the ticket: the list may have lost the service, or have it anew, since then.
+	// The ticket's own pool is used because the service may have left the target list meanwhile, or
+	// have come back with a new pool.
 	p := t.pool
-	took := now.Sub(t.grantedAt)
-	p.balancer.RecordOutcome(t.info.ID, a.outcome, took, now)
+	elapsed := now.Sub(t.grantedAt)
+	p.balancer.RecordOutcome(t.info.ID, a.outcome, elapsed, now)
 	if a.leaving {
 		p.balancer.MarkLeaving(t.info.ID)
 	}
 	if a.state != notStarted {
-		p.observeRunTime(took)
+		p.addRunTime(elapsed)
 	}
 	if a.state == mayHaveRun && now.Before(a.occupiedUntil) {
 		time.AfterFunc(a.occupiedUntil.Sub(now), func() {
--- a/gate/forward.go
+++ b/gate/forward.go
@@ -16,11 +16,11 @@
 	"turmericgap/rpc"
 )
 
-// maxPeersTried bounds the gates of one zone that a check is offered to.
+// maxPeersTried limits the gates of one zone to which a check is sent.
 const maxPeersTried = 2
 
-// route tries the preferred zone, then this one, then others, and goes on only while nothing of
-// the check was started and the zone has no usable target.
+// route tries the preferred zone, then its own zone, then the others. It tries the next zone only
+// while the check has not been sent and the zone has no usable target.
 func (g *Gate) route(ctx context.Context, cl *call) *Result {
 	if cl.check.Forwarded {
 		return g.run(ctx, cl)
@@ -39,8 +39,8 @@
 	return r
 }
 
-// zoneOrder lists the zones to try. Another zone is preferred only for a reason, as its targets are
-// farther away.
+// zoneOrder returns the zones to try: the preferred zone of the check, then the gate's own zone, then
+// the others, whose targets are farther away.
 func (g *Gate) zoneOrder(cl *call) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,13 +72,14 @@
 	return zones
 }
 
-// forward hands a check to a gate of another zone.
+// forward sends a check to a gate of another zone.
 func (g *Gate) forward(ctx context.Context, cl *call, zone string) *Result {
 	peers := slices.Clone(g.opts.Peers(zone))
 	r := notRun("no gate of zone "+zone+" reached", noTargetRetry)
 	start := int(g.sequence.Add(1) % math.MaxInt32)
 	if cl.check.Session != "" {
-		// All requests of a session pass the same gate while it lives, which keeps their order.
+		// All requests of a session go through the same gate while it is alive, which keeps their
+		// order.
 		slices.Sort(peers)
 		start = int(xxhash.Sum64String(cl.check.Session) % math.MaxInt32)
 	}
@@ -91,7 +92,7 @@
 	return r
 }
 
-// forwardTo reports with its result whether another gate may be tried.
+// forwardTo sends a check to one gate and reports whether another gate may be tried.
 func (g *Gate) forwardTo(ctx context.Context, cl *call, address string) (*Result, bool) {
 	ctx, span := otel.Tracer(tracerName).Start(ctx, "forward",
 		trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(attribute.String("peer", address)))
@@ -116,7 +117,7 @@
 	return cl.finish(notRun("no answer from gate "+address, 0)), false
 }
 
-// HandleForwarded serves a check that another zone's gate sent here.
+// HandleForwarded handles a check forwarded by a gate of another zone.
 func (g *Gate) HandleForwarded(ctx context.Context, c *Check) (*Result, error) {
 	in := *c
 	in.Forwarded = true
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -44,11 +44,11 @@
 	refreshInterval = 100 * time.Millisecond
 	serveInterval   = 10 * time.Millisecond
 	sessionKeyBytes = 32
-	// clockDriftDivisor is how much of a loan's life, one in so many, its lender adds for the drift of clocks.
+	// clockDriftDivisor divides the TTL of a loan; the lender adds the quotient for clock drift.
 	clockDriftDivisor = 20
 )
 
-// Gate faces the callers of one entry VM.
+// Gate is the caller-facing front end on one entry VM.
 type Gate struct {
 	opts     Options
 	log      *zap.Logger
@@ -63,7 +63,7 @@
 	mu           sync.Mutex
 	pools        map[string]*pool
 	serviceZones map[string][]string
-	// targetZones gives the zone of each listed target.
+	// targetZones maps the ID of each listed target to its zone.
 	targetZones   map[string]string
 	sessionQueues map[string]*sessionQueue
 
@@ -76,7 +76,7 @@
 	background   sync.WaitGroup
 }
 
-// New returns a Gate that serves at once; Close ends it.
+// New returns a running Gate; Close stops it.
 func New(opts ...Option) *Gate {
 	o := defaults()
 	for _, f := range opts {
@@ -101,23 +101,25 @@
 	return g
 }
 
-// newAllocator makes the holder of this gate's shares. A loan lives for two thirds of the longest
-// deadline, so that most checks fit into it; a removed gate's last requests and loans have ended when
-// the longest of both is over.
+// newAllocator returns the allocator of this gate's slot shares. A loan lasts two thirds of the
+// longest deadline, so most checks fit into it. The removal grace period is long enough for the
+// last requests and loans of a removed gate to end.
 func newAllocator(o *Options) *share.Allocator {
 	if o.Valid != nil {
-		life := o.Limits.MaxTimeout * 2 / 3
-		drift := life / clockDriftDivisor
-		settle := max(o.Limits.MaxTimeout+o.Limits.Grace, life+drift)
-		return share.New(o.ID, share.RemovalGrace(settle), share.LoanTTL(life, drift), share.Valid(o.Valid), share.MemberSince(o.MemberSince))
+		ttl := o.Limits.MaxTimeout * 2 / 3
+		drift := ttl / clockDriftDivisor
+		grace := max(o.Limits.MaxTimeout+o.Limits.Grace, ttl+drift)
+		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift),
+			share.Valid(o.Valid), share.MemberSince(o.MemberSince))
 	}
-	// Alone in its zone, with nobody before it, it has nothing to wait for.
+	// A single gate of a zone has no peers to wait for.
 	h := share.New(o.ID, share.RemovalGrace(0))
 	h.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
 	return h
 }
 
-// newSigner makes a key of its own where the settings give none; no other gate then knows it.
+// newSigner returns the signer of session tokens. If no keys are configured it generates one, which
+// no other gate knows.
 func newSigner(keys [][]byte) *session.Signer {
 	if len(keys) == 0 {
 		key := make([]byte, sessionKeyBytes)
@@ -137,7 +139,8 @@
 		Limits: Limits{
 			Timeout: DefaultTimeout, MaxTimeout: DefaultMaxTimeout, Queue: DefaultQueue,
 			Retries: DefaultRetries, Grace: DefaultGrace, Checks: DefaultChecks,
-			Streams: DefaultStreams, BufferedBytes: DefaultBufferedBytes, Pipelined: DefaultPipelined, SessionTTL: session.DefaultTTL,
+			Streams: DefaultStreams, BufferedBytes: DefaultBufferedBytes, Pipelined: DefaultPipelined,
+			SessionTTL:  session.DefaultTTL,
 			Connections: DefaultConnections, BodyBytes: DefaultBodyBytes, HeaderBytes: DefaultHeaderBytes,
 			ReadTimeout: DefaultReadTimeout, IdleTimeout: DefaultIdleTimeout,
 		},
@@ -150,10 +153,10 @@
 	}}
 }
 
-// Handler gives the HTTP API.
+// Handler returns the HTTP API.
 func (g *Gate) Handler() http.Handler { return g.handler }
 
-// Do runs a check and gives its final state.
+// Do runs a check and returns its final outcome.
 func (g *Gate) Do(ctx context.Context, c *Check) *Result {
 	return g.traceCheck(ctx, c, g.admitAndPerform)
 }
@@ -169,7 +172,7 @@
 	return r
 }
 
-// admitAndPerform performs a check unless the gate is full or stopping.
+// admitAndPerform runs a check unless the gate is full or stopping.
 func (g *Gate) admitAndPerform(ctx context.Context, c *Check) *Result {
 	if r := g.inProgress.admitCheck(g.opts.Limits.Checks); r != nil {
 		return r
@@ -191,22 +194,24 @@
 	return g.route(ctx, call)
 }
 
-// call is one check on its way through this gate.
+// call is the state of one check in this gate.
 type call struct {
 	check    Check
 	deadline time.Time
 	zone     string
 	retries  int
 	queue    int
-	// attempts counts the requests that were sent, tries also those that came to nothing before.
+	// attempts counts the requests sent to targets; tries also counts those that failed before
+	// sending.
 	attempts int
 	tries    int
-	// mayHaveRun says that an attempt may have run; the check is then never called notRun.
+	// mayHaveRun reports that an attempt may have run; the outcome of the check is then never
+	// NotRun.
 	mayHaveRun bool
 	avoid      string
 }
 
-// applyRules asks the rules and applies the limits.
+// applyRules evaluates the rules for a check and applies the limits.
 func (g *Gate) applyRules(c *Check) (*call, *Result) {
 	d := g.opts.Rules(c)
 	if d.RefusalReason != "" {
@@ -214,8 +219,8 @@
 	}
 	l := &g.opts.Limits
 	cl := &call{check: *c, zone: c.Zone, retries: l.Retries, queue: l.Queue}
-	// A session stays where it is, and what another gate has decided is not decided anew.
-	if free := c.Target == "" && !c.Forwarded; free && d.Service != "" {
+	// A session stays with its service, and a forwarded check keeps the decision of the first gate.
+	if movable := c.Target == "" && !c.Forwarded; movable && d.Service != "" {
 		cl.check.Service = d.Service
 	}
 	if c.Target == "" && d.Zone != "" {
@@ -227,17 +232,17 @@
 	if d.Queue != 0 {
 		cl.queue = max(0, d.Queue)
 	}
-	left := c.Deadline
-	if left <= 0 {
-		left = l.Timeout
+	remaining := c.Deadline
+	if remaining <= 0 {
+		remaining = l.Timeout
 	}
-	left = min(left, l.MaxTimeout)
+	remaining = min(remaining, l.MaxTimeout)
 	if d.Timeout > 0 {
-		left = min(left, d.Timeout)
+		remaining = min(remaining, d.Timeout)
 	}
-	cl.deadline = time.Now().Add(left)
+	cl.deadline = time.Now().Add(remaining)
 	if cl.check.Key == "" {
-		// All attempts of a check bear one key, so that a target that sees a retry gives its first answer.
+		// All attempts share one key, so a target that receives a retry repeats its first answer.
 		cl.check.Key = g.nextID("key")
 	}
 	return cl, nil
@@ -251,7 +256,7 @@
 	return &Result{Outcome: job.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// pollTargets follows the list of targets.
+// pollTargets refreshes the list of targets periodically.
 func (g *Gate) pollTargets() {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
@@ -265,7 +270,8 @@
 	}
 }
 
-// serveLoop serves waiters whose turn comes with time alone: by a probe, a pause or a loan.
+// serveLoop retries waiters that can be served later without a new event: after a probe becomes
+// due, a busy backoff ends or a loan arrives.
 func (g *Gate) serveLoop() {
 	for {
 		select {
@@ -283,7 +289,7 @@
 	}
 }
 
-// Close ends the gate's duties; requests in progress are not waited for.
+// Close stops the gate's background work without waiting for requests in progress.
 func (g *Gate) Close() {
 	g.stopOnce.Do(func() { close(g.stop) })
 	g.background.Wait()
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -17,7 +17,7 @@
 	"turmericgap/job"
 )
 
-// fakeTargets is a set of targets whose behaviour is one function.
+// fakeTargets is a set of targets that share one implementation.
 type fakeTargets struct {
 	mu    sync.Mutex
 	infos []target.Info
@@ -47,7 +47,8 @@
 	return f.infos
 }
 
-// updateInfos gives each target to keep, which may updateInfos it, and lists those for which it returns true.
+// updateInfos calls keep for each target, which may modify it, and keeps those for which it returns
+// true.
 func (f *fakeTargets) updateInfos(keep func(*target.Info) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 	return &target.Response{ID: r.ID, Answer: job.NewAnswer(0, []byte(body))}
 }
 
-// script is what the targets do at the first, second, and each later call.
+// script lists what the targets do at the first, the second and each later call.
 type script []func(ctx context.Context, r *target.Request) (*target.Response, error)
 
 func (s script) step(n int64) func(context.Context, *target.Request) (*target.Response, error) {
@@ -92,31 +93,30 @@
 	return &target.Response{ID: r.ID, Busy: true}, nil
 }
 
-func lost(context.Context, *target.Request) (*target.Response, error) {
+func connectionLost(context.Context, *target.Request) (*target.Response, error) {
 	return nil, errors.New("connection cut")
 }
 
-func late(context.Context, *target.Request) (*target.Response, error) {
+func staleAnswer(context.Context, *target.Request) (*target.Response, error) {
 	return answer(&target.Request{ID: "an earlier try"}, "other seat"), nil
 }
 
-func cut(_ context.Context, r *target.Request) (*target.Response, error) {
+func truncated(_ context.Context, r *target.Request) (*target.Response, error) {
 	a := answer(r, "seat taken")
 	a.Answer.Body = a.Answer.Body[:4]
 	return a, nil
 }
 
-func empty(context.Context, *target.Request) (*target.Response, error) { return nil, nil }
+func noResponse(context.Context, *target.Request) (*target.Response, error) { return nil, nil }
 
 func hang(ctx context.Context, _ *target.Request) (*target.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// The caller sees one of three outcomes, and it is true.
-// Targets refuse, are busy, cut the connection, hang, or give a cut answer or that of another try.
-// What surely did not run may go to another target; what may have run goes there only if it is
-// repeatable, and is never called notRun after that, whatever the later tries say.
+// Guards against a wrong outcome after an attempt fails, hangs, or returns a truncated answer or
+// that of another attempt. A check that did not run may go to another target. A check that may have
+// run is retried only if it is repeatable, and is never reported as NotRun afterwards.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -131,15 +131,15 @@
 		{"busy, then whole", script{busy, wholeAnswer}, false, job.Done, 2},
 		{"never reached", script{notSent}, false, job.NotRun, 3},
 		{"always busy", script{busy}, true, job.NotRun, 3},
-		{"answer lost", script{lost, wholeAnswer}, false, job.Unknown, 1},
-		{"answer lost, repeatable", script{lost, wholeAnswer}, true, job.Done, 2},
-		{"lost, then never reached", script{lost, notSent}, true, job.Unknown, 3},
-		{"refused, then lost", script{refused, lost, wholeAnswer}, false, job.Unknown, 2},
-		{"answer of another try", script{late, wholeAnswer}, false, job.Unknown, 1},
-		{"answer of another try, repeatable", script{late, wholeAnswer}, true, job.Done, 2},
-		{"cut answer", script{cut, wholeAnswer}, false, job.Unknown, 1},
-		{"cut answer, repeatable", script{cut, wholeAnswer}, true, job.Done, 2},
-		{"no answer at all", script{empty, wholeAnswer}, false, job.Unknown, 1},
+		{"answer lost", script{connectionLost, wholeAnswer}, false, job.Unknown, 1},
+		{"answer lost, repeatable", script{connectionLost, wholeAnswer}, true, job.Done, 2},
+		{"lost, then never reached", script{connectionLost, notSent}, true, job.Unknown, 3},
+		{"refused, then lost", script{refused, connectionLost, wholeAnswer}, false, job.Unknown, 2},
+		{"answer of another try", script{staleAnswer, wholeAnswer}, false, job.Unknown, 1},
+		{"answer of another try, repeatable", script{staleAnswer, wholeAnswer}, true, job.Done, 2},
+		{"cut answer", script{truncated, wholeAnswer}, false, job.Unknown, 1},
+		{"cut answer, repeatable", script{truncated, wholeAnswer}, true, job.Done, 2},
+		{"no answer at all", script{noResponse, wholeAnswer}, false, job.Unknown, 1},
 		{"hangs", script{hang, wholeAnswer}, false, job.Unknown, 1},
 		{"hangs, repeatable", script{hang, wholeAnswer}, true, job.Done, 2},
 		{"always hangs, repeatable", script{hang}, true, job.Unknown, 3},
@@ -167,8 +167,8 @@
 	}
 }
 
-// The caller's check that has no time left must end, and must not use up the retries of others.
-// It gets its slot a moment before its deadline, when it is too late to send.
+// Guards against a check that uses up the retry budget of others when it gets its slot a moment
+// before its deadline, too late to be sent.
 func TestNoTimeLeftIsNoRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -186,7 +186,8 @@
 	})
 }
 
-// The slots of a target must come back although the list loses it while it works, and shows it again.
+// Guards against leaked slots when a target leaves the list while it serves a request and then
+// returns.
 func TestSlotSurvivesList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -211,19 +212,19 @@
 	})
 }
 
-// The caller hangs up.
-// Its check is at a target, which must hear of it; another check waits in the queue, and must leave
-// it without ever being sent. The slot of the first stays taken until the target has surely stopped.
+// Guards against work for a caller that has hung up: its running check must be canceled at the
+// target and its queued check must never be sent. The slot of the running check stays taken until
+// its deadline has passed at the target.
 func TestCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		told := 0
+		canceled := 0
 		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			if string(r.Body) != "hang" {
 				return answer(r, "seat"), nil
 			}
 			<-ctx.Done()
-			told++
+			canceled++
 			return nil, ctx.Err()
 		})
 		f.infos[0].Slots = 1
@@ -241,7 +242,7 @@
 		outcomes := []job.Outcome{(<-results).Outcome, (<-results).Outcome}
 		slices.Sort(outcomes)
 		is.Equal(outcomes, []job.Outcome{job.NotRun, job.Unknown})
-		is.Equal(told, 1)
+		is.Equal(canceled, 1)
 		start := time.Now()
 		r := g.Do(context.Background(), &Check{Service: "desk", Deadline: 10 * time.Second})
 		is.Equal(r.Outcome, job.Done)
@@ -249,9 +250,9 @@
 	})
 }
 
-// The caller is told at once that its check can't be run in time.
-// One slot works 100 ms on each check; 50 callers with 1 s each come at once. About ten can be
-// served; the rest must not wait for nothing, and hear when the queue will have drained.
+// Guards against checks that wait in a queue without a chance to run. One slot takes 100 ms per
+// check, and 50 callers with a deadline of 1 s arrive at once. About ten can be served; the others
+// must be rejected at once with the time in which the queue drains.
 func TestShedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -262,7 +263,7 @@
 		f.infos[0].Slots = 1
 		g := f.newGate()
 		defer g.Close()
-		for range 100 { // The gate learns how long a check takes.
+		for range 100 { // The gate learns the run time of a check.
 			g.Do(context.Background(), &Check{Service: "desk"})
 		}
 		start := time.Now()
@@ -291,13 +292,13 @@
 	})
 }
 
-// The targets fail for everyone, and callers' repeatable checks are retried.
-// Without a budget each check would be sent three times, which keeps the targets down.
+// Guards against retries that keep failed targets overloaded. Without a retry budget each
+// repeatable check would be sent three times.
 func TestOutageIsNotMultiplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeTargets(10, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return lost(ctx, r)
+			return connectionLost(ctx, r)
 		})
 		g := f.newGate(Limit(func(l *Limits) { l.Grace = 0 }))
 		defer g.Close()
--- a/gate/inprogress.go
+++ b/gate/inprogress.go
@@ -11,97 +11,97 @@
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// inProgress counts what is in progress, so that a planned stop can finish it.
+// inProgress counts requests in progress, so that a graceful stop can wait for them.
 type inProgress struct {
 	mu      sync.Mutex
 	checks  int
 	streams int
-	// bodyBytes is what the bodies of requests in progress may take up.
+	// bodyBytes is the memory reserved for request bodies.
 	bodyBytes int64
 	draining  bool
-	// moveStreams is closed when streams are asked to go on at another gate.
+	// moveStreams is closed to ask streams to continue at another gate.
 	moveStreams chan struct{}
 }
 
-// admitCheck admits one check, or gives the reason against it.
-func (w *inProgress) admitCheck(limit int) *Result {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.draining {
+// admitCheck admits one check, or returns the result that rejects it.
+func (p *inProgress) admitCheck(limit int) *Result {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.draining {
 		return notRun("gate is stopping", drainRetryAfter)
 	}
-	if w.checks+w.streams >= limit {
+	if p.checks+p.streams >= limit {
 		return limitExceeded("gate is full", fullRetryAfter)
 	}
-	w.checks++
+	p.checks++
 	return nil
 }
 
-func (w *inProgress) checkDone() {
-	w.mu.Lock()
-	w.checks--
-	w.mu.Unlock()
+func (p *inProgress) checkDone() {
+	p.mu.Lock()
+	p.checks--
+	p.mu.Unlock()
 }
 
-// admitStream admits one stream, or gives the reason against it.
-func (w *inProgress) admitStream(l *Limits) *Result {
-	if r := w.admitCheck(l.Checks); r != nil {
+// admitStream admits one stream, or returns the result that rejects it.
+func (p *inProgress) admitStream(l *Limits) *Result {
+	if r := p.admitCheck(l.Checks); r != nil {
 		return r
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.checks--
-	if w.streams >= l.Streams {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.checks--
+	if p.streams >= l.Streams {
 		return limitExceeded("gate has too many streams", fullRetryAfter)
 	}
-	w.streams++
+	p.streams++
 	return nil
 }
 
-// reserveBody admits the body of a request before it is read. Without a bound on their sum, callers with
-// large bodies could take all memory long before they are too many.
-func (w *inProgress) reserveBody(n, limit int64) *Result {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.bodyBytes+n > limit {
+// reserveBody reserves memory for a request body before it is read. Without a limit on the total,
+// callers with large bodies could exhaust memory long before the limit on checks is reached.
+func (p *inProgress) reserveBody(n, limit int64) *Result {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.bodyBytes+n > limit {
 		return limitExceeded("gate holds too many bodies", fullRetryAfter)
 	}
-	w.bodyBytes += n
+	p.bodyBytes += n
 	return nil
 }
 
-func (w *inProgress) releaseBody(n int64) {
-	w.mu.Lock()
-	w.bodyBytes -= n
-	w.mu.Unlock()
+func (p *inProgress) releaseBody(n int64) {
+	p.mu.Lock()
+	p.bodyBytes -= n
+	p.mu.Unlock()
 }
 
-func (w *inProgress) streamDone() {
-	w.mu.Lock()
-	w.streams--
-	w.mu.Unlock()
+func (p *inProgress) streamDone() {
+	p.mu.Lock()
+	p.streams--
+	p.mu.Unlock()
 }
 
-func (w *inProgress) streamCount() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.streams
+func (p *inProgress) streamCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.streams
 }
 
-func (w *inProgress) count() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.checks + w.streams
+func (p *inProgress) count() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.checks + p.streams
 }
 
-func (w *inProgress) isDraining() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.draining
+func (p *inProgress) isDraining() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.draining
 }
 
-// Drain refuses new requests at once, and returns when those in progress have ended and streams
-// have ended or moved, at the deadline at the latest. It gives the number of requests left.
+// Drain rejects new requests and waits until those in progress have ended and streams have ended or
+// moved, but no longer than the deadline. It returns the number of requests left.
 func (g *Gate) Drain(deadline time.Time) int {
 	g.inProgress.mu.Lock()
 	if !g.inProgress.draining {
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -60,7 +60,7 @@
 	g.callOwner(ctx, func(in context.Context) (*job.Status, error) { return call(in, ctx.Params().Get("id")) })
 }
 
-// callOwner runs one call to a job's owner and answers with its status or its fault.
+// callOwner calls the owner of a job and replies with the job's status or the fault.
 func (g *Gate) callOwner(ctx iris.Context, call func(context.Context) (*job.Status, error)) {
 	if !g.admitJobCall(ctx) {
 		return
@@ -72,7 +72,7 @@
 	replyJob(ctx, s, err)
 }
 
-// admitJobCall counts a job call as work in progress, or answers that it was not run.
+// admitJobCall admits a job call as a request in progress, or replies that it was not run.
 func (g *Gate) admitJobCall(ctx iris.Context) bool {
 	if g.opts.Jobs.Submit == nil {
 		reply(ctx, notRun(reasonNoService, 0))
@@ -105,7 +105,8 @@
 	replyJob(ctx, s, err)
 }
 
-// waitForJob gives the status of a job that is final, or as it is when the wait or this gate ends.
+// waitForJob returns the status of a job once it is final, or its current status when the wait
+// times out or the gate stops.
 func (g *Gate) waitForJob(ctx context.Context, id string, wait time.Duration) (*job.Status, error) {
 	in, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -144,14 +145,14 @@
 	case err == nil && s != nil && (s.State == job.Final || ctx.Method() == http.MethodGet):
 		writeJSON(ctx, http.StatusOK, s)
 	case err == nil && s != nil:
-		// Accepted, or asked to stop; the outcome comes later.
+		// The job was accepted or is being canceled; its outcome is not known yet.
 		writeJSON(ctx, http.StatusAccepted, s)
 	default:
 		replyFault(ctx, err)
 	}
 }
 
-// replyFault answers with what the fault proves; any other error proves nothing.
+// replyFault maps an rpc fault to an HTTP reply. Any other error means that the outcome is unknown.
 func replyFault(ctx iris.Context, err error) {
 	fault := rpc.AsFault(err)
 	if fault == nil {
@@ -168,7 +169,7 @@
 		writeJSON(ctx, http.StatusNotFound, body)
 	case rpc.CodeRefused, rpc.CodeNotOwner, rpc.CodeMoved:
 		if fault.Code == rpc.CodeRefused && fault.RetryAfter == 0 {
-			// To try again is no use: a caller that is told when to come back would come for ever.
+			// The refusal is permanent. With a Retry-After the caller would retry forever.
 			writeJSON(ctx, http.StatusUnprocessableEntity, body)
 			return
 		}
--- a/gate/metrics.go
+++ b/gate/metrics.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func (m *gateMetrics) recordCheck(r *Result, took time.Duration) {
+func (m *gateMetrics) recordCheck(r *Result, elapsed time.Duration) {
 	switch r.Outcome {
 	case job.Done:
 		m.done.Inc(1)
@@ -44,5 +44,5 @@
 	if r.Limited {
 		m.shed.Inc(1)
 	}
-	m.checkMicros.Update(took.Microseconds())
+	m.checkMicros.Update(elapsed.Microseconds())
 }
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -21,13 +21,13 @@
 	"turmericgap/share"
 )
 
-// The cell of course-desk: 50 targets of 8 slots in three zones, 8 gates, and more callers at some.
+// The cell has 50 targets with 8 slots each in three zones, and 8 gates with unequal load.
 const (
 	testTargets   = 50
 	testSlots     = 8
 	testZones     = 3
 	meanRunTime   = 100 * time.Millisecond
-	checkRate     = 2600 // checks a second, about two thirds of what the well targets can do
+	checkRate     = 2600 // checks per second, about two thirds of the capacity of the healthy targets
 	checkDeadline = 2 * time.Second
 )
 
@@ -35,14 +35,15 @@
 
 var gatesPerZone = []int{3, 3, 2}
 
-// policy is a way to choose targets; order is nil for the gate's own.
+// policy selects targets; the order is nil for the gate's own policy.
 type policy struct {
 	name       string
 	order      func() func(n int) []int
 	retryBurst int
 }
 
-// newPicker takes the first target with a free slot in the order of the policy, and knows no health.
+// newPicker returns a function that takes the first target with a free slot in the order of the
+// policy and ignores the health of targets.
 func (p *policy) newPicker(b *balancer.Balancer, infos []target.Info) func(*balancer.Constraints, time.Time) (balancer.Choice, bool) {
 	order := p.order()
 	return func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// loadTest is one run: its figures are about all checks of all gates.
+// loadTest is one run; its results cover all checks of all gates.
 type loadTest struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -83,7 +84,7 @@
 	sent     int
 }
 
-// arrival is when a check came to its gate, until its first request has started.
+// arrival holds when a check reached its gate, until its first request is sent.
 type arrival struct{ at time.Time }
 
 type arrivalKey struct{}
@@ -112,7 +113,7 @@
 	return answer(r, ""), nil
 }
 
-// run sends checks for the given time through all gates of the cell and waits for their ends.
+// run sends checks through all gates of the cell for the given time and waits until they end.
 func (c *loadTest) run(p policy, rate int, lasts time.Duration) {
 	c.rng, c.outcomes = rand.New(rand.NewPCG(1, 2)), make(map[job.Outcome]int)
 	var infos []target.Info
@@ -158,7 +159,7 @@
 	}
 }
 
-// sendChecks lets checks arrive at random; of each zone's callers half come to its first gate.
+// sendChecks sends checks at random intervals; half of the callers of each zone use its first gate.
 func (c *loadTest) sendChecks(all []*Gate, rate int, lasts time.Duration) {
 	var calls sync.WaitGroup
 	arrivals := rand.New(rand.NewPCG(3, 4))
@@ -187,8 +188,9 @@
 	return all[int(q*float64(len(all)-1))].Round(100 * time.Microsecond)
 }
 
-// fiveFaulty makes two targets ten times slower, two cut each connection, and one never answer.
-func fiveFaulty(id int, _ *target.Request) (time.Duration, error) {
+// fiveOf50Faulty slows two targets down ten times, makes two drop every connection, and makes one
+// hang.
+func fiveOf50Faulty(id int, _ *target.Request) (time.Duration, error) {
 	switch id {
 	case 0, 1:
 		return 10, nil
@@ -202,14 +204,15 @@
 
 func allHealthy(int, *target.Request) (time.Duration, error) { return 1, nil }
 
-// Callers wait least with the gate's own policy. The same seeded load runs against each policy, with
-// all targets well, with five of fifty sick, and at a rate close to what the well targets can do.
+// Guards against a selection of targets that is worse than random or round robin. Each policy gets
+// the same seeded load, with all targets healthy, with five of fifty faulty, and close to the
+// capacity of the healthy ones.
 func TestPolicies(t *testing.T) {
 	for _, load := range []struct {
 		name string
 		sick func(int, *target.Request) (time.Duration, error)
 		rate int
-	}{{"all well", allHealthy, checkRate}, {"five sick", fiveFaulty, checkRate}, {"five sick, busy", fiveFaulty, 3000}} {
+	}{{"all well", allHealthy, checkRate}, {"five sick", fiveOf50Faulty, checkRate}, {"five sick, busy", fiveOf50Faulty, 3000}} {
 		lost := make(map[string]float64)
 		p99 := make(map[string]time.Duration)
 		for _, p := range []policy{{name: "gate"}, {name: "random", order: randomOrder}, {name: "round robin", order: roundRobin}} {
@@ -230,7 +233,7 @@
 	}
 }
 
-// In an outage of all targets the load on them stays close to what the callers ask for.
+// Guards against retries that multiply the load while all targets fail.
 func TestOutageLoad(t *testing.T) {
 	for _, p := range []policy{{name: "budget"}, {name: "no budget", retryBurst: 1 << 30}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/gate/pool.go
+++ b/gate/pool.go
@@ -18,21 +18,22 @@
 	retryJitterDivisor = 4
 	runSmoothing       = 0.05
 	noTargetRetry      = time.Second
-	// maxWaitersScanned bounds how many waiters are looked at when the first can't take the free slot.
+	// maxWaitersScanned limits the waiters that are tried for a free slot after the first one can't
+	// use it.
 	maxWaitersScanned = 8
-	// maxGates is for how many gates of a zone a target's connections suffice. They are divided by
-	// this fixed number, so that no share of them has to move when the gate table does.
+	// maxGates is the number of gates per zone among which a target's connections are divided. It
+	// is fixed so that connections don't have to move when the gate table changes.
 	maxGates = 8
-	// minRunTime is the time that must be left for a check to be sent at all.
+	// minRunTime is the minimum time left for which a check is sent.
 	minRunTime = 2 * time.Millisecond
 )
 
-// pool holds the targets of one service in this zone and the checks that wait for them.
-// The gate's mutex guards it.
+// pool holds the targets of one service in this zone and the checks that wait for them. Gate.mu
+// guards it.
 type pool struct {
 	balancer *balancer.Balancer
-	// pick chooses a target; tests put other policies here to compare them.
-	pick        func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool)
+	// pick selects a target; tests replace it to compare policies.
+	pick        func(c *balancer.Constraints, now time.Time) (balancer.Choice, bool)
 	shares      *share.Allocator
 	clients     map[string]*client
 	sharedQueue *list.List
@@ -48,14 +49,14 @@
 	call    *target.Client
 }
 
-// ticket is the right to send one request to a target.
+// ticket is the permission to send one request to a target.
 type ticket struct {
 	pool   *pool
 	info   target.Info
 	slot   *share.Slot
 	probe  bool
 	client *target.Client
-	// grantedAt is when the slot was given.
+	// grantedAt is when the slot was acquired.
 	grantedAt time.Time
 }
 
@@ -63,7 +64,7 @@
 	pool        *pool
 	constraints balancer.Constraints
 	targetID    string
-	// occupiedUntil gives when a request that is sent now has surely left its target.
+	// occupiedUntil returns the time by which a request sent now no longer occupies its target.
 	occupiedUntil func(now time.Time) time.Time
 	ready         chan *ticket
 	element       *list.Element
@@ -80,8 +81,8 @@
 	}
 }
 
-// queueOf gives the list in which a waiter stands: one for the service, and one for each target that
-// sessions wait for, so that a session does not hold up the checks of others.
+// queueOf returns the queue of a waiter. Each target with waiting sessions has its own queue, so
+// that a session does not block the other checks of the service.
 func (p *pool) queueOf(w *waiter) *list.List {
 	if w.targetID == "" {
 		return p.sharedQueue
@@ -114,23 +115,23 @@
 	return n
 }
 
-// expectedWait gives how long a check waits behind n others: the slots, each freed once a run time,
-// are the rate at which the queue drains.
+// expectedWait returns the expected wait behind n checks. The queue drains at a rate of one check
+// per slot and run time.
 func (p *pool) expectedWait(n int) time.Duration {
 	return time.Duration(float64(n+1) * p.runTime / float64(max(1, p.slots)) * float64(time.Second))
 }
 
-// expectedRun gives how long a check occupies a slot.
+// expectedRun returns the expected time that a check occupies a slot.
 func (p *pool) expectedRun() time.Duration { return time.Duration(p.runTime * float64(time.Second)) }
 
-// retryAfter gives when the queue will have drained, and up to a quarter more: callers that were
-// refused together must not all come back together.
+// retryAfter returns the time in which the queue drains, plus a random part of up to a quarter, so
+// that callers that were rejected together don't retry together.
 func (p *pool) retryAfter() time.Duration {
 	drained := max(p.expectedWait(p.sharedQueue.Len()), minRetryAfter)
 	return min(drained+time.Duration(p.rng.Int64N(int64(drained)/retryJitterDivisor)), maxRetryAfter)
 }
 
-// tryGrant gives a waiter a target if one may take it now.
+// tryGrant returns a ticket for a target that the waiter may use now, or nil.
 func (p *pool) tryGrant(w *waiter, now time.Time) *ticket {
 	until := w.occupiedUntil(now)
 	w.constraints.FreeSlots = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
@@ -146,14 +147,14 @@
 	}
 	slot, ok := p.shares.Acquire(c.Info.ID, c.Info.Slots, until, now)
 	if !ok {
-		// A sibling has borrowed the slot in between.
+		// The slot was lent to a sibling in between.
 		p.balancer.Undo(c)
 		return nil
 	}
 	return &ticket{pool: p, info: c.Info, slot: slot, probe: c.Probe, client: p.clients[c.Info.ID].call, grantedAt: now}
 }
 
-// serveWaiters hands free slots to the waiters, first come, first served.
+// serveWaiters assigns free slots to waiters in FIFO order.
 func (p *pool) serveWaiters(now time.Time) {
 	for _, q := range p.boundQueues {
 		p.serveQueue(q, now)
@@ -176,21 +177,19 @@
 	}
 }
 
-func (p *pool) observeRunTime(took time.Duration) {
-	p.runTime += runSmoothing * (took.Seconds() - p.runTime)
-}
+func (p *pool) addRunTime(d time.Duration) { p.runTime += runSmoothing * (d.Seconds() - p.runTime) }
 
-// refreshTargets takes over the current list of targets.
+// refreshTargets applies the current list of targets.
 func (g *Gate) refreshTargets() {
 	local := make(map[string][]target.Info)
 	zones := make(map[string][]string)
-	where := make(map[string]string)
+	targetZones := make(map[string]string)
 	seen := make(map[string]bool)
-	here := make(map[string]bool)
+	localIDs := make(map[string]bool)
 	for _, info := range g.opts.Targets() {
-		where[info.ID] = info.Zone
+		targetZones[info.ID] = info.Zone
 		if info.Zone == g.opts.Zone {
-			here[info.ID] = true
+			localIDs[info.ID] = true
 			local[info.Service] = append(local[info.Service], info)
 		}
 		if key := info.Service + "\x00" + info.Zone; !info.Leaving && !seen[key] {
@@ -201,8 +200,8 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.serviceZones, g.targetZones = zones, where
-	g.shares.RetainTargets(here)
+	g.serviceZones, g.targetZones = zones, targetZones
+	g.shares.RetainTargets(localIDs)
 	for service := range local {
 		if g.pools[service] == nil {
 			g.pools[service] = newPool(g.opts.Seed, g.shares)
@@ -238,7 +237,7 @@
 	p.serveWaiters(now)
 }
 
-// serveAllWaiters serves waiters and reports whether any are left.
+// serveAllWaiters serves the waiters of all pools and reports whether any are left.
 func (g *Gate) serveAllWaiters() bool {
 	now := time.Now()
 	g.mu.Lock()
@@ -252,7 +251,8 @@
 	return n > 0
 }
 
-// acquire gets a ticket, by waiting if need be; it gives a result where there is none to be had.
+// acquire returns a ticket, waiting for one if necessary, or the result of a check that can't get
+// one.
 func (g *Gate) acquire(ctx context.Context, cl *call) (*ticket, *Result) {
 	start := time.Now()
 	w := &waiter{
@@ -282,7 +282,8 @@
 	}
 }
 
-// enqueue gives a ticket at once, or a result where waiting is no use, or puts w into its queue.
+// enqueue returns a ticket if one is available now, or a result if waiting is pointless. Otherwise
+// it queues w.
 func (g *Gate) enqueue(cl *call, w *waiter, now time.Time) (*ticket, *Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -316,7 +317,7 @@
 	return r
 }
 
-// abandonWait takes a waiter whose caller is gone or whose time is up out of its queue.
+// abandonWait removes a waiter whose caller has left or whose deadline has passed.
 func (g *Gate) abandonWait(w *waiter) *Result {
 	now := time.Now()
 	g.mu.Lock()
@@ -330,7 +331,7 @@
 	return limitExceeded("time ran out in the queue", w.pool.retryAfter())
 }
 
-// releaseSlot gives a slot back and hands it on.
+// releaseSlot releases a slot and serves the waiters of its pool.
 func (g *Gate) releaseSlot(t *ticket, now time.Time) {
 	t.pool.balancer.Release(t.info.ID)
 	g.shares.Release(t.slot, now)
--- a/gate/send.go
+++ b/gate/send.go
@@ -16,30 +16,30 @@
 	tracing "turmericgap/trace"
 )
 
-// attemptState says what is known of one attempt.
+// attemptState is what is known about the execution of an attempt.
 type attemptState int
 
 const (
-	// answered means that its answered answer is there.
+	// answered means that the complete answer was received.
 	answered attemptState = iota
-	// notStarted means that it surely did not run.
+	// notStarted means that the attempt certainly did not run.
 	notStarted
-	// mayHaveRun means that nothing more is known.
+	// mayHaveRun means that it is unknown whether the attempt ran.
 	mayHaveRun
 )
 
-// attempt is one request to a target and what came of it.
+// attempt is the result of one request to a target.
 type attempt struct {
 	state   attemptState
 	outcome balancer.Outcome
 	reason  string
 	answer  *job.Answer
 	leaving bool
-	// occupiedUntil is when a request that was given up has surely left its target.
+	// occupiedUntil is the time by which a request that was given up no longer occupies its target.
 	occupiedUntil time.Time
 }
 
-// run makes attempts at targets of this zone until the check has a final state.
+// run sends attempts to targets of this zone until the check has a final outcome.
 func (g *Gate) run(ctx context.Context, cl *call) *Result {
 	for {
 		t, r := g.acquire(ctx, cl)
@@ -62,26 +62,27 @@
 	}
 }
 
-// finish turns a result into the check's final state: what may have run is never called notRun.
+// finish sets the final outcome of a check. A check that may have run is never reported as NotRun.
 func (cl *call) finish(r *Result) *Result {
 	r.Attempts = cl.attempts
 	if cl.mayHaveRun && r.Outcome == job.NotRun {
 		r.Outcome = job.Unknown
 		if !cl.check.Repeatable {
-			// To try again could run it twice.
+			// A retry could run the check twice.
 			r.RetryAfter = 0
 		}
 	}
 	return r
 }
 
-// shouldRetry decides whether the check may be tried once more.
+// shouldRetry reports whether another attempt may be made.
 func (g *Gate) shouldRetry(ctx context.Context, cl *call, a *attempt) bool {
 	if cl.mayHaveRun && !cl.check.Repeatable {
-		// A second attempt could run the request twice.
+		// A retry could run the check twice.
 		return false
 	}
-	if cl.tries > cl.retries || ctx.Err() != nil || time.Until(cl.deadline) < minRunTime || (a.state == mayHaveRun && cl.check.Target != "") {
+	if cl.tries > cl.retries || ctx.Err() != nil || time.Until(cl.deadline) < minRunTime ||
+		(a.state == mayHaveRun && cl.check.Target != "") {
 		return false
 	}
 	if !g.budget.TryWithdraw() {
@@ -110,8 +111,9 @@
 		Body: cl.check.Body, LeftMillis: end.Sub(now).Milliseconds(), Parent: tracing.Parent(ctx),
 	}
 	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
-		// The process was paused since the slot was given; a sibling may have it by now.
-		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "slot was lost before the send"}
+		// The process was paused after the slot was acquired, and a sibling may use the slot now.
+		return &attempt{state: notStarted, outcome: balancer.Abandoned,
+			reason: "slot was reassigned before the request was sent"}
 	}
 	cl.attempts++
 	g.metrics.attempts.Inc(1)
@@ -124,8 +126,8 @@
 	return a
 }
 
-// attemptEnd gives the deadline of the next attempt. One that may be followed by another gets half
-// of the time left, so that a target that hangs does not use up all of it.
+// attemptEnd returns the deadline of the next attempt. An attempt that can be retried gets half of
+// the time left, so that a target that hangs does not use up all of it.
 func (g *Gate) attemptEnd(cl *call, now time.Time) time.Time {
 	if !cl.check.Repeatable || cl.check.Target != "" || cl.attempts >= cl.retries {
 		return cl.deadline
@@ -133,8 +135,8 @@
 	return now.Add(cl.deadline.Sub(now) / 2)
 }
 
-// classify tells what is known of an attempt. Only what the target said about this very attempt
-// counts: an answer to another one, or a cut one, says no more than that this one may have run.
+// classify derives the state of an attempt from the target's response. An answer to another attempt
+// or a truncated answer only shows that this attempt may have run.
 func (g *Gate) classify(ctx context.Context, req *target.Request, resp *target.Response, err error) *attempt {
 	switch {
 	case errors.Is(err, target.ErrNotSent):
@@ -150,12 +152,12 @@
 		return &attempt{state: notStarted, outcome: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
 	case !resp.Answer.Whole():
 		g.metrics.dropped.Inc(1)
-		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
+		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was truncated", leaving: resp.Leaving}
 	}
 	return &attempt{state: answered, outcome: balancer.Succeeded, answer: &resp.Answer, leaving: resp.Leaving}
 }
 
-// failureOutcome gives Failed unless the caller itself went away.
+// failureOutcome returns Failed, or Abandoned if the caller canceled the request.
 func failureOutcome(ctx context.Context) balancer.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.Abandoned
--- a/gate/session_test.go
+++ b/gate/session_test.go
@@ -23,7 +23,7 @@
 
 var sessionKey = []byte("a key of sixteen bytes or more")
 
-// pipeListener is a listener whose connections are pipeListener, which the virtual clock can wait for.
+// pipeListener is a listener over in-memory pipes, which work with the virtual clock.
 type pipeListener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -58,7 +58,7 @@
 	}}}
 }
 
-// caller is a caller over HTTP with a session.
+// caller is an HTTP caller with a session.
 type caller struct {
 	*http.Client
 	token string
@@ -81,7 +81,7 @@
 	return resp.StatusCode, b, o
 }
 
-// serveGate runs a gate behind pipes, for a test that stops all at its end.
+// serveGate runs a gate behind a pipeListener and stops both when the test ends.
 func serveGate(t *testing.T, f *fakeTargets, opts ...Option) (*Gate, *caller) {
 	g := f.newGate(append(opts, SessionKeys(sessionKey))...)
 	l := newPipeListener()
@@ -99,9 +99,9 @@
 	return answer(r, id+" "+r.Session+" "+string(r.Body)), nil
 }
 
-// The caller goes on with its session although the gate that opened it is dead.
-// Each request must reach the session's target, also through a gate of another zone, and while the
-// target is leaving; when the target is gone, the caller is told so and not that it may try again.
+// Guards against sessions that end with the gate that opened them. Each request must reach the
+// session's target, also through a gate of another zone and while the target is leaving. Once the
+// target is gone, the caller must learn that and not retry.
 func TestSessionOutlivesItsGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -146,9 +146,8 @@
 	})
 }
 
-// The caller sends requests of one session without waiting for answers.
-// They run one at a time in the order of arrival; behind one whose end is not known none is run,
-// because the caller could not tell whether it came before or after.
+// Guards against pipelined requests of a session that run out of order. After a request of unknown
+// outcome none of the later ones may run, because the caller could not tell their order.
 func TestSessionOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,10 +182,9 @@
 	})
 }
 
-// The callers see no request cut off by a planned stop.
-// A check and a request of a stream are at the target when the gate starts to stop. Both get their
-// answers, new checks are refused at once, and the stream is asked to move; with its token the caller
-// goes on at another gate.
+// Guards against requests cut off by a graceful stop. A check and a stream request are in progress
+// when the gate starts to drain. Both must be answered, new checks must be rejected at once, and
+// the stream must be asked to move; its token must work at another gate.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -238,7 +236,7 @@
 	})
 }
 
-// A stream answers in order, and tells the findings of a bad line without ending.
+// Guards against a stream that answers out of order or ends at an invalid line.
 func TestStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gate/sessionqueue.go
+++ b/gate/sessionqueue.go
@@ -9,88 +9,91 @@
 
 const sessionRetryAfter = 100 * time.Millisecond
 
-// sessionQueue keeps the requests of one session in order: one at a time, in the order of arrival.
+// sessionQueue serializes the requests of one session in order of arrival.
 type sessionQueue struct{ waiting []*queuedRequest }
 
-// queuedRequest is a request that waits for those before it; its channel gets whether it may go.
+// queuedRequest waits for the earlier requests of its session. Its channel receives whether the
+// request may run.
 type queuedRequest struct{ ready chan bool }
 
-// enterSession waits for the earlier requests of the session.
+// enterSession waits until the earlier requests of the session have ended.
 func (g *Gate) enterSession(ctx context.Context, id string) *Result {
 	g.mu.Lock()
-	l, ok := g.sessionQueues[id]
+	q, ok := g.sessionQueues[id]
 	if !ok {
 		g.sessionQueues[id] = &sessionQueue{}
 		g.mu.Unlock()
 		return nil
 	}
-	if len(l.waiting) >= g.opts.Limits.Pipelined {
+	if len(q.waiting) >= g.opts.Limits.Pipelined {
 		g.mu.Unlock()
 		return limitExceeded("too many requests of this session wait", sessionRetryAfter)
 	}
-	t := &queuedRequest{ready: make(chan bool, 1)}
-	l.waiting = append(l.waiting, t)
+	req := &queuedRequest{ready: make(chan bool, 1)}
+	q.waiting = append(q.waiting, req)
 	g.mu.Unlock()
 	select {
-	case first := <-t.ready:
-		if first {
+	case mayRun := <-req.ready:
+		if mayRun {
 			return nil
 		}
 		return notRun("an earlier request of this session has no known end", sessionRetryAfter)
 	case <-ctx.Done():
-		g.cancelQueued(id, l, t)
+		g.cancelQueued(id, q, req)
 		return notRun("time ran out behind earlier requests of this session", sessionRetryAfter)
 	}
 }
 
-// cancelQueued takes a waiting request out, or hands its turn on if it came just now.
-func (g *Gate) cancelQueued(id string, l *sessionQueue, t *queuedRequest) {
+// cancelQueued removes a waiting request. If the request was released at the same moment, the next
+// one is started instead.
+func (g *Gate) cancelQueued(id string, q *sessionQueue, req *queuedRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for i, other := range l.waiting {
-		if other == t {
-			l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
+	for i, other := range q.waiting {
+		if other == req {
+			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			return
 		}
 	}
-	if first := <-t.ready; first {
-		g.startNext(id, l)
+	if mayRun := <-req.ready; mayRun {
+		g.startNext(id, q)
 	}
 }
 
-// leaveSession lets the next request of the session go. Behind one that may still run nothing goes: its
-// caller counts on the order, and would not know that the earlier one comes second or not at all.
+// leaveSession starts the next request of the session. After a request of unknown outcome the
+// waiting requests are rejected: the caller relies on their order and could not tell whether the
+// earlier request runs later or not at all.
 func (g *Gate) leaveSession(id string, outcome job.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.sessionQueues[id]
+	q := g.sessionQueues[id]
 	if outcome == job.Unknown {
-		for _, t := range l.waiting {
-			t.ready <- false
+		for _, req := range q.waiting {
+			req.ready <- false
 		}
-		l.waiting = nil
+		q.waiting = nil
 	}
-	g.startNext(id, l)
+	g.startNext(id, q)
 }
 
-func (g *Gate) startNext(id string, l *sessionQueue) {
-	if len(l.waiting) == 0 {
+func (g *Gate) startNext(id string, q *sessionQueue) {
+	if len(q.waiting) == 0 {
 		delete(g.sessionQueues, id)
 		return
 	}
-	t := l.waiting[0]
-	l.waiting = l.waiting[1:]
-	t.ready <- true
+	req := q.waiting[0]
+	q.waiting = q.waiting[1:]
+	req.ready <- true
 }
 
-// runSession runs one request of a session at the session's target, wherever that is.
+// runSession runs one request of a session on the session's target in any zone.
 func (g *Gate) runSession(ctx context.Context, cl *call) *Result {
 	g.mu.Lock()
 	zone, listed := g.targetZones[cl.check.Target]
 	known := len(g.targetZones) > 0
 	g.mu.Unlock()
 	if !listed {
-		// The list of this gate may lag behind that of the zone which made the session.
+		// The target list of this gate may be older than that of the zone that opened the session.
 		zone = cl.zone
 	}
 	if zone != g.opts.Zone && !cl.check.Forwarded {
--- a/gate/sessions.go
+++ b/gate/sessions.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// CloseMethod is the method that tells a target that a session has ended.
+	// CloseMethod is the method that informs a target of the end of a session.
 	CloseMethod = "sessionClose"
 
-	// streamLineExtra is what a line of a stream may hold besides its body.
+	// streamLineExtra is the size limit of a stream line without its body.
 	streamLineExtra = 4 << 10
 	reasonMove      = "gate is stopping; go on with the token at another one"
 )
 
-// OpenedSession is the answer to the opening of a session.
+// OpenedSession is the reply to a request that opens a session.
 type OpenedSession struct {
 	Token   string    `json:"token"`
 	Session string    `json:"session"`
@@ -35,7 +35,7 @@
 	Expires time.Time `json:"expires"`
 }
 
-// StreamRequest is one request of a stream.
+// StreamRequest is one line of a stream, which holds one request.
 type StreamRequest struct {
 	Method         string `json:"method"`
 	Key            string `json:"key,omitempty"`
@@ -83,7 +83,7 @@
 	return g.tokens.Sign(s)
 }
 
-// placeSession chooses the target of a new session: here if one is usable, else in the next zone.
+// placeSession chooses the target of a new session in the first zone that has a usable one.
 func (g *Gate) placeSession(cl *call) (target.Info, bool) {
 	zones := g.zoneOrder(cl)
 	targets := g.opts.Targets()
@@ -110,7 +110,8 @@
 	return target.Info{}, false
 }
 
-// verifySession checks the token of a request and gives the check that it stands for.
+// verifySession verifies the session token of a request and returns the session and its check. If
+// the token is not accepted it replies to the caller and returns false.
 func (g *Gate) verifySession(ctx iris.Context) (*session.Session, *Check, bool) {
 	s, err := g.tokens.Verify(ctx.GetHeader(HeaderSession), time.Now())
 	if errors.Is(err, session.ErrExpired) {
@@ -165,7 +166,7 @@
 	writeJSON(ctx, httpStatus(r), body)
 }
 
-// renewToken gives a new token when more than half of the old one's life is over.
+// renewToken returns a new token if less than half of the lifetime of the old one is left.
 func (g *Gate) renewToken(s *session.Session) string {
 	if time.Until(s.Expires) > g.opts.Limits.SessionTTL/2 {
 		return ""
@@ -187,13 +188,14 @@
 	c.Method = CloseMethod
 	r := g.Do(ctx.Request().Context(), c)
 	if r.Gone {
-		// With its target the session has ended too.
+		// The session ended together with its target.
 		r = &Result{Outcome: job.Done, Reason: r.Reason}
 	}
 	reply(ctx, r)
 }
 
-// postStream serves the requests of a session, one a line, in order, and answers each with a line.
+// postStream handles a stream: the requests of one session, one per line, each answered by one line
+// in the same order.
 func (g *Gate) postStream(ctx iris.Context) {
 	s, first, ok := g.verifySession(ctx)
 	if !ok {
@@ -206,12 +208,12 @@
 	defer g.inProgress.streamDone()
 	out := ctx.ResponseWriter()
 	control := http.NewResponseController(out.Naive())
-	// Answers go out while requests come in.
+	// Answers are written while requests are read.
 	_ = control.EnableFullDuplex()
-	// The deadline of an earlier answer on this connection may have passed.
+	// The write deadline of an earlier reply on this connection may have passed.
 	_ = control.SetWriteDeadline(time.Now().Add(g.opts.Limits.ReadTimeout))
 	ctx.ContentType("application/x-ndjson")
-	// What the caller has sent after the last answer must not be taken for another request.
+	// Data that the caller sends after the last answer must not be parsed as another HTTP request.
 	ctx.Header("Connection", "close")
 	ctx.StatusCode(http.StatusOK)
 	out.Flush()
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -15,29 +15,31 @@
 	borrowTimeout  = 500 * time.Millisecond
 	borrowInterval = 50 * time.Millisecond
 	returnInterval = 250 * time.Millisecond
-	// confirmInterval is how often a sibling is asked while it has not confirmed the newest table.
+	// confirmInterval is the interval at which siblings are asked for confirmations until they have
+	// confirmed the newest table.
 	confirmInterval = 200 * time.Millisecond
 )
 
-// Reasons why a gate is not ready.
+// Errors returned by Ready.
 var (
 	errStopping  = errors.New("gate is stopping")
 	errNotMember = errors.New("gate is not a member of its zone")
 	errNotAgreed = errors.New("gates of the zone have not yet agreed on their shares")
 )
 
-// SetTable takes over a newer gate table of this zone. Its ids are those of Option ID, which differ
-// from one life of a process to the next.
+// SetTable applies a newer gate table of this zone. The table lists the IDs set by Option ID, which
+// differ after each restart of a process.
 func (g *Gate) SetTable(t share.Table) {
 	if len(t.Gates) > maxGates {
-		g.log.Error("gate: connections are not divided for so many gates", zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
+		g.log.Error("gate: gate table has more gates than the connections of a target are divided among",
+			zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
 	}
 	g.shares.SetTable(t, time.Now())
 	signal(g.wake)
 	signal(g.tableChanged)
 }
 
-// Ready gives the reason why the gate can't use the targets of its zone yet, or nil.
+// Ready returns nil if the gate can use the targets of its zone, or else the reason why not.
 func (g *Gate) Ready() error {
 	switch r := g.shares.Report(time.Now()); {
 	case g.inProgress.isDraining():
@@ -50,7 +52,7 @@
 	return nil
 }
 
-// HandleConfirmation serves a sibling's confirmation and answers with this gate's own.
+// HandleConfirmation handles a sibling's confirmation and returns the one of this gate.
 func (g *Gate) HandleConfirmation(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
 	now := time.Now()
 	g.shares.AddConfirmation(*c, now)
@@ -59,11 +61,11 @@
 	return &own, nil
 }
 
-// confirmLoop exchanges confirmations while the gates of the zone have not agreed on a table.
+// confirmLoop exchanges confirmations until the gates of the zone agree on a table.
 func (g *Gate) confirmLoop() {
 	ctx, cancel := g.contextUntilStop()
 	defer cancel()
-	told := make(map[string]share.Confirmation)
+	sent := make(map[string]share.Confirmation)
 	t := time.NewTicker(confirmInterval)
 	defer t.Stop()
 	for {
@@ -73,38 +75,39 @@
 		case <-t.C:
 		case <-g.tableChanged:
 		}
-		g.confirm(ctx, told)
+		g.confirm(ctx, sent)
 	}
 }
 
-// confirm tells the siblings what they have not yet heard, and asks again while they lag.
-func (g *Gate) confirm(ctx context.Context, told map[string]share.Confirmation) {
-	others := g.shares.Peers()
-	for gate := range told {
-		if !slices.Contains(others, gate) {
-			delete(told, gate)
+// confirm sends the siblings every confirmation that they have not received yet, and repeats it
+// until all agree.
+func (g *Gate) confirm(ctx context.Context, sent map[string]share.Confirmation) {
+	siblings := g.shares.Peers()
+	for gate := range sent {
+		if !slices.Contains(siblings, gate) {
+			delete(sent, gate)
 		}
 	}
-	for _, gate := range others {
+	for _, gate := range siblings {
 		own := g.shares.Confirmation(time.Now())
-		if told[gate] == own && g.shares.Agreed() {
+		if sent[gate] == own && g.shares.Agreed() {
 			continue
 		}
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		theirs, err := g.opts.Siblings.Confirm(in, gate, &own)
 		cancel()
 		if err != nil {
-			g.log.Debug("gate: table not confirmed", zap.String("gate", gate), zap.Error(err))
+			g.log.Debug("gate: exchange of confirmations failed", zap.String("gate", gate), zap.Error(err))
 			continue
 		}
-		told[gate] = own
+		sent[gate] = own
 		g.shares.AddConfirmation(*theirs, time.Now())
 	}
 	signal(g.wake)
 }
 
-// announceLeave tells the siblings that nothing here uses a target any more, so that they take over this
-// gate's share as soon as the table lacks it.
+// announceLeave tells the siblings that this gate uses no target anymore, so that they take over
+// its share as soon as a table without it arrives.
 func (g *Gate) announceLeave() {
 	if g.opts.Siblings.Confirm == nil {
 		return
@@ -113,13 +116,13 @@
 	for _, gate := range g.shares.Peers() {
 		ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 		if _, err := g.opts.Siblings.Confirm(ctx, gate, &own); err != nil {
-			g.log.Debug("gate: leave not heard", zap.String("gate", gate), zap.Error(err))
+			g.log.Debug("gate: sibling did not receive the leave notice", zap.String("gate", gate), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// contextUntilStop gives a context that ends with the gate.
+// contextUntilStop returns a context that is canceled when the gate stops.
 func (g *Gate) contextUntilStop() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.background.Go(func() {
@@ -132,23 +135,23 @@
 	return ctx, cancel
 }
 
-// HandleBorrow serves a sibling's request for idle slots.
-func (g *Gate) HandleBorrow(_ context.Context, ask *share.LoanRequest) (*share.LoanReply, error) {
-	loans := g.shares.Lend(ask, time.Now())
+// HandleBorrow handles a sibling's request for idle slots.
+func (g *Gate) HandleBorrow(_ context.Context, request *share.LoanRequest) (*share.LoanReply, error) {
+	loans := g.shares.Lend(request, time.Now())
 	for _, l := range loans.Loans {
 		g.metrics.lent.Inc(int64(l.Slots))
 	}
 	return &loans, nil
 }
 
-// AcceptReturn serves a sibling's return of loans.
+// AcceptReturn handles the return of loans by a sibling.
 func (g *Gate) AcceptReturn(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
 	g.shares.AcceptReturn(r, time.Now())
 	signal(g.wake)
 	return &share.LoanReturnReply{}, nil
 }
 
-// loanLoop borrows while checks wait and returns what is no longer needed.
+// loanLoop borrows slots while checks wait, renews loans in use and returns idle ones.
 func (g *Gate) loanLoop() {
 	t := time.NewTicker(returnInterval)
 	defer t.Stop()
@@ -179,29 +182,29 @@
 	for gate, r := range g.shares.ReturnIdle(time.Now()) {
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		if err := g.opts.Siblings.Return(in, gate, r); err != nil {
-			// The loan ends by itself at its lender.
-			g.log.Debug("gate: loan not returned", zap.String("gate", gate), zap.Error(err))
+			// An unreturned loan expires at the lender.
+			g.log.Debug("gate: return of a loan failed", zap.String("gate", gate), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// renewLoans lengthens the loans in use before they end, so that the checks they serve need not
-// queue for new ones.
+// renewLoans renews loans in use before they expire, so that their checks don't have to wait for
+// new loans.
 func (g *Gate) renewLoans(ctx context.Context) {
-	for gate, ask := range g.shares.Renewals(time.Now()) {
-		g.requestLoan(ctx, gate, ask)
+	for gate, request := range g.shares.Renewals(time.Now()) {
+		g.requestLoan(ctx, gate, request)
 	}
 }
 
-// requestLoan asks one sibling and gives how many slots it lent.
-func (g *Gate) requestLoan(ctx context.Context, gate string, ask *share.LoanRequest) int {
+// requestLoan requests slots from one sibling and returns the number of slots lent.
+func (g *Gate) requestLoan(ctx context.Context, gate string, request *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	asked := time.Now()
-	loans, err := g.opts.Siblings.Borrow(in, gate, ask)
+	loans, err := g.opts.Siblings.Borrow(in, gate, request)
 	if err != nil {
-		g.log.Debug("gate: nothing borrowed", zap.String("gate", gate), zap.Error(err))
+		g.log.Debug("gate: loan request failed", zap.String("gate", gate), zap.Error(err))
 		return 0
 	}
 	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
@@ -209,11 +212,11 @@
 	return n
 }
 
-// borrow asks each sibling in turn for what the waiting checks need.
+// borrow requests slots for the waiting checks from the siblings in turn.
 func (g *Gate) borrow(ctx context.Context) {
-	for _, ask := range g.loanRequests() {
+	for _, request := range g.loanRequests() {
 		for _, gate := range g.shares.Peers() {
-			if ask.Want -= g.requestLoan(ctx, gate, ask); ask.Want <= 0 {
+			if request.Want -= g.requestLoan(ctx, gate, request); request.Want <= 0 {
 				break
 			}
 		}
@@ -221,7 +224,7 @@
 	}
 }
 
-// loanRequests lists one request for each service whose checks wait.
+// loanRequests returns one request for each service with waiting checks.
 func (g *Gate) loanRequests() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -8,7 +8,7 @@
 	"turmericgap/share"
 )
 
-// The names of the calls between gates.
+// RPC method names of the calls between gates.
 const (
 	MethodCheck   = "gate.check"
 	MethodBorrow  = "share.borrow"
@@ -16,7 +16,7 @@
 	MethodConfirm = "share.confirm"
 )
 
-// Register serves the calls of other gates.
+// Register registers the handlers for calls of other gates.
 func (g *Gate) Register(s *rpc.Server) {
 	rpc.Handle(s, MethodCheck, g.HandleForwarded)
 	rpc.Handle(s, MethodBorrow, g.HandleBorrow)
@@ -24,12 +24,12 @@
 	rpc.Handle(s, MethodConfirm, g.HandleConfirmation)
 }
 
-var errNotListed = errors.New("gate is not listed")
+var errNotListed = errors.New("gate is not in the gate table")
 
 func newSiblingClient(pool *rpc.Pool, address func(gate string) (string, bool)) SiblingClient {
 	return SiblingClient{
-		Borrow: func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
-			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, ask)
+		Borrow: func(ctx context.Context, gate string, request *share.LoanRequest) (*share.LoanReply, error) {
+			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, request)
 		},
 		Return: func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := callGate[share.LoanReturn, share.LoanReturnReply](ctx, pool, address, gate, MethodReturn, r)
--- a/gate/status.go
+++ b/gate/status.go
@@ -11,7 +11,7 @@
 	"turmericgap/share"
 )
 
-// Status is what an operator sees of a gate.
+// Status is the state of a gate as shown to operators.
 type Status struct {
 	ID       string `json:"id"`
 	Zone     string `json:"zone"`
@@ -23,19 +23,20 @@
 	Services   []ServiceReport `json:"services"`
 }
 
-// ServiceReport is one service in the gate's own zone.
+// ServiceReport is the state of one service in the gate's zone.
 type ServiceReport struct {
 	Service string `json:"service"`
 	Waiting int    `json:"waiting"`
-	// Slots is how many this gate may use now, RunMicros how long a check takes one.
+	// Slots is the number of slots that this gate may use; RunMicros is how long a check occupies
+	// one.
 	Slots     int   `json:"slots"`
 	RunMicros int64 `json:"runMicros"`
-	// RetryAfterMillis is what a check that is refused now is told.
+	// RetryAfterMillis is the delay returned to a check that is rejected now.
 	RetryAfterMillis int64             `json:"retryAfterMillis"`
 	Targets          []balancer.Report `json:"targets"`
 }
 
-// Status gives the gate's present state.
+// Status returns the current state of the gate.
 func (g *Gate) Status() *Status {
 	now := time.Now()
 	p := &Status{
@@ -54,7 +55,7 @@
 	return p
 }
 
-// ServeStatus answers an operator with Status as JSON.
+// ServeStatus writes Status as JSON.
 func (g *Gate) ServeStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
--- a/gate/stream.go
+++ b/gate/stream.go
@@ -14,7 +14,7 @@
 	"turmericgap/setting"
 )
 
-// stream is one caller's connection that carries the requests of a session.
+// stream is a caller's connection that carries the requests of one session.
 type stream struct {
 	gate     *Gate
 	session  *session.Session
@@ -22,12 +22,12 @@
 	flusher  http.Flusher
 	encoder  *json.Encoder
 	control  *http.ResponseController
-	// readErr is why the reading ended; it is set before the lines are closed.
+	// readErr is why reading ended; it is set before the channel of lines is closed.
 	readErr error
 }
 
 // serve answers line by line until the caller ends the stream or the gate asks it to move. A line
-// that was read is always answered first, so that nothing in progress is cut off.
+// that was received is always answered first, so no request in progress is cut off.
 func (st *stream) serve(r *http.Request) {
 	lines := make(chan []byte)
 	ctx, cancel := context.WithCancel(r.Context())
@@ -59,7 +59,7 @@
 	}
 }
 
-// readLines hands the lines over; it ends with the body, at a line that is too long, or with ctx.
+// readLines sends the lines to the channel until the body ends, a line is too long or ctx is done.
 func (st *stream) readLines(ctx context.Context, r *http.Request, lines chan<- []byte) {
 	defer close(lines)
 	limit := int(st.gate.opts.Limits.BodyBytes)*4/3 + streamLineExtra
@@ -76,7 +76,7 @@
 	st.readErr = scanner.Err()
 }
 
-// reportReadError tells the caller of a line that could not be read.
+// reportReadError sends the caller the error that ended reading.
 func (st *stream) reportReadError(ctx context.Context) {
 	if st.readErr == nil || ctx.Err() != nil {
 		return
@@ -86,7 +86,7 @@
 	st.send(&Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
 }
 
-// unblockReader wakes a read that waits for the caller's next line.
+// unblockReader interrupts a read that waits for the caller's next line.
 func (st *stream) unblockReader() { _ = st.control.SetReadDeadline(time.Now()) }
 
 func (st *stream) handleLine(ctx context.Context, raw []byte) bool {
@@ -125,7 +125,7 @@
 	return &c, nil
 }
 
-// askToMove asks the caller to go on elsewhere. The token is what another gate needs.
+// askToMove tells the caller to continue the session at another gate with the token.
 func (st *stream) askToMove() {
 	s := *st.session
 	token, err := st.gate.issueToken(&s)
--- a/gate/target/check.go
+++ b/gate/target/check.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Errors of an answer that must not be shown; the request may have run.
+// Errors of a response that must not be used; the request may have run.
 var (
-	// ErrTruncated means that the answer is not whole.
+	// ErrTruncated means that the answer is incomplete.
 	ErrTruncated = errors.New("target answer truncated")
 	// ErrMismatch means that the answer belongs to another request.
 	ErrMismatch = errors.New("target answer of another request")
 )
 
-// Check gives an error unless the response is the whole answer to the request with that ID.
+// Check returns an error unless the response is the complete answer to the request with that ID.
 func (r *Response) Check(id string) error {
 	switch {
 	case r.ID != id:
--- a/gate/target/contract_test.go
+++ b/gate/target/contract_test.go
@@ -24,20 +24,20 @@
 
 var info = target.Info{ID: "t", Address: "10.0.0.1:7300/t/0", Service: "course-desk", Slots: 2, Connections: 4}
 
-// bench is one target and a client of it.
-type bench struct {
+// fixture is one target and a client for it.
+type fixture struct {
 	*is.I
 	*target.Client
-	at   *standin.Target
-	ctx  context.Context
-	asks sync.WaitGroup
+	target  *standin.Target
+	ctx     context.Context
+	pending sync.WaitGroup
 }
 
-// askBeside sends a request that must be answered before the case ends.
-func (b *bench) askBeside(r target.Request) { b.asks.Go(func() { b.ask(r) }) }
+// doAsync sends a request that must be answered before the case ends.
+func (b *fixture) doAsync(r target.Request) { b.pending.Go(func() { b.mustDo(r) }) }
 
-// ask sends a request that must be answered.
-func (b *bench) ask(r target.Request) (*target.Response, standin.Result) {
+// mustDo sends a request that must be answered.
+func (b *fixture) mustDo(r target.Request) (*target.Response, standin.Result) {
 	resp, err := b.Do(b.ctx, &r)
 	b.NoErr(err)
 	var res standin.Result
@@ -47,8 +47,8 @@
 	return resp, res
 }
 
-// kinds makes a client of the stand-in in each way that the project has.
-var kinds = map[string]func(*standin.Target) (*target.Client, func()){
+// clientKinds creates a client of the simulated target for each implementation of the client.
+var clientKinds = map[string]func(*standin.Target) (*target.Client, func()){
 	"in process": func(t *standin.Target) (*target.Client, func()) { return t.Client(), func() {} },
 	"over HTTP": func(t *standin.Target) (*target.Client, func()) {
 		pipe := endpoint.NewPipe(http.StripPrefix("/t/0", t.Handler()))
@@ -59,21 +59,21 @@
 
 type testCase struct {
 	name string
-	do   func(b *bench)
+	do   func(b *fixture)
 }
 
-// run runs each case over each kind of client, on the virtual clock.
+// run runs each case with each kind of client on the virtual clock.
 func run(t *testing.T, cases []testCase) {
-	for kind, build := range kinds {
+	for kind, newClient := range clientKinds {
 		for _, c := range cases {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					at := standin.New(info, standin.Work(time.Second))
-					client, stop := build(at)
+					client, stop := newClient(at)
 					defer stop()
 					defer at.SetFault(standin.Fault{})
-					b := &bench{I: is.New(t), Client: client, at: at, ctx: t.Context()}
-					defer b.asks.Wait()
+					b := &fixture{I: is.New(t), Client: client, target: at, ctx: t.Context()}
+					defer b.pending.Wait()
 					c.do(b)
 				})
 			})
@@ -83,65 +83,65 @@
 
 func TestContract(t *testing.T) {
 	run(t, []testCase{
-		{"an answer belongs to its request", func(b *bench) {
-			r, res := b.ask(target.Request{ID: "r1", Method: "book", Body: []byte("seat")})
+		{"an answer belongs to its request", func(b *fixture) {
+			r, res := b.mustDo(target.Request{ID: "r1", Method: "book", Body: []byte("seat")})
 			b.Equal(r.ID, "r1")
 			b.Equal(res, standin.Result{Target: "t", Method: "book", Echo: []byte("seat")})
 		}},
-		{"a repeated key gets the first answer", func(b *bench) {
-			_, first := b.ask(target.Request{ID: "r1", Key: "k", Session: "s"})
-			again, second := b.ask(target.Request{ID: "r2", Key: "k", Session: "s"})
+		{"a repeated key gets the first answer", func(b *fixture) {
+			_, first := b.mustDo(target.Request{ID: "r1", Key: "k", Session: "s"})
+			again, second := b.mustDo(target.Request{ID: "r2", Key: "k", Session: "s"})
 			b.Equal(again.ID, "r2")
 			b.Equal(first, second)
-			b.Equal(b.at.State().Ran, int64(1))
+			b.Equal(b.target.State().Ran, int64(1))
 		}},
-		{"a repeat joins the work in progress", func(b *bench) {
-			b.askBeside(target.Request{ID: "r1", Key: "k"})
+		{"a repeat joins the work in progress", func(b *fixture) {
+			b.doAsync(target.Request{ID: "r1", Key: "k"})
 			synctest.Wait()
-			b.ask(target.Request{ID: "r2", Key: "k"})
-			b.Equal(b.at.State().Ran, int64(1))
+			b.mustDo(target.Request{ID: "r2", Key: "k"})
+			b.Equal(b.target.State().Ran, int64(1))
 		}},
-		{"a repeat takes over when the first gives up", func(b *bench) {
+		{"a repeat takes over when the first gives up", func(b *fixture) {
 			ctx, cancel := context.WithTimeout(b.ctx, time.Second/2)
 			defer cancel()
 			go func() { _, _ = b.Do(ctx, &target.Request{ID: "r1", Key: "k"}) }()
 			synctest.Wait()
-			b.ask(target.Request{ID: "r2", Key: "k"})
-			b.Equal(b.at.State().Ran, int64(2))
+			b.mustDo(target.Request{ID: "r2", Key: "k"})
+			b.Equal(b.target.State().Ran, int64(2))
 		}},
-		{"a session counts its own requests", func(b *bench) {
+		{"a session counts its own requests", func(b *fixture) {
 			for i := range 3 {
-				_, res := b.ask(target.Request{ID: fmt.Sprint(i), Session: "s"})
+				_, res := b.mustDo(target.Request{ID: fmt.Sprint(i), Session: "s"})
 				b.Equal(res.Count, int64(i+1))
 			}
-			_, res := b.ask(target.Request{ID: "other", Session: "o"})
+			_, res := b.mustDo(target.Request{ID: "other", Session: "o"})
 			b.Equal(res.Count, int64(1))
 		}},
-		{"beyond its slots it is busy and tells", func(b *bench) {
+		{"beyond its slots it is busy and tells", func(b *fixture) {
 			for i := range info.Slots {
-				b.askBeside(target.Request{ID: fmt.Sprint(i)})
+				b.doAsync(target.Request{ID: fmt.Sprint(i)})
 			}
 			synctest.Wait()
-			r, _ := b.ask(target.Request{ID: "more", Key: "k"})
+			r, _ := b.mustDo(target.Request{ID: "more", Key: "k"})
 			b.True(r.Busy)
-			b.Equal(b.at.Violations(), []string{"request more exceeds 2 slots"})
+			b.Equal(b.target.Violations(), []string{"request more exceeds 2 slots"})
 			time.Sleep(2 * time.Second)
-			r, _ = b.ask(target.Request{ID: "again", Key: "k"})
+			r, _ = b.mustDo(target.Request{ID: "again", Key: "k"})
 			b.True(!r.Busy)
-			b.Equal(b.at.State().Most, info.Slots)
+			b.Equal(b.target.State().Most, info.Slots)
 		}},
-		{"a leaving target keeps its sessions", func(b *bench) {
-			b.ask(target.Request{ID: "r1", Session: "s"})
-			b.at.SetLeaving(true)
-			r, _ := b.ask(target.Request{ID: "r2"})
+		{"a leaving target keeps its sessions", func(b *fixture) {
+			b.mustDo(target.Request{ID: "r1", Session: "s"})
+			b.target.SetLeaving(true)
+			r, _ := b.mustDo(target.Request{ID: "r2"})
 			b.True(r.Leaving)
 			time.Sleep(standin.DefaultLeavingGrace)
-			b.ask(target.Request{ID: "r3", Session: "s"})
-			b.Equal(len(b.at.Violations()), 0)
-			b.ask(target.Request{ID: "r4"})
-			b.Equal(b.at.Violations(), []string{"new work while leaving: r4"})
+			b.mustDo(target.Request{ID: "r3", Session: "s"})
+			b.Equal(len(b.target.Violations()), 0)
+			b.mustDo(target.Request{ID: "r4"})
+			b.Equal(b.target.Violations(), []string{"new work while leaving: r4"})
 		}},
-		{"giving up frees the slot", func(b *bench) {
+		{"giving up frees the slot", func(b *fixture) {
 			ctx, cancel := context.WithCancel(b.ctx)
 			go func() {
 				time.Sleep(time.Second / 2)
@@ -150,20 +150,20 @@
 			_, err := b.Do(ctx, &target.Request{ID: "r1"})
 			b.True(errors.Is(err, context.Canceled))
 			synctest.Wait()
-			b.Equal(b.at.State().InUse, 0)
+			b.Equal(b.target.State().InUse, 0)
 		}},
 	})
 }
 
-// The caller of a request gets an error or a failed answer, and learns from it whether the request
-// may have run: only ErrNotSent and ErrRefused say that it has not.
-// The answer of another request, or a part of an answer, is never shown.
+// Guards against errors that hide whether the request may have run: only ErrNotSent and ErrRefused
+// may say that it did not. The answer to another request and a truncated answer must never be
+// returned.
 func TestFaults(t *testing.T) {
 	const unknown = "unknown"
 	cases := []struct {
 		name  string
 		fault standin.Fault
-		want  error // nil means an answer; a plain error means an open outcome.
+		want  error // nil means an answer; errors.New(unknown) means an error that leaves open whether the request ran
 		ran   int64
 	}{
 		{"down", standin.Fault{Down: true}, errors.New(unknown), 0},
@@ -179,9 +179,9 @@
 	}
 	var all []testCase
 	for _, c := range cases {
-		all = append(all, testCase{c.name, func(b *bench) {
-			b.ask(target.Request{ID: "before"})
-			b.at.SetFault(c.fault)
+		all = append(all, testCase{c.name, func(b *fixture) {
+			b.mustDo(target.Request{ID: "before"})
+			b.target.SetFault(c.fault)
 			ctx, cancel := context.WithTimeout(b.ctx, 4*time.Second)
 			defer cancel()
 			resp, err := b.Do(ctx, &target.Request{ID: "r", Key: "k"})
@@ -193,17 +193,17 @@
 			} else {
 				b.True(!errors.Is(err, target.ErrRefused))
 			}
-			b.Equal(b.at.State().Ran, 1+c.ran)
-			b.at.SetFault(standin.Fault{})
-			r, _ := b.ask(target.Request{ID: "again", Key: "k"})
+			b.Equal(b.target.State().Ran, 1+c.ran)
+			b.target.SetFault(standin.Fault{})
+			r, _ := b.mustDo(target.Request{ID: "again", Key: "k"})
 			b.Equal(r.ID, "again")
 		}})
 	}
 	run(t, all)
 }
 
-// A gate sends more requests than its connections to a target; those that wait give up in time.
-// They hear ErrNotSent, as no byte of theirs has left.
+// Guards against an ambiguous error when a request gives up while it waits for a free connection:
+// it must get ErrNotSent, because nothing was sent.
 func TestWaitForConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -224,9 +224,8 @@
 	})
 }
 
-// A target is slow to accept connections, and the callers of a gate give up one after another.
-// Each leaves a dial behind; the next caller's dial comes on top of it.
-// The target must never see more connections than the gate was given.
+// Guards against more connections to a slow target than the gate was given: callers give up one
+// after another, each leaves a dial behind, and the next caller dials again.
 func TestConnectionsWithSlowDials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gate/target/doc.go
+++ b/gate/target/doc.go
@@ -1,3 +1,3 @@
-// Package target is the cell's view of a platform target: a runner of a service that answers
-// checks and holds sessions within a number of slots and connections.
+// Package target defines the calls to platform targets. A target runs one service: it answers
+// checks and holds sessions within a limited number of slots and connections.
 package target
--- a/gate/target/target.go
+++ b/gate/target/target.go
@@ -7,11 +7,11 @@
 	"turmericgap/job"
 )
 
-// Errors whose meaning is definite; any other leaves open whether the request ran.
+// Errors of requests that certainly did not run. After any other error a request may have run.
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("target call not sent")
-	// ErrRefused means that the target answered that it did not run the request.
+	// ErrRefused means that the target replied that it did not run the request.
 	ErrRefused = errors.New("target refused")
 )
 
@@ -22,18 +22,20 @@
 	Zone    string `json:"zone"`
 	// Service is the service that the target runs, such as "course-desk".
 	Service string `json:"service"`
-	// Slots is how many requests it works on at once, Connections how many it holds open.
+	// Slots limits the requests that the target runs concurrently; Connections limits its open
+	// connections.
 	Slots       int `json:"slots"`
 	Connections int `json:"connections"`
-	// Leaving says that it keeps its sessions and gets nothing new.
+	// Leaving reports that the target keeps its sessions but must not get new requests or sessions.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
 // Request is one check, or one request of a session.
 type Request struct {
-	// ID is unique for each attempt; an answer is matched by it.
+	// ID is unique for each attempt and identifies its response.
 	ID string `json:"id"`
-	// Key is the caller's idempotency key; a target that sees it again gives its first answer.
+	// Key is the caller's idempotency key. A target that receives a key again repeats its first
+	// answer.
 	Key     string `json:"key,omitempty"`
 	Session string `json:"session,omitempty"`
 	Method  string `json:"method"`
@@ -43,13 +45,13 @@
 	Parent     string `json:"parent,omitempty"`
 }
 
-// Response answers the Request with the same ID.
+// Response is the response to the Request with the same ID.
 type Response struct {
 	ID     string     `json:"id"`
 	Answer job.Answer `json:"answer"`
-	// Busy says that the target did not run the request for want of a slot.
+	// Busy reports that the target did not run the request because it had no free slot.
 	Busy bool `json:"busy,omitempty"`
-	// Leaving says that the target takes nothing new from now on.
+	// Leaving reports that the target accepts no new requests or sessions from now on.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -58,5 +60,5 @@
 	Do func(ctx context.Context, r *Request) (*Response, error)
 }
 
-// Dial makes the client of a target that opens at most connections connections.
+// Dial creates the client of a target, which opens at most the given number of connections.
 type Dial func(info Info, connections int) *Client
--- a/gate/target/web/web.go
+++ b/gate/target/web/web.go
@@ -10,10 +10,10 @@
 	"turmericgap/webcall"
 )
 
-// DoPath is the path below a target's address.
+// DoPath is the request path below a target's address.
 const DoPath = "/do"
 
-// New returns the dialler of targets.
+// New returns the function that creates clients of targets.
 func New(pool *webcall.Pool) target.Dial {
 	return func(info target.Info, connections int) *target.Client {
 		connections = max(1, connections)
@@ -27,8 +27,8 @@
 type client struct {
 	pool *webcall.Pool
 	info target.Info
-	// connections holds one token for each request in progress; a request that waits for one has
-	// surely not been sent.
+	// connections is a semaphore of requests in progress. A request that waits for it has not been
+	// sent.
 	connections chan struct{}
 }
 
@@ -50,7 +50,7 @@
 	return out, nil
 }
 
-// wrap gives a transport's error its meaning for targets.
+// wrap converts a transport error to an error of package target.
 func (c *client) wrap(err error) error {
 	switch {
 	case errors.Is(err, webcall.ErrNotSent):
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -19,12 +19,13 @@
 	"turmericgap/share"
 )
 
-// testZone is several gates before the same targets. Heartbeats and loans go by direct calls.
+// testZone is a zone of several gates with the same targets. Calls between gates are direct.
 type testZone struct {
 	*fakeTargets
 	mu    sync.Mutex
 	gates map[string]*Gate
-	// most is the greatest number of requests that one target had at once.
+	// current counts the requests in progress per target; maxConcurrent is the highest count of any
+	// target.
 	current       map[string]int
 	maxConcurrent int
 }
@@ -48,7 +49,7 @@
 		z.gates[id] = z.newGate(ID(id), alwaysMember, directSiblings(z.gates, 0))
 	}
 	z.setTable(1, gates...)
-	time.Sleep(20 * time.Second) // A new zone waits for the last requests of gates before it.
+	time.Sleep(20 * time.Second) // The gates of a new zone wait for the last requests of earlier gates.
 	return z
 }
 
@@ -65,7 +66,7 @@
 	return z.maxConcurrent
 }
 
-// directSiblings gives the siblings among some gates, reached by calls that take a while.
+// directSiblings connects gates by direct calls; loan requests take the given time.
 func directSiblings(gates map[string]*Gate, takes time.Duration) Option {
 	return Siblings(SiblingClient{
 		func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
@@ -96,16 +97,16 @@
 	}
 }
 
-// The caller of a busy gate waits although the targets are idle.
-// All callers come to one of three gates, whose share is a third of the slots. It must get the idle
-// slots of its siblings, and together they must never use more than there are.
+// Guards against checks that wait at a busy gate while targets are idle. All callers use one of
+// three gates, which owns a third of the slots. It must borrow the idle slots of its siblings, and
+// together they must never exceed the slots of a target.
 func TestIdleShareReachesBusyGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newTestZone(10, 8, 100*time.Millisecond, "g1", "g2", "g3")
 		defer z.close()
 		for _, g := range []string{"g2", "g3"} {
-			// The siblings have a little to do too.
+			// The siblings have a little load as well.
 			go z.gates[g].Do(context.Background(), &Check{Service: "desk"})
 		}
 		var done atomic.Int64
@@ -127,12 +128,12 @@
 		is.True(z.peak() <= 8)
 		time.Sleep(10 * time.Second)
 		is.Equal(done.Load(), int64(60*20))
-		is.Equal(len(z.gates["g1"].shares.ReturnIdle(time.Now())), 0) // What was idle has been returned.
+		is.Equal(len(z.gates["g1"].shares.ReturnIdle(time.Now())), 0) // Idle loans have been returned.
 	})
 }
 
-// The caller's check is not sent by a gate that has lost its membership.
-// The gate was paused; meanwhile its lease lapsed and its siblings took its share.
+// Guards against a gate that sends checks after its membership ended. Its lease expired while it
+// was paused, and its siblings took its share.
 func TestNoShareWithoutMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -158,8 +159,8 @@
 	})
 }
 
-// The caller reaches targets of another zone only when its own has none that is usable.
-// A gate of that zone may be dead, stopping, or lose its answer on the way.
+// Guards against forwarding to another zone although the own zone has a usable target, and against
+// a wrong outcome when a gate of that zone is down, stopping, or loses its answer.
 func TestForward(t *testing.T) {
 	refusal := func() (*Result, error) { return nil, rpc.Refused(time.Second, "gate is stopping") }
 	good := func() (*Result, error) {
@@ -207,8 +208,8 @@
 	}
 }
 
-// The callers of a gate get slots and answers through other processes, over the wire.
-// A gate of the zone lends over rpc; one of another zone forwards a check there.
+// Guards against messages between gates that do not survive encoding: a gate borrows slots over
+// rpc, and a gate of another zone forwards a check.
 func TestOverRPC(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -240,10 +241,10 @@
 		for range 7 {
 			is.Equal((<-results).Outcome, job.Done)
 		}
-		time.Sleep(3 * time.Second) // What was borrowed is returned.
+		time.Sleep(3 * time.Second) // Loans have been returned.
 		is.Equal(z.gates["g2"].Drain(time.Now()), 0)
 		z.setTable(2, "g1")
-		is.Equal(z.gates["g1"].Status().Shares.Agreed, int64(2)) // It has left, and need not be waited for.
+		is.Equal(z.gates["g1"].Status().Shares.Agreed, int64(2)) // The gate that left need not confirm the table.
 		z.close()
 		pool.Close()
 		for _, s := range servers {
