--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -46,12 +46,12 @@
 // policy and ignores the health of targets.
 func (p *policy) newPicker(b *balancer.Balancer, infos []target.Info) func(*balancer.Constraints, time.Time) (balancer.Choice, bool) {
 	order := p.order()
-	return func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool) {
+	return func(constraints *balancer.Constraints, now time.Time) (balancer.Choice, bool) {
 		for _, i := range order(len(infos)) {
-			if infos[i].ID == ask.Avoid {
+			if infos[i].ID == constraints.Avoid {
 				continue
 			}
-			if c, ok := b.PickByID(infos[i].ID, ask, now); ok {
+			if c, ok := b.PickByID(infos[i].ID, constraints, now); ok {
 				return c, true
 			}
 		}
@@ -96,14 +96,14 @@
 		c.waits = append(c.waits, time.Since(a.at))
 		a.at = time.Time{}
 	}
-	took := time.Duration(float64(meanRunTime) * (0.2 + 0.8*c.rng.ExpFloat64()))
+	runTime := time.Duration(float64(meanRunTime) * (0.2 + 0.8*c.rng.ExpFloat64()))
 	c.mu.Unlock()
 	factor, err := c.fault(id, r)
 	if err != nil {
-		took = time.Millisecond
+		runTime = time.Millisecond
 	}
 	select {
-	case <-time.After(took * max(1, factor)):
+	case <-time.After(runTime * max(1, factor)):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -114,7 +114,7 @@
 }
 
 // run sends checks through all gates of the cell for the given time and waits until they end.
-func (c *loadTest) run(p policy, rate int, lasts time.Duration) {
+func (c *loadTest) run(p policy, rate int, duration time.Duration) {
 	c.rng, c.outcomes = rand.New(rand.NewPCG(1, 2)), make(map[job.Outcome]int)
 	var infos []target.Info
 	for i := range testTargets {
@@ -153,18 +153,18 @@
 		}
 	}
 	time.Sleep(20 * time.Second)
-	c.sendChecks(all, rate, lasts)
+	c.sendChecks(all, rate, duration)
 	for _, g := range all {
 		g.Close()
 	}
 }
 
 // sendChecks sends checks at random intervals; half of the callers of each zone use its first gate.
-func (c *loadTest) sendChecks(all []*Gate, rate int, lasts time.Duration) {
+func (c *loadTest) sendChecks(all []*Gate, rate int, duration time.Duration) {
 	var calls sync.WaitGroup
 	arrivals := rand.New(rand.NewPCG(3, 4))
 	weights := []int{0, 0, 0, 1, 1, 2, 3, 3, 3, 4, 4, 5, 6, 6, 6, 7, 7}
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(arrivals.ExpFloat64() * float64(time.Second) / float64(rate)))
 		g := all[weights[arrivals.IntN(len(weights))]]
 		arrived := time.Now()
@@ -209,15 +209,15 @@
 // capacity of the healthy ones.
 func TestPolicies(t *testing.T) {
 	for _, load := range []struct {
-		name string
-		sick func(int, *target.Request) (time.Duration, error)
-		rate int
-	}{{"all well", allHealthy, checkRate}, {"five sick", fiveOf50Faulty, checkRate}, {"five sick, busy", fiveOf50Faulty, 3000}} {
+		name  string
+		fault func(int, *target.Request) (time.Duration, error)
+		rate  int
+	}{{"all healthy", allHealthy, checkRate}, {"five faulty", fiveOf50Faulty, checkRate}, {"five faulty, busy", fiveOf50Faulty, 3000}} {
 		lost := make(map[string]float64)
 		p99 := make(map[string]time.Duration)
 		for _, p := range []policy{{name: "gate"}, {name: "random", order: randomOrder}, {name: "round robin", order: roundRobin}} {
 			synctest.Test(t, func(t *testing.T) {
-				c := &loadTest{fault: load.sick}
+				c := &loadTest{fault: load.fault}
 				c.run(p, load.rate, *loadDuration)
 				n := c.outcomes[job.Done] + c.outcomes[job.NotRun] + c.outcomes[job.Unknown]
 				lost[p.name] = 100 * float64(n-c.outcomes[job.Done]) / float64(n)
--- a/gate/send.go
+++ b/gate/send.go
@@ -112,8 +112,7 @@
 	}
 	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
 		// The process was paused after the slot was acquired, and a sibling may use the slot now.
-		return &attempt{state: notStarted, outcome: balancer.Abandoned,
-			reason: "slot was reassigned before the request was sent"}
+		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "slot was reassigned before the send"}
 	}
 	cl.attempts++
 	g.metrics.attempts.Inc(1)
--- a/gate/target/contract_test.go
+++ b/gate/target/contract_test.go
@@ -101,7 +101,7 @@
 			b.mustDo(target.Request{ID: "r2", Key: "k"})
 			b.Equal(b.target.State().Ran, int64(1))
 		}},
-		{"a repeat takes over when the first gives up", func(b *fixture) {
+		{"a repeat runs when the first request is canceled", func(b *fixture) {
 			ctx, cancel := context.WithTimeout(b.ctx, time.Second/2)
 			defer cancel()
 			go func() { _, _ = b.Do(ctx, &target.Request{ID: "r1", Key: "k"}) }()
@@ -109,7 +109,7 @@
 			b.mustDo(target.Request{ID: "r2", Key: "k"})
 			b.Equal(b.target.State().Ran, int64(2))
 		}},
-		{"a session counts its own requests", func(b *fixture) {
+		{"sessions have separate state", func(b *fixture) {
 			for i := range 3 {
 				_, res := b.mustDo(target.Request{ID: fmt.Sprint(i), Session: "s"})
 				b.Equal(res.Count, int64(i+1))
@@ -117,7 +117,7 @@
 			_, res := b.mustDo(target.Request{ID: "other", Session: "o"})
 			b.Equal(res.Count, int64(1))
 		}},
-		{"beyond its slots it is busy and tells", func(b *fixture) {
+		{"requests beyond its slots get a busy response", func(b *fixture) {
 			for i := range info.Slots {
 				b.doAsync(target.Request{ID: fmt.Sprint(i)})
 			}
@@ -141,7 +141,7 @@
 			b.mustDo(target.Request{ID: "r4"})
 			b.Equal(b.target.Violations(), []string{"new work while leaving: r4"})
 		}},
-		{"giving up frees the slot", func(b *fixture) {
+		{"canceling a request frees the slot", func(b *fixture) {
 			ctx, cancel := context.WithCancel(b.ctx)
 			go func() {
 				time.Sleep(time.Second / 2)
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -67,11 +67,11 @@
 }
 
 // directSiblings connects gates by direct calls; loan requests take the given time.
-func directSiblings(gates map[string]*Gate, takes time.Duration) Option {
+func directSiblings(gates map[string]*Gate, delay time.Duration) Option {
 	return Siblings(SiblingClient{
-		func(ctx context.Context, gate string, ask *share.LoanRequest) (*share.LoanReply, error) {
-			time.Sleep(takes)
-			return gates[gate].HandleBorrow(ctx, ask)
+		func(ctx context.Context, gate string, request *share.LoanRequest) (*share.LoanReply, error) {
+			time.Sleep(delay)
+			return gates[gate].HandleBorrow(ctx, request)
 		},
 		func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := gates[gate].AcceptReturn(ctx, r)
