--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,86 +10,87 @@
 
 // Defaults.
 const (
-	// DefaultSlowStart is how long a new or returned target takes to reach its full weight.
+	// DefaultSlowStart is how long a new or reinstated target takes to reach its full weight.
 	DefaultSlowStart = 5 * time.Second
-	// DefaultFailureThreshold is how many failures in a row eject a target.
+	// DefaultFailureThreshold is the number of consecutive failures after which a target is
+	// ejected.
 	DefaultFailureThreshold = 5
-	// DefaultBaseEjection is how long a first ejection lasts; each further one in a row doubles it.
+	// DefaultBaseEjection is the duration of the first ejection; each consecutive one doubles it.
 	DefaultBaseEjection = 2 * time.Second
-	// DefaultMaxEjection bounds an ejection.
+	// DefaultMaxEjection limits the duration of an ejection.
 	DefaultMaxEjection = 60 * time.Second
-	// DefaultSlowFactor is how many times the median of its peers' latency ejects a target.
+	// DefaultSlowFactor is the multiple of the median latency above which a target is ejected.
 	DefaultSlowFactor = 4
-	// DefaultSlowFloor is the latency below which no target counts as slow.
+	// DefaultSlowFloor is the latency up to which a target never counts as slow.
 	DefaultSlowFloor = 20 * time.Millisecond
-	// DefaultBusyBackoff is how long a target that said it was busy is passed over.
+	// DefaultBusyBackoff is how long a target is skipped after it reported that it was busy.
 	DefaultBusyBackoff = 20 * time.Millisecond
 
-	minSamples     = 8
-	leastWeight    = 0.1
-	smoothing      = 0.2
-	judgeEvery     = 200 * time.Millisecond
-	pairs          = 3
-	patienceFactor = 4
+	minSamples              = 8
+	minWeight               = 0.1
+	latencySmoothing        = 0.2
+	slowCheckInterval       = 200 * time.Millisecond
+	maxPairs                = 3
+	unrepeatableProbeFactor = 4
 )
 
-// Outcome is how a request ended, as far as its target's health goes.
+// Outcome is the result of a request with respect to the health of its target.
 type Outcome int
 
-// The verdicts.
+// The outcomes.
 const (
-	// Succeeded is a whole answer.
+	// Succeeded is a complete answer.
 	Succeeded Outcome = iota
-	// Failed is an error, a cut or wrong answer, or a timeout.
+	// Failed is an error, a truncated or wrong answer, or a timeout.
 	Failed
-	// Busy is a refusal for want of a slot; it says nothing about health.
+	// Busy is a rejection because all slots were taken; it does not affect the target's health.
 	Busy
-	// Abandoned is a request that its caller gave up; it says nothing about health.
+	// Abandoned is a request canceled by its caller; it does not affect the target's health.
 	Abandoned
 )
 
-// Choice is a picked target.
+// Choice is a selected target.
 type Choice struct {
 	Info  target.Info
 	Probe bool
 }
 
-// Constraints is what a pick has to respect.
+// Constraints restricts the selection of a target.
 type Constraints struct {
-	// Avoid is a target to pass over while another one is usable.
+	// Avoid is the ID of a target to skip while another one is usable.
 	Avoid string
-	// Repeatable says that the request may be run again, so that it may test an ejected target.
+	// Repeatable reports that the request may be retried, so it may probe an ejected target.
 	Repeatable bool
-	// PlacementOnly says that a session is placed, which needs no slot yet.
+	// PlacementOnly reports that a session is being placed, which needs no slot yet.
 	PlacementOnly bool
-	// FreeSlots tells how many more requests a target may be given; nil means that only Slots counts.
+	// FreeSlots returns how many more requests a target may get; if nil, only Info.Slots counts.
 	FreeSlots func(info *target.Info) int
 }
 
-type entry struct {
-	info        target.Info
-	left        bool
-	outstanding int
-	since       time.Time
-	latency     float64
-	samples     int
-	failures    int
-	ejected     bool
-	until       time.Time
-	ejections   int
-	probing     bool
-	busyUntil   time.Time
+type targetState struct {
+	info            target.Info
+	reportedLeaving bool
+	outstanding     int
+	warmupStart     time.Time
+	latency         float64
+	samples         int
+	failures        int
+	ejected         bool
+	ejectedUntil    time.Time
+	ejections       int
+	probing         bool
+	busyUntil       time.Time
 }
 
-// Balancer holds the health of the targets of one service in one zone. It is not safe for
-// concurrent use.
+// Balancer selects among the targets of one service in one zone and tracks their health. It is not
+// safe for concurrent use.
 type Balancer struct {
-	opts   Options
-	rng    *rand.Rand
-	list   []*entry
-	byID   map[string]*entry
-	judged time.Time
-	median float64
+	opts          Options
+	rng           *rand.Rand
+	targets       []*targetState
+	byID          map[string]*targetState
+	lastSlowCheck time.Time
+	median        float64
 }
 
 // New returns a Balancer without targets.
@@ -102,40 +103,41 @@
 	for _, f := range opts {
 		f(&o)
 	}
-	return &Balancer{opts: o, rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), byID: make(map[string]*entry)}
+	return &Balancer{opts: o, rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), byID: make(map[string]*targetState)}
 }
 
-// Update replaces the list of targets and keeps the health of those that stay.
+// Update replaces the list of targets and keeps the state of targets that remain.
 func (b *Balancer) Update(infos []target.Info, now time.Time) {
 	first := len(b.byID) == 0
-	byID := make(map[string]*entry, len(infos))
-	list := make([]*entry, 0, len(infos))
+	byID := make(map[string]*targetState, len(infos))
+	list := make([]*targetState, 0, len(infos))
 	for _, info := range infos {
 		e, ok := b.byID[info.ID]
 		if !ok || e.info.Address != info.Address {
-			e = &entry{since: now}
+			e = &targetState{warmupStart: now}
 			if first {
-				// With the first list all targets are equally new, and holding all back helps none.
-				e.since = now.Add(-b.opts.SlowStart)
+				// All targets of the first list are equally new, so slow start would only reduce
+				// capacity.
+				e.warmupStart = now.Add(-b.opts.SlowStart)
 			}
 		}
 		e.info = info
-		// The list lags: it may still show a target as staying that has said it leaves.
-		e.info.Leaving = info.Leaving || e.left
+		// The list may lag and not yet show that the target is leaving.
+		e.info.Leaving = info.Leaving || e.reportedLeaving
 		byID[info.ID] = e
 		list = append(list, e)
 	}
-	b.list, b.byID = list, byID
+	b.targets, b.byID = list, byID
 }
 
-// MarkLeaving marks a target that said so itself, ahead of the list.
+// MarkLeaving marks a target that reported that it is leaving before the list shows it.
 func (b *Balancer) MarkLeaving(id string) {
 	if e, ok := b.byID[id]; ok {
-		e.left, e.info.Leaving = true, true
+		e.reportedLeaving, e.info.Leaving = true, true
 	}
 }
 
-// Info gives a target of the list, also one that is leaving or ejected.
+// Info returns a listed target, even if it is leaving or ejected.
 func (b *Balancer) Info(id string) (target.Info, bool) {
 	e, ok := b.byID[id]
 	if !ok {
@@ -144,10 +146,10 @@
 	return e.info, true
 }
 
-// UsableCount counts the targets that may get new requests.
+// UsableCount returns the number of targets that may get new requests.
 func (b *Balancer) UsableCount() int {
 	n := 0
-	for _, e := range b.list {
+	for _, e := range b.targets {
 		if !e.info.Leaving && !e.ejected {
 			n++
 		}
@@ -155,10 +157,10 @@
 	return n
 }
 
-// EjectedCount counts the targets that are ejected now.
+// EjectedCount returns the number of ejected targets.
 func (b *Balancer) EjectedCount() int {
 	n := 0
-	for _, e := range b.list {
+	for _, e := range b.targets {
 		if e.ejected {
 			n++
 		}
@@ -166,113 +168,114 @@
 	return n
 }
 
-// Pick chooses a target for a new request and counts it as outstanding there.
-func (b *Balancer) Pick(ask *Constraints, now time.Time) (Choice, bool) {
-	if e := b.dueProbe(ask, now); e != nil && !ask.PlacementOnly {
+// Pick selects a target for a new request and counts the request as outstanding.
+func (b *Balancer) Pick(c *Constraints, now time.Time) (Choice, bool) {
+	if e := b.nextProbe(c, now); e != nil && !c.PlacementOnly {
 		e.probing = true
-		return b.take(e, true), true
+		return b.assign(e, true), true
 	}
-	if e := b.best(ask, now); e != nil {
-		return b.take(e, false), true
+	if e := b.pickLeastLoaded(c, now); e != nil {
+		return b.assign(e, false), true
 	}
 	return Choice{}, false
 }
 
-// PickByID counts a request that is bound to one target as outstanding there.
-func (b *Balancer) PickByID(id string, ask *Constraints, now time.Time) (Choice, bool) {
+// PickByID selects the given target if it has a free slot and counts the request as outstanding.
+func (b *Balancer) PickByID(id string, c *Constraints, now time.Time) (Choice, bool) {
 	e, ok := b.byID[id]
-	if !ok || now.Before(e.busyUntil) || b.free(e, ask) <= 0 {
+	if !ok || now.Before(e.busyUntil) || b.freeSlots(e, c) <= 0 {
 		return Choice{}, false
 	}
-	return b.take(e, false), true
+	return b.assign(e, false), true
 }
 
-func (b *Balancer) take(e *entry, probe bool) Choice {
+func (b *Balancer) assign(e *targetState, probe bool) Choice {
 	e.outstanding++
 	return Choice{Info: e.info, Probe: probe}
 }
 
-// dueProbe gives an ejected target whose time is up. A request that may not be repeated is risked
-// only after a multiple of that time, when nothing else has come to test the target.
-func (b *Balancer) dueProbe(ask *Constraints, now time.Time) *entry {
-	for _, e := range b.list {
-		if !e.ejected || e.probing || e.info.Leaving || e.info.ID == ask.Avoid || now.Before(e.until) {
+// nextProbe returns an ejected target whose ejection time has passed. A request that must not be
+// retried is used as a probe only after a multiple of that time, if no other request has probed the
+// target.
+func (b *Balancer) nextProbe(c *Constraints, now time.Time) *targetState {
+	for _, e := range b.targets {
+		if !e.ejected || e.probing || e.info.Leaving || e.info.ID == c.Avoid || now.Before(e.ejectedUntil) {
 			continue
 		}
-		if !ask.Repeatable && now.Before(e.until.Add((patienceFactor-1)*b.ejection(e))) {
+		if !c.Repeatable && now.Before(e.ejectedUntil.Add((unrepeatableProbeFactor-1)*b.ejectionTime(e))) {
 			continue
 		}
-		if b.free(e, ask) > 0 {
+		if b.freeSlots(e, c) > 0 {
 			return e
 		}
 	}
 	return nil
 }
 
-func (b *Balancer) best(ask *Constraints, now time.Time) *entry {
-	n := len(b.list)
+func (b *Balancer) pickLeastLoaded(c *Constraints, now time.Time) *targetState {
+	n := len(b.targets)
 	if n == 0 {
 		return nil
 	}
-	for range pairs {
-		x, y := b.list[b.rng.IntN(n)], b.list[b.rng.IntN(n)]
-		x, y = b.open(x, ask, now), b.open(y, ask, now)
-		if e := b.better(x, y, now); e != nil {
+	for range maxPairs {
+		x, y := b.targets[b.rng.IntN(n)], b.targets[b.rng.IntN(n)]
+		x, y = b.ifEligible(x, c, now), b.ifEligible(y, c, now)
+		if e := b.lessLoaded(x, y, now); e != nil {
 			return e
 		}
 	}
 	start := b.rng.IntN(n)
 	for i := range n {
-		if e := b.open(b.list[(start+i)%n], ask, now); e != nil {
+		if e := b.ifEligible(b.targets[(start+i)%n], c, now); e != nil {
 			return e
 		}
 	}
-	return b.avoided(ask, now)
+	return b.avoidedFallback(c, now)
 }
 
-// avoided gives the target to avoid itself when no other one is usable at all.
-func (b *Balancer) avoided(ask *Constraints, now time.Time) *entry {
-	if ask.Avoid == "" || b.UsableCount() > 1 {
+// avoidedFallback returns the target to avoid if no other one is usable.
+func (b *Balancer) avoidedFallback(c *Constraints, now time.Time) *targetState {
+	if c.Avoid == "" || b.UsableCount() > 1 {
 		return nil
 	}
-	again := *ask
+	again := *c
 	again.Avoid = ""
-	if e, ok := b.byID[ask.Avoid]; ok {
-		return b.open(e, &again, now)
+	if e, ok := b.byID[c.Avoid]; ok {
+		return b.ifEligible(e, &again, now)
 	}
 	return nil
 }
 
-// open gives e if it may get a new request now, and nil otherwise.
-func (b *Balancer) open(e *entry, ask *Constraints, now time.Time) *entry {
-	if e.info.Leaving || e.ejected || e.info.ID == ask.Avoid {
+// ifEligible returns e if it may get a new request now, or nil.
+func (b *Balancer) ifEligible(e *targetState, c *Constraints, now time.Time) *targetState {
+	if e.info.Leaving || e.ejected || e.info.ID == c.Avoid {
 		return nil
 	}
-	if ask.PlacementOnly {
+	if c.PlacementOnly {
 		return e
 	}
 	if now.Before(e.busyUntil) {
 		return nil
 	}
-	// A cold target that gets its full load at once answers slowly and is then ejected; it gets
-	// its slots one after the other instead.
+	// A cold target that gets its full load at once answers slowly and would be ejected, so its
+	// slots are opened gradually.
 	if float64(e.outstanding) >= float64(e.info.Slots)*b.weight(e, now) {
 		return nil
 	}
-	if b.free(e, ask) <= 0 {
+	if b.freeSlots(e, c) <= 0 {
 		return nil
 	}
 	return e
 }
 
-func (b *Balancer) free(e *entry, ask *Constraints) int {
-	if ask.FreeSlots == nil {
+func (b *Balancer) freeSlots(e *targetState, c *Constraints) int {
+	if c.FreeSlots == nil {
 		return e.info.Slots - e.outstanding
 	}
-	return ask.FreeSlots(&e.info)
+	return c.FreeSlots(&e.info)
 }
 
-func (b *Balancer) better(x, y *entry, now time.Time) *entry {
+func (b *Balancer) lessLoaded(x, y *targetState, now time.Time) *targetState {
 	switch {
 	case x == nil:
 		return y
@@ -286,19 +289,19 @@
 	return x
 }
 
-func (b *Balancer) load(e *entry, now time.Time) float64 {
+func (b *Balancer) load(e *targetState, now time.Time) float64 {
 	return float64(e.outstanding+1) / (float64(max(1, e.info.Slots)) * b.weight(e, now))
 }
 
-func (b *Balancer) weight(e *entry, now time.Time) float64 {
-	age := now.Sub(e.since)
+func (b *Balancer) weight(e *targetState, now time.Time) float64 {
+	age := now.Sub(e.warmupStart)
 	if age >= b.opts.SlowStart {
 		return 1
 	}
-	return max(leastWeight, float64(age)/float64(b.opts.SlowStart))
+	return max(minWeight, float64(age)/float64(b.opts.SlowStart))
 }
 
-// Undo takes a choice back that came to nothing.
+// Undo reverts a Choice that was not used.
 func (b *Balancer) Undo(c Choice) {
 	b.Release(c.Info.ID)
 	if e, ok := b.byID[c.Info.ID]; ok && c.Probe {
@@ -313,10 +316,10 @@
 	}
 }
 
-// Targets lists those that may get new requests, with their slots.
+// Targets returns the targets that may get new requests, with their slots.
 func (b *Balancer) Targets() []share.Target {
-	out := make([]share.Target, 0, len(b.list))
-	for _, e := range b.list {
+	out := make([]share.Target, 0, len(b.targets))
+	for _, e := range b.targets {
 		if !e.info.Leaving && !e.ejected {
 			out = append(out, share.Target{ID: e.info.ID, Slots: e.info.Slots})
 		}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -12,10 +12,10 @@
 	"turmericgap/gate/target"
 )
 
-// The properties run from a fixed seed, so that a verdict does not change from run to run.
+// A fixed seed makes the property tests repeatable.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var zero = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func infos(n, slots int) []target.Info {
 	out := make([]target.Info, n)
@@ -25,8 +25,9 @@
 	return out
 }
 
-// drive sends n checks one after the other, 10 ms apart, each ending as end says; it counts them by target.
-func drive(b *Balancer, n int, now *time.Time, repeatable bool, end func(id string) (Outcome, time.Duration)) map[string]int {
+// sendChecks sends n checks 10 ms apart, each with the outcome that end returns, and counts them by
+// target.
+func sendChecks(b *Balancer, n int, now *time.Time, repeatable bool, end func(id string) (Outcome, time.Duration)) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		*now = now.Add(10 * time.Millisecond)
@@ -35,27 +36,27 @@
 			continue
 		}
 		got[c.Info.ID]++
-		v, took := end(c.Info.ID)
+		v, elapsed := end(c.Info.ID)
 		b.Release(c.Info.ID)
-		b.RecordOutcome(c.Info.ID, v, took, *now)
+		b.RecordOutcome(c.Info.ID, v, elapsed, *now)
 	}
 	return got
 }
 
-func good(string) (Outcome, time.Duration) { return Succeeded, 10 * time.Millisecond }
+func alwaysSucceed(string) (Outcome, time.Duration) { return Succeeded, 10 * time.Millisecond }
 
-// The callers wait behind one target, or lose checks to it, while the others are well.
-// Failing and slow targets are ejected; busy ones are not, because a queue is no illness; and where
-// more than half fail, the fault lies elsewhere and the rest must not be overrun.
+// Guards against checks that wait or fail at one bad target while others are healthy: failing and
+// slow targets must be ejected. Busy targets must not be, because a queue does not mean a fault. If
+// more than half fail, the cause lies elsewhere and the rest must not be overloaded.
 func TestEjection(t *testing.T) {
-	bad := func(sick int, v Outcome, took time.Duration) func(string) (Outcome, time.Duration) {
+	withFaulty := func(faulty int, v Outcome, elapsed time.Duration) func(string) (Outcome, time.Duration) {
 		return func(id string) (Outcome, time.Duration) {
 			var i int
 			fmt.Sscanf(id, "t%d", &i)
-			if i < sick {
-				return v, took
+			if i < faulty {
+				return v, elapsed
 			}
-			return good(id)
+			return alwaysSucceed(id)
 		}
 	}
 	cases := []struct {
@@ -64,60 +65,60 @@
 		end  func(string) (Outcome, time.Duration)
 		want int
 	}{
-		{"all well", 6, good, 0},
-		{"one fails", 6, bad(1, Failed, time.Millisecond), 1},
-		{"one is slow", 6, bad(1, Succeeded, 200*time.Millisecond), 1},
-		{"one is a little slow", 6, bad(1, Succeeded, 30*time.Millisecond), 0},
-		{"one is busy", 6, bad(1, Busy, 0), 0},
-		{"one loses callers", 6, bad(1, Abandoned, time.Second), 0},
-		{"all are slow", 6, bad(6, Succeeded, 200*time.Millisecond), 0},
-		{"all fail", 6, bad(6, Failed, time.Millisecond), 3},
-		{"four of six fail", 6, bad(4, Failed, time.Millisecond), 3},
-		{"one of one fails", 1, bad(1, Failed, time.Millisecond), 0},
-		{"one of two fails", 2, bad(1, Failed, time.Millisecond), 1},
+		{"all healthy", 6, alwaysSucceed, 0},
+		{"one fails", 6, withFaulty(1, Failed, time.Millisecond), 1},
+		{"one is slow", 6, withFaulty(1, Succeeded, 200*time.Millisecond), 1},
+		{"one is a little slow", 6, withFaulty(1, Succeeded, 30*time.Millisecond), 0},
+		{"one is busy", 6, withFaulty(1, Busy, 0), 0},
+		{"one has canceled requests", 6, withFaulty(1, Abandoned, time.Second), 0},
+		{"all are slow", 6, withFaulty(6, Succeeded, 200*time.Millisecond), 0},
+		{"all fail", 6, withFaulty(6, Failed, time.Millisecond), 3},
+		{"four of six fail", 6, withFaulty(4, Failed, time.Millisecond), 3},
+		{"one of one fails", 1, withFaulty(1, Failed, time.Millisecond), 0},
+		{"one of two fails", 2, withFaulty(1, Failed, time.Millisecond), 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b, now := New(), zero
+			b, now := New(), startTime
 			b.Update(infos(c.n, 8), now)
-			drive(b, 600, &now, false, c.end)
+			sendChecks(b, 600, &now, false, c.end)
 			is.Equal(b.EjectedCount(), c.want)
 		})
 	}
 }
 
-// The callers get a healed target back, and a sick one costs them few checks.
-// Only a check that may be repeated tests it at first, because a probe may be lost; one probe at a
-// time, and each failure doubles the pause.
+// Guards against a recovered target that stays ejected, and against probes that cost many checks of
+// a faulty one. Only a repeatable check is used as a probe at first, because it may be lost. Probes
+// run one at a time, and each failure doubles the ejection time.
 func TestProbes(t *testing.T) {
 	is := is.New(t)
-	b, now := New(), zero
+	b, now := New(), startTime
 	b.Update(infos(4, 8), now)
-	sick := true
+	faulty := true
 	end := func(id string) (Outcome, time.Duration) {
-		if id == "t0" && sick {
+		if id == "t0" && faulty {
 			return Failed, time.Millisecond
 		}
-		return good(id)
+		return alwaysSucceed(id)
 	}
-	drive(b, 100, &now, false, end)
+	sendChecks(b, 100, &now, false, end)
 	is.Equal(b.EjectedCount(), 1)
-	is.Equal(drive(b, 300, &now, false, end)["t0"], 0)                          // 3 s without repeatable checks: not risked.
-	is.True(drive(b, 3000, &now, true, end)["t0"] <= DefaultFailureThreshold+4) // 30 s: few probes.
-	sick = false
-	back := drive(b, 6000, &now, true, end)["t0"]
+	is.Equal(sendChecks(b, 300, &now, false, end)["t0"], 0)                          // 3 s without repeatable checks: no probe.
+	is.True(sendChecks(b, 3000, &now, true, end)["t0"] <= DefaultFailureThreshold+4) // 30 s: few probes.
+	faulty = false
+	picks := sendChecks(b, 6000, &now, true, end)["t0"]
 	is.Equal(b.EjectedCount(), 0)
-	is.True(back > 500)
+	is.True(picks > 500)
 }
 
-// A cold target gets its load little by little, and answers faster for it.
+// Guards against overloading a cold target: it must get its share of requests gradually.
 func TestSlowStart(t *testing.T) {
 	is := is.New(t)
-	b, now := New(), zero
+	b, now := New(), startTime
 	b.Update(infos(1, 10), now)
 	b.Update(infos(2, 10), now)
-	hold := func() int {
+	pickNew := func() int {
 		n := 0
 		for range 30 {
 			if c, ok := b.Pick(&Constraints{}, now); ok && c.Info.ID == "t1" {
@@ -126,30 +127,32 @@
 		}
 		return n
 	}
-	is.Equal(hold(), 1)
+	is.Equal(pickNew(), 1)
 	now = now.Add(DefaultSlowStart / 2)
-	is.Equal(hold(), 4)
+	is.Equal(pickNew(), 4)
 	now = now.Add(DefaultSlowStart / 2)
-	is.Equal(hold(), 5)
+	is.Equal(pickNew(), 5)
 }
 
-// A target that said it leaves gets nothing new, though the list that lags still shows it as staying.
+// Guards against new requests to a target that reported that it is leaving, while a lagging list
+// still shows it as usable.
 func TestLeaving(t *testing.T) {
 	is := is.New(t)
-	b, now := New(), zero
+	b, now := New(), startTime
 	b.Update(infos(2, 8), now)
 	b.MarkLeaving("t0")
 	b.Update(infos(2, 8), now)
-	is.Equal(drive(b, 50, &now, true, good)["t0"], 0)
+	is.Equal(sendChecks(b, 50, &now, true, alwaysSucceed)["t0"], 0)
 	_, ok := b.PickByID("t0", &Constraints{}, now)
-	is.True(ok) // Its sessions go on.
+	is.True(ok) // Requests of its sessions continue.
 }
 
-// Whatever happens, no target gets more than its slots, and never is more than half ejected.
+// Guards against a target with more requests than slots, and against ejecting more than half of the
+// targets.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 7).Draw(rt, "targets")
-		b, now := New(Seed(rapid.Uint64().Draw(rt, "seed"))), zero
+		b, now := New(Seed(rapid.Uint64().Draw(rt, "seed"))), startTime
 		b.Update(infos(n, 3), now)
 		var busy []Choice
 		for range 300 {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -1,6 +1,6 @@
-// Package balancer chooses a target for each request of one service in one zone.
+// Package balancer selects a target for each request of one service in one zone.
 //
-// It compares two random targets and takes the one with fewer requests outstanding for its weight.
-// New and returned targets start slowly; targets that fail or are far slower than their peers are
-// ejected and let back by probes. It reads no clock: each call gets the time.
+// It compares two random targets and takes the one with the lower load relative to its weight. New
+// and reinstated targets start slowly. Targets that fail or are much slower than their peers are
+// ejected and reinstated by probes. The package reads no clock; callers pass the time.
 package balancer
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Options are what a Balancer is made of.
+// Options configures a Balancer.
 type Options struct {
 	Seed             uint64
 	SlowStart        time.Duration
@@ -14,16 +14,16 @@
 	BusyBackoff      time.Duration
 }
 
-// Option sets up a Balancer.
+// Option configures a Balancer.
 type Option func(*Options)
 
-// Seed sets the seed of the random choices.
+// Seed sets the seed of the random number generator.
 func Seed(n uint64) Option { return func(o *Options) { o.Seed = n } }
 
-// SlowStart sets how long a new or returned target takes to reach its full weight.
+// SlowStart sets how long a new or reinstated target takes to reach its full weight.
 func SlowStart(d time.Duration) Option { return func(o *Options) { o.SlowStart = d } }
 
-// Ejection sets how long a first ejection lasts and the most that a repeated one may last.
+// Ejection sets the duration of the first ejection and the limit for repeated ones.
 func Ejection(first, most time.Duration) Option {
 	return func(o *Options) { o.BaseEjection, o.MaxEjection = first, most }
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// RecordOutcome learns from a request that worked on its target for the given time.
-func (b *Balancer) RecordOutcome(id string, v Outcome, took time.Duration, now time.Time) {
+// RecordOutcome updates the state of a target after a request that took the given time at the
+// target.
+func (b *Balancer) RecordOutcome(id string, outcome Outcome, elapsed time.Duration, now time.Time) {
 	e, ok := b.byID[id]
 	if !ok {
 		return
 	}
 	probe := e.probing && e.ejected
 	e.probing = false
-	switch v {
+	switch outcome {
 	case Abandoned:
 		return
 	case Busy:
@@ -21,50 +22,50 @@
 		return
 	case Failed:
 		e.failures++
-		b.learn(e, took)
+		b.recordLatency(e, elapsed)
 		if probe || e.failures >= b.opts.FailureThreshold {
 			b.eject(e, now)
 		}
 	case Succeeded:
-		b.good(e, probe, took, now)
+		b.recordSuccess(e, probe, elapsed, now)
 	}
-	b.judge(now)
+	b.ejectSlow(now)
 }
 
-func (b *Balancer) good(e *entry, probe bool, took time.Duration, now time.Time) {
+func (b *Balancer) recordSuccess(e *targetState, probe bool, elapsed time.Duration, now time.Time) {
 	e.failures = 0
 	if probe {
-		if b.slow(took.Seconds()) {
+		if b.isSlow(elapsed.Seconds()) {
 			b.eject(e, now)
 			return
 		}
-		e.ejected, e.since, e.latency, e.samples = false, now, 0, 0
+		e.ejected, e.warmupStart, e.latency, e.samples = false, now, 0, 0
 	}
-	b.learn(e, took)
+	b.recordLatency(e, elapsed)
 	if e.samples >= minSamples && !e.ejected {
 		e.ejections = 0
 	}
 }
 
-func (b *Balancer) learn(e *entry, took time.Duration) {
-	s := took.Seconds()
+func (b *Balancer) recordLatency(e *targetState, elapsed time.Duration) {
+	s := elapsed.Seconds()
 	if e.samples == 0 {
 		e.latency = s
 	} else {
-		e.latency += smoothing * (s - e.latency)
+		e.latency += latencySmoothing * (s - e.latency)
 	}
 	e.samples++
 }
 
-// judge ejects targets that are far slower than their peers. Only the time that a target worked
-// counts, never a wait in this gate nor a refusal for want of a slot: a queue is no illness.
-func (b *Balancer) judge(now time.Time) {
-	if now.Sub(b.judged) < judgeEvery {
+// ejectSlow ejects targets that are much slower than their peers. Latency includes only the time at
+// the target, not the wait in the gate or busy rejections, because a queue does not mean a fault.
+func (b *Balancer) ejectSlow(now time.Time) {
+	if now.Sub(b.lastSlowCheck) < slowCheckInterval {
 		return
 	}
-	b.judged = now
-	known := make([]float64, 0, len(b.list))
-	for _, e := range b.list {
+	b.lastSlowCheck = now
+	known := make([]float64, 0, len(b.targets))
+	for _, e := range b.targets {
 		if !e.ejected && e.samples >= minSamples {
 			known = append(known, e.latency)
 		}
@@ -75,33 +76,33 @@
 	}
 	slices.Sort(known)
 	b.median = known[(len(known)-1)/2]
-	for _, e := range b.list {
-		if !e.ejected && e.samples >= minSamples && b.slow(e.latency) {
+	for _, e := range b.targets {
+		if !e.ejected && e.samples >= minSamples && b.isSlow(e.latency) {
 			b.eject(e, now)
 		}
 	}
 }
 
-func (b *Balancer) slow(latency float64) bool {
+func (b *Balancer) isSlow(latency float64) bool {
 	return b.median > 0 && latency > b.opts.SlowFloor.Seconds() && latency > b.opts.SlowFactor*b.median
 }
 
-// eject takes a target out, but never more than half of them: when everything fails, the fault is
-// elsewhere, and the rest would be overrun.
-func (b *Balancer) eject(e *entry, now time.Time) {
+// eject ejects a target unless more than half of the targets would then be ejected. If all targets
+// fail the cause lies elsewhere, and the remaining ones would be overloaded.
+func (b *Balancer) eject(e *targetState, now time.Time) {
 	if !e.ejected {
-		if 2*(b.EjectedCount()+1) > b.staying() {
+		if 2*(b.EjectedCount()+1) > b.stayingCount() {
 			return
 		}
 		e.ejected = true
 	}
-	e.until = now.Add(b.ejection(e))
+	e.ejectedUntil = now.Add(b.ejectionTime(e))
 	e.ejections++
 }
 
-func (b *Balancer) staying() int {
+func (b *Balancer) stayingCount() int {
 	n := 0
-	for _, e := range b.list {
+	for _, e := range b.targets {
 		if !e.info.Leaving {
 			n++
 		}
@@ -109,7 +110,7 @@
 	return n
 }
 
-func (b *Balancer) ejection(e *entry) time.Duration {
+func (b *Balancer) ejectionTime(e *targetState) time.Duration {
 	d := b.opts.BaseEjection
 	for range e.ejections {
 		if d *= 2; d >= b.opts.MaxEjection {
--- a/balancer/report.go
+++ b/balancer/report.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// State says what a target may get.
+// State is the state of a target as shown to operators.
 type State string
 
 // The states of a target.
 const (
 	// Open targets get new requests.
 	Open State = "open"
-	// Warming targets are new or have returned, and get less for a while.
+	// Warming targets are new or reinstated and get fewer requests for a while.
 	Warming State = "warming"
-	// Ejected targets get probes only.
+	// Ejected targets get only probes.
 	Ejected State = "ejected"
-	// Leaving targets keep their sessions.
+	// Leaving targets get only requests of their sessions.
 	Leaving State = "leaving"
 )
 
-// Report is what is known of one target.
+// Report is the state of one target.
 type Report struct {
 	ID          string `json:"id"`
 	State       State  `json:"state"`
 	Outstanding int    `json:"outstanding"`
-	// LatencyMicros is the smoothed time that a request worked there.
+	// LatencyMicros is the smoothed latency of requests at the target.
 	LatencyMicros int64 `json:"latencyMicros"`
-	// Failures counts those in a row.
+	// Failures counts consecutive failures.
 	Failures int `json:"failures"`
-	// ProbeInMillis is the time until an ejected target is tested.
+	// ProbeInMillis is the time until an ejected target may be probed.
 	ProbeInMillis int64 `json:"probeInMillis,omitempty"`
 }
 
-// Reports tells of all targets, in the order of the list.
+// Reports returns the reports of all targets in list order.
 func (b *Balancer) Reports(now time.Time) []Report {
-	out := make([]Report, 0, len(b.list))
-	for _, e := range b.list {
+	out := make([]Report, 0, len(b.targets))
+	for _, e := range b.targets {
 		r := Report{
 			ID: e.info.ID, State: Open, Outstanding: e.outstanding, Failures: e.failures,
 			LatencyMicros: time.Duration(e.latency * float64(time.Second)).Microseconds(),
@@ -43,7 +43,7 @@
 			r.State = Leaving
 		case e.ejected:
 			r.State = Ejected
-			r.ProbeInMillis = max(0, e.until.Sub(now).Milliseconds())
+			r.ProbeInMillis = max(0, e.ejectedUntil.Sub(now).Milliseconds())
 		case b.weight(e, now) < 1:
 			r.State = Warming
 		}
--- a/session/doc.go
+++ b/session/doc.go
@@ -1,5 +1,5 @@
-// Package session makes the self-describing tokens that bind a session to its target.
+// Package session creates and verifies the signed tokens that bind a session to its target.
 //
-// A token holds all that a gate has to know, and a signature. No gate keeps a session's state, so
-// the death of a gate ends none: any gate of any zone that has the key continues it.
+// A token contains all data that a gate needs. Gates keep no session state, so a session survives
+// the loss of its gate: any gate of any zone that has the key can continue it.
 package session
--- a/session/session.go
+++ b/session/session.go
@@ -14,23 +14,23 @@
 
 // Limits.
 const (
-	// DefaultTTL is how long a token holds.
+	// DefaultTTL is the lifetime of a token.
 	DefaultTTL = 12 * time.Hour
-	// MaxTokenBytes bounds a token.
+	// MaxTokenBytes limits the length of a token.
 	MaxTokenBytes = 1024
-	// MinKeyBytes is the length of the shortest key.
+	// MinKeyBytes is the minimum length of a key.
 	MinKeyBytes = 16
 )
 
-// Errors of Verify.
+// Errors returned by Verify.
 var (
-	// ErrInvalid means that no gate of this cell made the token.
+	// ErrInvalid means that the token was not signed with a key of this cell.
 	ErrInvalid = errors.New("session token is not valid")
-	// ErrExpired means that the token was good once.
+	// ErrExpired means that the token is genuine but has expired.
 	ErrExpired = errors.New("session token has expired")
 )
 
-// Session is what a token says.
+// Session is the content of a token.
 type Session struct {
 	ID      string    `json:"id"`
 	Service string    `json:"service"`
@@ -39,14 +39,14 @@
 	Expires time.Time `json:"expires"`
 }
 
-// Signer makes and opens tokens; it is safe for concurrent use.
+// Signer signs and verifies tokens; it is safe for concurrent use.
 type Signer struct{ keys [][]byte }
 
-// New returns a Signer that signs with the first key and accepts all of them, so that a key can be
-// replaced while sessions go on.
+// New returns a Signer that signs with the first key and accepts all keys, so that a key can be
+// replaced while sessions are open.
 func New(keys ...[]byte) *Signer { return &Signer{keys: keys} }
 
-// CheckKeys gives the findings of keys that come from settings.
+// CheckKeys adds findings for invalid keys of the settings.
 func CheckKeys(l *finding.List, place string, keys ...[]byte) {
 	if len(keys) == 0 {
 		l.Add(place, "must have at least one key")
@@ -60,24 +60,24 @@
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Sign gives the token of a session.
+// Sign returns the signed token of a session.
 func (s *Signer) Sign(v *Session) (string, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return "", err
 	}
 	body := encoding.EncodeToString(raw)
-	return body + "." + encoding.EncodeToString(sum(s.keys[0], body)), nil
+	return body + "." + encoding.EncodeToString(computeTag(s.keys[0], body)), nil
 }
 
-// Verify gives the session of a token that is genuine and has not expired.
+// Verify returns the session of a genuine token that has not expired.
 func (s *Signer) Verify(token string, now time.Time) (*Session, error) {
 	body, tag, ok := strings.Cut(token, ".")
 	if !ok || len(token) > MaxTokenBytes {
 		return nil, ErrInvalid
 	}
 	got, err := encoding.DecodeString(tag)
-	if err != nil || !s.genuine(body, got) {
+	if err != nil || !s.hasValidTag(body, got) {
 		return nil, ErrInvalid
 	}
 	raw, err := encoding.DecodeString(body)
@@ -94,16 +94,16 @@
 	return v, nil
 }
 
-func (s *Signer) genuine(body string, got []byte) bool {
+func (s *Signer) hasValidTag(body string, got []byte) bool {
 	for _, key := range s.keys {
-		if hmac.Equal(got, sum(key, body)) {
+		if hmac.Equal(got, computeTag(key, body)) {
 			return true
 		}
 	}
 	return false
 }
 
-func sum(key []byte, body string) []byte {
+func computeTag(key []byte, body string) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(body))
 	return mac.Sum(nil)
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	oldKey  = []byte("the first key of the cell")
-	newKey  = []byte("the second key of the cell")
-	start   = time.Unix(1000, 0).UTC()
-	genuine = &Session{ID: "s", Service: "desk", Target: "t1", Zone: "z1", Expires: start.Add(time.Hour)}
+	oldKey       = []byte("the first key of the cell")
+	newKey       = []byte("the second key of the cell")
+	start        = time.Unix(1000, 0).UTC()
+	validSession = &Session{ID: "s", Service: "desk", Target: "t1", Zone: "z1", Expires: start.Add(time.Hour)}
 )
 
-// The caller can neither make a token nor change one, and a key can be replaced under open sessions.
-func TestOpen(t *testing.T) {
-	old, err := New(oldKey).Sign(genuine)
+// Guards against forged or modified tokens, and against key rotation that ends open sessions.
+func TestVerify(t *testing.T) {
+	old, err := New(oldKey).Sign(validSession)
 	is.New(t).NoErr(err)
 	body, tag, _ := strings.Cut(old, ".")
-	otherTarget, _ := New(newKey).Sign(&Session{Target: "t2", Expires: genuine.Expires})
+	otherTarget, _ := New(newKey).Sign(&Session{Target: "t2", Expires: validSession.Expires})
 	otherBody, _, _ := strings.Cut(otherTarget, ".")
 	cases := []struct {
 		name  string
@@ -49,7 +49,7 @@
 			is.True(errors.Is(err, c.want))
 			is.Equal(got != nil, c.want == nil)
 			if got != nil {
-				is.Equal(*got, *genuine)
+				is.Equal(*got, *validSession)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 
 func FuzzOpen(f *testing.F) {
 	s := New(oldKey)
-	token, _ := s.Sign(genuine)
+	token, _ := s.Sign(validSession)
 	f.Add(token)
 	f.Add("a.b")
 	f.Fuzz(func(t *testing.T, in string) {
--- a/view/cell_test.go
+++ b/view/cell_test.go
@@ -18,22 +18,23 @@
 	"turmericgap/store/memory"
 )
 
-var errCut = errors.New("cut")
+var errDisconnected = errors.New("cut")
 
 var zones = []string{"kochi-hall", "alappuzha-hall", "kollam-hall"}
 
-// cell is entry VMs over all zones, each with a scheduler and a gate, on a store in memory.
+// cell is a set of entry VMs over all zones on an in-memory store. Each VM runs a scheduler and a
+// gate.
 type cell struct {
 	*is.I
 	svc *memory.Service
 	vms []*vm
-	// pool calls the processes over pipes.
+	// pool calls the processes over in-memory pipes.
 	pool *rpc.Pool
 
-	mu   sync.Mutex
-	at   map[string]*process // by address
-	cut  map[[2]string]bool  // by addresses
-	list VMList
+	mu        sync.Mutex
+	processes map[string]*process // by address
+	cutLinks  map[[2]string]bool  // by addresses
+	list      VMList
 }
 
 // vm is one entry VM.
@@ -43,7 +44,7 @@
 	follower        *Follower
 }
 
-// process is one process and its way to the store.
+// process is one process with its own client of the store.
 type process struct {
 	group  *member.Group
 	faults memory.Faults
@@ -53,10 +54,10 @@
 	close  func()
 }
 
-func run(t *testing.T, vms int, f func(c *cell)) {
+func runCell(t *testing.T, vms int, f func(c *cell)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cell{
-			I: is.New(t), svc: memory.New(), at: map[string]*process{}, cut: map[[2]string]bool{},
+			I: is.New(t), svc: memory.New(), processes: map[string]*process{}, cutLinks: map[[2]string]bool{},
 			list: VMList{Version: 1, Entries: map[string]bool{}},
 		}
 		c.pool = rpc.NewPool(rpc.Dial(c.dial))
@@ -68,9 +69,9 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		defer time.Sleep(2 * followWait) // Calls that wait at a Keeper end.
+		defer time.Sleep(2 * nextWait) // Calls that wait at a Keeper end.
 		defer c.pool.Close()
-		defer c.each(c.kill)
+		defer c.forEach(c.kill)
 		f(c)
 	})
 }
@@ -79,7 +80,7 @@
 	near, far := net.Pipe()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	go c.at[address].server.ServeConn(far)
+	go c.processes[address].server.ServeConn(far)
 	return near, nil
 }
 
@@ -87,19 +88,19 @@
 	v := &vm{scheduler: &process{server: rpc.NewServer()}, gate: &process{server: rpc.NewServer()}}
 	self := member.Member{Zone: zones[i%len(zones)], VM: fmt.Sprint(i), ID: fmt.Sprint(i)}
 	self.Role, self.Address = member.RoleScheduler, fmt.Sprintf("10.0.0.%d:1", i)
-	v.keeper = New(c.svc.Client(&v.scheduler.faults), append(c.wire(v.scheduler, self, func(m member.Member, n int64) { v.keeper.NotifyNewerRules(m, n) }),
+	v.keeper = New(c.svc.Client(&v.scheduler.faults), append(c.connect(v.scheduler, self, func(m member.Member, n int64) { v.keeper.NotifyNewerRules(m, n) }),
 		List(func(context.Context) (VMList, error) { c.mu.Lock(); defer c.mu.Unlock(); return c.list, nil }))...)
 	v.scheduler.view = v.keeper.View
 	v.keeper.Register(v.scheduler.server)
-	beside := self.Address
+	localAddress := self.Address
 	self.Role, self.Address = member.RoleGate, fmt.Sprintf("10.0.0.%d:2", i)
-	v.follower = NewFollower(beside, c.wire(v.gate, self, func(m member.Member, n int64) { v.follower.NotifyNewerRules(m, n) })...)
+	v.follower = NewFollower(localAddress, c.connect(v.gate, self, func(m member.Member, n int64) { v.follower.NotifyNewerRules(m, n) })...)
 	v.gate.view = v.follower.View
 	v.follower.Register(v.gate.server)
 	v.scheduler.close = func() { v.keeper.Close(); v.scheduler.group.Stop() }
 	v.gate.close = func() { v.follower.Close(); v.gate.group.Stop() }
 	c.mu.Lock()
-	c.at[beside], c.at[self.Address] = v.scheduler, v.gate
+	c.processes[localAddress], c.processes[self.Address] = v.scheduler, v.gate
 	c.mu.Unlock()
 	v.keeper.Start(context.Background())
 	v.follower.Start(context.Background())
@@ -108,11 +109,11 @@
 	return v
 }
 
-// wire makes the group of a process, and gives the options of its view.
-func (c *cell) wire(p *process, self member.Member, heard func(member.Member, int64)) []Option {
+// connect creates the member group of a process and returns the options for its view.
+func (c *cell) connect(p *process, self member.Member, onNewerRules func(member.Member, int64)) []Option {
 	p.group = member.New(c.svc.Client(&p.faults), self,
 		member.ListedVMs(func() (map[string]bool, bool) { return p.view().ListedVMs() }),
-		member.Rules(func() int64 { return p.view().Rules.Version }, heard),
+		member.Rules(func() int64 { return p.view().Rules.Version }, onNewerRules),
 		member.Call(func(ctx context.Context, to string, b *member.Heartbeat) (*member.HeartbeatReply, error) {
 			return call[member.Heartbeat, member.HeartbeatReply](ctx, c, [2]string{self.Address, to}, member.HeartbeatMethod, b)
 		}))
@@ -130,50 +131,51 @@
 
 func (c *cell) kill(p *process) {
 	c.mu.Lock()
-	was := p.dead
+	wasDead := p.dead
 	p.dead = true
 	c.mu.Unlock()
-	if !was {
+	if !wasDead {
 		p.faults.Down(true)
 		p.close()
 	}
 }
 
-// call goes by rpc over a pipe, a millisecond each way, unless the way is cut.
-func call[Req, Resp any](ctx context.Context, c *cell, way [2]string, method string, q *Req) (*Resp, error) {
+// call makes an rpc call over a pipe with a delay of one millisecond each way; a call over a cut
+// link gets no reply.
+func call[Req, Resp any](ctx context.Context, c *cell, link [2]string, method string, q *Req) (*Resp, error) {
 	c.mu.Lock()
-	p, cut := c.at[way[1]], c.cut[way] || c.cut[[2]string{way[1], way[0]}]
+	p, cut := c.processes[link[1]], c.cutLinks[link] || c.cutLinks[[2]string{link[1], link[0]}]
 	dead := p == nil || p.dead
 	c.mu.Unlock()
 	if dead {
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	if cut {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	time.Sleep(time.Millisecond)
-	r, err := rpc.Call[Req, Resp](ctx, c.pool.Get(way[1]), method, q)
+	r, err := rpc.Call[Req, Resp](ctx, c.pool.Get(link[1]), method, q)
 	time.Sleep(time.Millisecond)
 	return r, err
 }
 
-// until waits in virtual time for something to become true, and gives how long that took.
-func (c *cell) until(most time.Duration, what func() bool) time.Duration {
-	from := time.Now()
-	for !what() {
-		if time.Since(from) > most {
+// waitUntil waits in virtual time until the condition holds and returns the time that took.
+func (c *cell) waitUntil(timeout time.Duration, condition func() bool) time.Duration {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > timeout {
 			c.Fail()
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
-// inForce says that every live process has rules of a version, or newer ones.
-func (c *cell) inForce(version int64) func() bool {
+// allHaveRules returns a condition: every live process has rules of at least the version.
+func (c *cell) allHaveRules(version int64) func() bool {
 	return func() bool {
-		for _, p := range c.at {
+		for _, p := range c.processes {
 			if !p.dead && p.view().Rules.Version < version {
 				return false
 			}
@@ -182,19 +184,19 @@
 	}
 }
 
-func (c *cell) each(f func(p *process)) {
-	for _, p := range c.at {
+func (c *cell) forEach(f func(p *process)) {
+	for _, p := range c.processes {
 		f(p)
 	}
 }
 
-// isolate cuts or heals all ways of a process but those to the others named.
-func (c *cell) isolate(address string, on bool, but ...string) {
+// isolate cuts or restores all links of a process except those to the listed peers.
+func (c *cell) isolate(address string, cut bool, except ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for other := range c.at {
-		if !slices.Contains(but, other) {
-			c.cut[[2]string{address, other}] = on
+	for other := range c.processes {
+		if !slices.Contains(except, other) {
+			c.cutLinks[[2]string{address, other}] = cut
 		}
 	}
 }
--- a/view/doc.go
+++ b/view/doc.go
@@ -1,6 +1,6 @@
 // Package view keeps the newest rules, member tables and VM list that a process knows.
 //
-// A Keeper holds the one watch of its VM and a Follower, beside it, follows the Keeper. Both pass
-// the newest rules on to the processes that lack them, and never go back to older ones, whoever
-// brings those: a slow store or a missed watch does not keep an old rule alive.
+// A Keeper holds the only store watch of its VM, and a Follower on the same VM reads the Keeper's
+// views. Both send the newest rules to processes that lack them and never accept older ones, so a
+// slow store or a missed watch event does not keep old rules in force.
 package view
--- a/view/edit.go
+++ b/view/edit.go
@@ -11,25 +11,25 @@
 	"turmericgap/store"
 )
 
-// maxEdits is how many edits a document remembers, for editors that look for theirs.
-const maxEdits = 16
+// maxRememberedEdits limits the edits recorded in a document, by which editors recognize their own.
+const maxRememberedEdits = 16
 
-// document is the rule document as the store holds it.
+// document is the rule document as stored.
 type document struct {
 	Version int64  `json:"version"`
 	Editor  string `json:"editor"`
-	// Edits holds the last edits, this one last.
-	Edits []pastEdit      `json:"edits"`
+	// Edits lists the last edits, the newest last.
+	Edits []acceptedEdit  `json:"edits"`
 	Rules json.RawMessage `json:"rules"`
 }
 
-// pastEdit is an edit that was accepted.
-type pastEdit struct {
+// acceptedEdit is an edit that was written.
+type acceptedEdit struct {
 	Identity string `json:"identity"`
 	Version  int64  `json:"version"`
 }
 
-func decode(raw []byte) (document, error) {
+func decodeDocument(raw []byte) (document, error) {
 	var d document
 	if err := json.Unmarshal(raw, &d); err != nil {
 		return d, eris.Wrap(err, "decode rule document")
@@ -41,51 +41,51 @@
 
 // Edit is an operator's change of the rules.
 type Edit struct {
-	// BaseVersion is the version that the editor changed; zero where there was none.
+	// BaseVersion is the version on which the edit is based; zero if there were no rules.
 	BaseVersion int64
 	Raw         []byte
-	// Editor names who edits.
+	// Editor is the name of the operator.
 	Editor string
-	// Check gives the findings of a document; nothing is written while there are any.
+	// Check validates the document; nothing is written if it returns findings.
 	Check func(raw []byte) finding.List
 }
 
-// Conflict means that another edit came first; nothing was written.
+// Conflict means that another edit was written first and this one was not.
 type Conflict struct {
-	// Yours is the refused document under its base version, Theirs the one in force.
+	// Yours is the rejected document with its base version; Theirs is the document in force.
 	Yours, Theirs Rules
-	// Editor names who wrote theirs.
+	// Editor is the operator who wrote Theirs.
 	Editor string
 }
 
-// Error names both versions.
+// Error returns a message with both versions.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("rules were changed by %s: version %d is in force, the edit began at %d",
 		c.Editor, c.Theirs.Version, c.Yours.Version)
 }
 
-// SetRules writes new rules and gives their version. It fails with a finding.List, with a
-// *Conflict, or with another error, which leaves open whether the edit was accepted.
+// SetRules writes new rules and returns their version. It fails with a finding.List, a *Conflict,
+// or another error, after which it is unknown whether the edit was written.
 func SetRules(ctx context.Context, s *store.Store, e Edit) (int64, error) {
-	if err := e.check(); err != nil {
+	if err := e.validate(); err != nil {
 		return 0, err
 	}
-	identity := newName()
+	identity := newID()
 	b := newBackoff()
 	for {
-		version, err := e.try(ctx, s, identity)
+		version, err := e.attempt(ctx, s, identity)
 		if err == nil || isDefinite(err) {
 			return version, err
 		}
-		// A lost answer is not a failed write: the next try reads first and finds this edit, if
-		// it was applied, by its identity.
+		// A lost answer does not mean that the write failed. The next attempt reads the document
+		// first and recognizes this edit by its identity if it was written.
 		if b.Wait(ctx) != nil {
 			return 0, eris.Wrap(err, "edit of unknown outcome")
 		}
 	}
 }
 
-func (e *Edit) check() error {
+func (e *Edit) validate() error {
 	var l finding.List
 	if !json.Valid(e.Raw) {
 		l.Add("rules", "must be a JSON document")
@@ -100,10 +100,11 @@
 	return eris.As(err, &c)
 }
 
-// errRaced means that the document changed between reading and writing; the next reading tells.
-var errRaced = eris.New("rule document changed")
+// errChanged means that the document changed between read and write; the next attempt reads it
+// again.
+var errChanged = eris.New("rule document changed")
 
-func (e *Edit) try(ctx context.Context, s *store.Store, identity string) (int64, error) {
+func (e *Edit) attempt(ctx context.Context, s *store.Store, identity string) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*CallTimeout)
 	defer cancel()
 	got, err := s.Range(ctx, store.Range{Key: RulesKey})
@@ -114,7 +115,7 @@
 	var revision int64
 	if len(got.Pairs) == 1 {
 		revision = got.Pairs[0].ModRevision
-		if d, err = decode(got.Pairs[0].Value); err != nil {
+		if d, err = decodeDocument(got.Pairs[0].Value); err != nil {
 			return 0, err
 		}
 	}
@@ -123,13 +124,13 @@
 			return past.Version, nil
 		}
 	}
-	// A store that was restored may hold less than the base that peers still have.
+	// A restored store may hold an older version than the base, which peers still have.
 	if d.Version > e.BaseVersion {
 		return 0, &Conflict{Yours: Rules{Version: e.BaseVersion, Raw: e.Raw}, Theirs: d.rules(), Editor: d.Editor}
 	}
 	next := document{
 		Version: e.BaseVersion + 1, Editor: e.Editor, Rules: e.Raw,
-		Edits: append(d.Edits[max(0, len(d.Edits)-maxEdits+1):], pastEdit{identity, e.BaseVersion + 1}),
+		Edits: append(d.Edits[max(0, len(d.Edits)-maxRememberedEdits+1):], acceptedEdit{identity, e.BaseVersion + 1}),
 	}
 	raw, err := json.Marshal(&next)
 	if err != nil {
@@ -143,7 +144,7 @@
 		return 0, err
 	}
 	if !res.Succeeded {
-		return 0, errRaced
+		return 0, errChanged
 	}
 	return next.Version, nil
 }
--- a/view/options.go
+++ b/view/options.go
@@ -10,40 +10,41 @@
 	"turmericgap/metric"
 )
 
-// Options set up a Keeper or a Follower.
+// Options configures a Keeper or a Follower.
 type Options struct {
-	// Self is this process; it is not asked for its own rules.
+	// Self is this process, which does not exchange rules with itself.
 	Self member.Member
-	// List reads the VM list; without it the view has none.
+	// List reads the VM list; if it is nil the view has no VM list.
 	List func(ctx context.Context) (VMList, error)
 	// ListInterval is the interval at which the VM list is read.
 	ListInterval time.Duration
-	// RefreshInterval is the interval at which everything in the store is read again.
+	// RefreshInterval is the interval at which all keys are read from the store again.
 	RefreshInterval time.Duration
-	// Groups are told the tables and the vanished keys.
+	// Groups are the member groups to update with tables and presence keys.
 	Groups []*member.Group
-	// Seeds are addresses of processes to ask before any table is known.
+	// Seeds are addresses of processes to contact before any member table is known.
 	Seeds []string
-	// SpreadInterval is the interval at which processes are looked for that lack the newest rules.
+	// SpreadInterval is the interval at which rules are sent to processes that lack the newest
+	// ones.
 	SpreadInterval time.Duration
-	// MaxSilence is how long a process may stay unheard before it is asked again.
+	// MaxSilence is the time without contact after which a process is called again.
 	MaxSilence time.Duration
-	// CallRules asks a process for its rules; the default is rpc "view.rules".
+	// CallRules exchanges rules with a process; the default is rpc "view.rules".
 	CallRules func(ctx context.Context, address string, c *RulesRequest) (*RulesReply, error)
-	// CallNext asks a Keeper for its next view; the default is rpc "view.next".
+	// CallNext requests the next view of a Keeper; the default is rpc "view.next".
 	CallNext func(ctx context.Context, address string, c *NextRequest) (*NextReply, error)
 	Logger   *zap.Logger
-	// Metrics gets the versions that are known and what fails.
+	// Metrics records the known versions and failures.
 	Metrics *metric.Registry
 }
 
-// Option changes Options.
+// Option configures a Keeper or a Follower.
 type Option func(*Options)
 
-// Self names this process.
+// Self sets the member that describes this process.
 func Self(m member.Member) Option { return func(o *Options) { o.Self = m } }
 
-// List sets how the VM list is read.
+// List sets the function that reads the VM list.
 func List(f func(ctx context.Context) (VMList, error)) Option {
 	return func(o *Options) { o.List = f }
 }
@@ -51,35 +52,35 @@
 // ListInterval sets the interval at which the VM list is read.
 func ListInterval(d time.Duration) Option { return func(o *Options) { o.ListInterval = d } }
 
-// RefreshInterval sets the interval at which everything in the store is read again.
+// RefreshInterval sets the interval at which all keys are read from the store again.
 func RefreshInterval(d time.Duration) Option { return func(o *Options) { o.RefreshInterval = d } }
 
-// Groups adds groups of this process that are told of tables and vanished keys.
+// Groups adds member groups to update with tables and presence keys.
 func Groups(g ...*member.Group) Option {
 	return func(o *Options) { o.Groups = append(o.Groups, g...) }
 }
 
-// Seeds sets the addresses to ask before any table is known.
+// Seeds sets the addresses to contact before any member table is known.
 func Seeds(addresses ...string) Option { return func(o *Options) { o.Seeds = addresses } }
 
-// SpreadInterval sets the interval at which processes are looked for that lack the newest rules.
+// SpreadInterval sets the interval at which rules are sent to processes that lack the newest ones.
 func SpreadInterval(d time.Duration) Option { return func(o *Options) { o.SpreadInterval = d } }
 
-// MaxSilence sets how long a process may stay unheard before it is asked again.
+// MaxSilence sets the time without contact after which a process is called again.
 func MaxSilence(d time.Duration) Option { return func(o *Options) { o.MaxSilence = d } }
 
-// CallRules sets how a process is asked for its rules.
+// CallRules sets the function that exchanges rules with a process.
 func CallRules(f func(ctx context.Context, address string, c *RulesRequest) (*RulesReply, error)) Option {
 	return func(o *Options) { o.CallRules = f }
 }
 
-// CallNext sets how a Keeper is asked for its next view.
+// CallNext sets the function that requests the next view of a Keeper.
 func CallNext(f func(ctx context.Context, address string, c *NextRequest) (*NextReply, error)) Option {
 	return func(o *Options) { o.CallNext = f }
 }
 
-// Logger sets the log.
+// Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(o *Options) { o.Logger = l } }
 
-// Metrics sets where the view's metrics go.
+// Metrics sets the metrics registry.
 func Metrics(r *metric.Registry) Option { return func(o *Options) { o.Metrics = r } }
--- a/view/view.go
+++ b/view/view.go
@@ -21,45 +21,48 @@
 	DefaultListInterval   = 2 * time.Second
 	DefaultSpreadInterval = 500 * time.Millisecond
 	DefaultMaxSilence     = 10 * time.Second
-	// CallTimeout bounds one call of the store, which may be slow, or of the VM list.
+	// CallTimeout limits one call to the store, which may be slow, or one read of the VM list.
 	CallTimeout = 5 * time.Second
-	// PeerTimeout bounds one call of another process, but for one that waits for a change.
+	// PeerTimeout limits one call to another process, apart from the time spent waiting for a
+	// change.
 	PeerTimeout = time.Second
-	// DefaultRefreshInterval is the interval at which everything is read again.
+	// DefaultRefreshInterval is the default interval at which all keys are read from the store
+	// again.
 	DefaultRefreshInterval = 30 * time.Second
-	// RulesKey is the store's key of the rule document.
+	// RulesKey is the store key of the rule document.
 	RulesKey = member.CellPrefix + "rules"
 
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 4 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
-// Keeper holds the watch of its VM and the newest view.
+// Keeper watches the store for its VM and keeps the newest view.
 type Keeper struct {
 	opts   Options
 	store  *store.Store
 	log    *zap.Logger
-	board  *board
-	spread *spread
+	state  *viewState
+	gossip *gossip
 	pool   *rpc.Pool
-	name   string
+	id     string
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
-// New returns a Keeper that is not yet started.
+// New returns a Keeper; Start starts it.
 func New(s *store.Store, opts ...Option) *Keeper {
-	o, pool := build(opts)
-	b := newBoard(&o)
+	o, pool := buildOptions(opts)
+	b := newViewState(&o)
 	return &Keeper{
-		opts: o, store: s, log: o.Logger, board: b, spread: newSpread(o, b), pool: pool,
-		name: newName(), cancel: func() {},
+		opts: o, store: s, log: o.Logger, state: b, gossip: newGossip(o, b), pool: pool,
+		id: newID(), cancel: func() {},
 	}
 }
 
-func build(opts []Option) (Options, *rpc.Pool) {
+func buildOptions(opts []Option) (Options, *rpc.Pool) {
 	o := Options{
-		ListInterval: DefaultListInterval, SpreadInterval: DefaultSpreadInterval, MaxSilence: DefaultMaxSilence, RefreshInterval: DefaultRefreshInterval,
+		ListInterval: DefaultListInterval, SpreadInterval: DefaultSpreadInterval,
+		MaxSilence: DefaultMaxSilence, RefreshInterval: DefaultRefreshInterval,
 		Logger: zap.NewNop(), Metrics: metric.New(),
 	}
 	for _, f := range opts {
@@ -79,75 +82,76 @@
 	return o, pool
 }
 
-// Start begins to watch the store, to read the VM list and to pass rules on.
+// Start starts the store watch, the polling of the VM list and the exchange of rules.
 func (k *Keeper) Start(ctx context.Context) {
 	ctx, k.cancel = context.WithCancel(ctx)
 	k.wg.Go(func() { k.watch(ctx) })
-	k.wg.Go(func() { k.spread.run(ctx, k.pool) })
+	k.wg.Go(func() { k.gossip.run(ctx, k.pool) })
 	if k.opts.List != nil {
 		k.wg.Go(func() { k.pollList(ctx) })
 	}
 }
 
-// Close ends all duties.
+// Close stops the background work.
 func (k *Keeper) Close() {
 	k.cancel()
 	k.wg.Wait()
 	k.pool.Close()
 }
 
-// View gives the newest view.
-func (k *Keeper) View() *View { return k.board.view.Load() }
+// View returns the newest view.
+func (k *Keeper) View() *View { return k.state.view.Load() }
 
-// OfferRules takes rules from a peer if they are newer than those known.
+// OfferRules accepts rules from a peer if they are newer than the known ones.
 func (k *Keeper) OfferRules(r Rules) {
-	if k.board.offerRules(r) {
-		k.spread.kick()
+	if k.state.updateRules(r) {
+		k.gossip.wake()
 	}
 }
 
-// WaitNext waits for a view after a version; when ctx ends it gives the view as it is.
-func (k *Keeper) WaitNext(ctx context.Context, after uint64) *View { return k.board.next(ctx, after) }
+// WaitNext waits for a view newer than the given version. It returns the current view when ctx is
+// done.
+func (k *Keeper) WaitNext(ctx context.Context, after uint64) *View { return k.state.next(ctx, after) }
 
-// Changed gives a channel that closes at the next change of the view.
-func (k *Keeper) Changed() <-chan struct{} { return k.board.wait() }
+// Changed returns a channel that is closed at the next change of the view.
+func (k *Keeper) Changed() <-chan struct{} { return k.state.changes() }
 
-// RulesByProcess gives, process by process, the newest rules that it is known to have.
-func (k *Keeper) RulesByProcess() []Process { return k.spread.inForce() }
+// RulesByProcess returns the newest rules version known of each process.
+func (k *Keeper) RulesByProcess() []Process { return k.gossip.rulesByProcess() }
 
-// NotifyNewerRules is told that a process has newer rules, so that they are fetched at once.
-func (k *Keeper) NotifyNewerRules(from member.Member, version int64) { k.spread.heard(from, version) }
+// NotifyNewerRules records that a process has newer rules, which are then fetched at once.
+func (k *Keeper) NotifyNewerRules(m member.Member, v int64) { k.gossip.recordVersion(m, v) }
 
-// Register serves the Keeper's calls.
+// Register registers the rpc handlers of the Keeper.
 func (k *Keeper) Register(s *rpc.Server) {
 	rpc.Handle(s, RulesMethod, k.ServeRules)
 	rpc.Handle(s, NextMethod, k.ServeNext)
 }
 
-// ServeRules serves rpc "view.rules".
+// ServeRules handles rpc "view.rules".
 func (k *Keeper) ServeRules(_ context.Context, c *RulesRequest) (*RulesReply, error) {
-	return k.spread.serve(c), nil
+	return k.gossip.serve(c), nil
 }
 
-// ServeNext serves rpc "view.next".
+// ServeNext handles rpc "view.next".
 func (k *Keeper) ServeNext(ctx context.Context, c *NextRequest) (*NextReply, error) {
 	after := c.After
-	if c.Keeper != k.name {
-		after = 0 // The caller's count is another Keeper's.
+	if c.Keeper != k.id {
+		after = 0 // The caller's version counts the changes of another Keeper.
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	v := *k.board.next(ctx, after)
+	v := *k.state.next(ctx, after)
 	if !c.Workers {
 		v.Workers = nil
 	}
-	return &NextReply{Keeper: k.name, View: v}, nil
+	return &NextReply{Keeper: k.id, View: v}, nil
 }
 
-// errRefresh ends a watch so that everything is read again.
-var errRefresh = errors.New("time to read again")
+// errRefresh ends a watch so that all keys are read again.
+var errRefresh = errors.New("periodic refresh is due")
 
-// watch reads the cell's keys once and then follows their changes without a gap.
+// watch reads the cell's keys and then follows their changes without a gap.
 func (k *Keeper) watch(ctx context.Context) {
 	var from int64
 	b := newBackoff()
@@ -170,18 +174,19 @@
 
 func (k *Keeper) follow(ctx context.Context, from *int64, b *retry.Backoff) error {
 	if *from == 0 {
-		revision, err := k.read(ctx)
+		revision, err := k.readAll(ctx)
 		if err != nil {
 			return err
 		}
 		*from = revision + 1
 	}
-	// Without the refresh, a watch that is open but brings nothing would freeze the tables here.
+	// Without the periodic refresh, a watch that stays open without delivering events would freeze
+	// the tables.
 	ctx, cancel := context.WithTimeoutCause(ctx, retry.Jitter(k.opts.RefreshInterval), errRefresh)
 	defer cancel()
 	err := k.store.Watch(ctx, member.CellPrefix, *from, func(batch store.Batch) {
 		for _, e := range batch.Events {
-			k.take(e)
+			k.applyEvent(e)
 		}
 		*from = batch.Revision + 1
 		b.Reset()
@@ -192,7 +197,7 @@
 	return err
 }
 
-func (k *Keeper) read(ctx context.Context) (revision int64, err error) {
+func (k *Keeper) readAll(ctx context.Context) (revision int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	got, err := k.store.Range(ctx, store.Range{Key: member.CellPrefix, End: store.PrefixEnd(member.CellPrefix)})
@@ -205,51 +210,51 @@
 			present[p.Key] = true
 			continue
 		}
-		k.take(store.Event{Pair: p})
+		k.applyEvent(store.Event{Pair: p})
 	}
-	k.board.offerPresent(present)
+	k.state.setPresence(present)
 	return got.Revision, nil
 }
 
-// take takes in one key; what is not newer than what is known changes nothing.
-func (k *Keeper) take(e store.Event) {
+// applyEvent applies the change of one key. Data that is not newer is ignored.
+func (k *Keeper) applyEvent(e store.Event) {
 	key := e.Pair.Key
 	switch {
 	case key == RulesKey && !e.Deleted:
-		doc, err := decode(e.Pair.Value)
+		doc, err := decodeDocument(e.Pair.Value)
 		if err != nil {
-			k.log.Error("view: rule document not understood", zap.Error(err))
+			k.log.Error("view: decoding the rule document failed", zap.Error(err))
 			return
 		}
 		k.OfferRules(doc.rules())
 	case strings.HasPrefix(key, member.TablePrefix) && !e.Deleted:
 		t, err := member.DecodeTable(e.Pair)
 		if err != nil {
-			k.log.Error("view: member table not understood", zap.String("key", key), zap.Error(err))
+			k.log.Error("view: decoding a member table failed", zap.String("key", key), zap.Error(err))
 			return
 		}
-		k.board.offerTables(t)
+		k.state.updateTables(t)
 	case strings.HasPrefix(key, member.PresencePrefix):
-		k.board.offerPresence(key, !e.Deleted)
+		k.state.updatePresence(key, !e.Deleted)
 	}
 }
 
 func (k *Keeper) pollList(ctx context.Context) {
 	for wait := time.Duration(0); retry.Sleep(ctx, wait); wait = retry.Jitter(k.opts.ListInterval) {
-		l, err := k.list(ctx)
+		l, err := k.readList(ctx)
 		if err != nil {
 			k.opts.Metrics.Counter("view_listFailed_total").Inc(1)
-			k.log.Warn("view: VM list not read", zap.Error(err))
+			k.log.Warn("view: reading the VM list failed", zap.Error(err))
 			continue
 		}
-		k.board.offerList(l)
+		k.state.updateList(l)
 	}
 }
 
-func (k *Keeper) list(ctx context.Context) (VMList, error) {
+func (k *Keeper) readList(ctx context.Context) (VMList, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	return k.opts.List(ctx)
 }
 
-func newBackoff() *retry.Backoff { return retry.New(retry.Bounds(firstBackoff, lastBackoff)) }
+func newBackoff() *retry.Backoff { return retry.New(retry.Bounds(minBackoff, maxBackoff)) }
