--- a/gate/send.go
+++ b/gate/send.go
@@ -149,7 +149,7 @@
 		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer to another request"}
 	case resp.Busy:
 		return &attempt{state: notStarted, outcome: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
-	case !resp.Answer.Whole():
+	case !resp.Answer.IsIntact():
 		g.metrics.dropped.Inc(1)
 		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was truncated", leaving: resp.Leaving}
 	}
--- a/view/gossip.go
+++ b/view/gossip.go
@@ -96,7 +96,7 @@
 	defer g.wg.Wait()
 	for ctx.Err() == nil {
 		addresses := g.addresses()
-		pool.Keep(addresses)
+		pool.Retain(addresses)
 		for _, address := range g.duePeers(addresses) {
 			select {
 			case g.sem <- struct{}{}:
