--- a/gate/api.go
+++ b/gate/api.go
@@ -20,7 +20,7 @@
 	"turmericgap/job"
 )
 
-// The headers of the API.
+// HTTP headers of the API.
 const (
 	HeaderKey        = "Idempotency-Key"
 	HeaderDeadline   = "Turmericgap-Deadline-Millis"
@@ -32,19 +32,19 @@
 	reasonInvalid = "request is not valid"
 )
 
-// Body is the answer to every request that has an outcome.
+// Body is the JSON reply to a check, a session request or a failed job call.
 type Body struct {
 	Outcome job.Outcome `json:"outcome"`
 	Reason  string      `json:"reason,omitempty"`
 	Answer  *job.Answer `json:"answer,omitempty"`
-	// RetryAfterMillis is when to try again; it is left out when no time is known.
+	// RetryAfterMillis is the delay before the next try; it is omitted if no delay is known.
 	RetryAfterMillis int64        `json:"retryAfterMillis,omitempty"`
 	Attempts         int          `json:"attempts,omitempty"`
 	Target           string       `json:"target,omitempty"`
 	Findings         finding.List `json:"findings,omitempty"`
-	// Token goes on with the session, at this gate or any other.
+	// Token is the renewed session token, which any gate accepts.
 	Token string `json:"token,omitempty"`
-	// Move asks the caller to go on with Token on a new connection.
+	// Move tells the caller to open a new connection and continue the session there with Token.
 	Move bool `json:"move,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 	app := iris.New().Configure(iris.WithoutStartupLog, iris.WithoutPathCorrection,
 		iris.WithoutAutoFireStatusCode, iris.WithoutInterruptHandler)
 	app.Logger().SetLevel("disable")
-	v1 := app.Party("/v1", g.traced)
+	v1 := app.Party("/v1", g.traceRequest)
 	v1.Post("/jobs", g.postJob)
 	v1.Get("/jobs/{id}", g.getJob)
 	v1.Get("/jobs/{id}/wait", g.waitJob)
@@ -63,23 +63,23 @@
 	v1.Post("/sessions/{service}/stream", g.postStream)
 	v1.Delete("/sessions/{service}", g.deleteSession)
 	app.HandleMany("GET POST PUT PATCH DELETE", "/{path:path}", func(ctx iris.Context) {
-		write(ctx, http.StatusNotFound, &Body{Outcome: job.NotRun, Reason: "no such path"})
+		writeJSON(ctx, http.StatusNotFound, &Body{Outcome: job.NotRun, Reason: "no such path"})
 	})
 	if err := app.Build(); err != nil {
-		// The routes are fixed, so that only a fault of the program ends here.
+		// The routes are constants, so Build fails only because of a programming error.
 		panic(err)
 	}
 	return app
 }
 
-// Serve answers callers on l until Close or Stop ends the gate.
+// Serve handles HTTP connections of l until Close is called.
 func (g *Gate) Serve(l net.Listener) error {
 	limits := &g.opts.Limits
 	server := &http.Server{
 		Handler: g.handler, ReadHeaderTimeout: limits.ReadTimeout, IdleTimeout: limits.IdleTimeout,
 		MaxHeaderBytes: limits.HeaderBytes,
 	}
-	g.duties.Go(func() {
+	g.background.Go(func() {
 		<-g.stop
 		_ = server.Close()
 	})
@@ -90,23 +90,24 @@
 	return err
 }
 
-// traced starts the span of a request under the caller's own.
-func (g *Gate) traced(ctx iris.Context) {
+// traceRequest starts the server span of a request as a child of the caller's span.
+func (g *Gate) traceRequest(ctx iris.Context) {
 	r := ctx.Request()
 	parent := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	in, span := otel.Tracer(tracerName).Start(parent, r.Method+" "+ctx.GetCurrentRoute().Path(),
 		trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
 	ctx.ResetRequest(r.WithContext(in))
-	if g.work.isDraining() {
-		// The balancer in front must open its next connection to another gate.
+	if g.inProgress.isDraining() {
+		// Closing the connection makes the load balancer open its next one to another gate.
 		ctx.Header("Connection", "close")
 	}
 	ctx.Next()
 }
 
-// read gives the body of a request, with a finding where it is too long or does not arrive.
-func (g *Gate) read(ctx iris.Context, limit int64, l *finding.List) []byte {
+// readBody reads the request body within limit and the read timeout, and adds a finding if that
+// fails.
+func (g *Gate) readBody(ctx iris.Context, limit int64, l *finding.List) []byte {
 	w := ctx.ResponseWriter().Naive()
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.opts.Limits.ReadTimeout))
 	raw, err := io.ReadAll(http.MaxBytesReader(w, ctx.Request().Body, limit))
@@ -121,14 +122,15 @@
 	return raw
 }
 
-// hold makes room for the body of a request, or answers that there is none; it gives what to drop.
-func (g *Gate) hold(ctx iris.Context) (int64, bool) {
+// reserveBody reserves memory for the body of a request and returns the number of bytes to release.
+// If the memory budget is exhausted it replies to the caller and returns false.
+func (g *Gate) reserveBody(ctx iris.Context) (int64, bool) {
 	size := ctx.Request().ContentLength
 	if size < 0 || size > g.opts.Limits.BodyBytes {
 		size = g.opts.Limits.BodyBytes
 	}
-	if r := g.work.hold(size, g.opts.Limits.BufferedBytes); r != nil {
-		g.meters.shed.Inc(1)
+	if r := g.inProgress.reserveBody(size, g.opts.Limits.BufferedBytes); r != nil {
+		g.metrics.shed.Inc(1)
 		reply(ctx, r)
 		return 0, false
 	}
@@ -136,18 +138,18 @@
 }
 
 func (g *Gate) postCheck(ctx iris.Context) {
-	size, ok := g.hold(ctx)
+	size, ok := g.reserveBody(ctx)
 	if !ok {
 		return
 	}
-	defer g.work.drop(size)
+	defer g.inProgress.releaseBody(size)
 	var l finding.List
 	c := &Check{Service: ctx.Params().Get("service"), Method: ctx.Params().Get("method")}
 	g.readHeaders(ctx, c, &l)
 	checkNames(c, &l)
-	c.Body = g.read(ctx, g.opts.Limits.BodyBytes, &l)
+	c.Body = g.readBody(ctx, g.opts.Limits.BodyBytes, &l)
 	if len(l) > 0 {
-		refuse(ctx, l)
+		replyInvalid(ctx, l)
 		return
 	}
 	reply(ctx, g.Do(ctx.Request().Context(), c))
@@ -162,7 +164,8 @@
 	}
 }
 
-// readHeaders takes the headers that say how a check is to be treated.
+// readHeaders parses the idempotency key, the deadline, the repeatable flag and the zone of a
+// check.
 func (g *Gate) readHeaders(ctx iris.Context, c *Check, l *finding.List) {
 	c.Key = ctx.GetHeader(HeaderKey)
 	if len(c.Key) > job.MaxKeyBytes {
@@ -170,8 +173,8 @@
 	}
 	if v := ctx.GetHeader(HeaderDeadline); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
-		if most := g.opts.Limits.MaxTimeout.Milliseconds(); err != nil || n < 1 || n > most {
-			l.Add(HeaderDeadline, "must be a whole number from 1 to %d", most)
+		if limit := g.opts.Limits.MaxTimeout.Milliseconds(); err != nil || n < 1 || n > limit {
+			l.Add(HeaderDeadline, "must be a whole number from 1 to %d", limit)
 		}
 		c.Deadline = time.Duration(n) * time.Millisecond
 	}
@@ -186,18 +189,18 @@
 	}
 }
 
-func refuse(ctx iris.Context, l finding.List) {
-	write(ctx, http.StatusBadRequest, &Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
+func replyInvalid(ctx iris.Context, l finding.List) {
+	writeJSON(ctx, http.StatusBadRequest, &Body{Outcome: job.NotRun, Reason: reasonInvalid, Findings: l})
 }
 
-func bodyOf(r *Result) *Body {
+func responseBody(r *Result) *Body {
 	return &Body{
 		Outcome: r.Outcome, Reason: r.Reason, Answer: r.Answer, Attempts: r.Attempts, Target: r.Target,
 		RetryAfterMillis: r.RetryAfter.Milliseconds(),
 	}
 }
 
-func statusOf(r *Result) int {
+func httpStatus(r *Result) int {
 	switch {
 	case r.Outcome == job.Done:
 		return http.StatusOK
@@ -212,24 +215,25 @@
 }
 
 func reply(ctx iris.Context, r *Result) {
-	retryAfter(ctx, r.RetryAfter)
-	write(ctx, statusOf(r), bodyOf(r))
+	setRetryAfter(ctx, r.RetryAfter)
+	writeJSON(ctx, httpStatus(r), responseBody(r))
 }
 
-// retryAfter sets the header, in whole seconds as HTTP wants it, rounded up.
-func retryAfter(ctx iris.Context, d time.Duration) {
+// setRetryAfter sets the Retry-After header, which HTTP defines in whole seconds, rounded up.
+func setRetryAfter(ctx iris.Context, d time.Duration) {
 	if d > 0 {
 		ctx.Header("Retry-After", strconv.Itoa(int(math.Ceil(d.Seconds()))))
 	}
 }
 
-func write(ctx iris.Context, status int, v any) {
+func writeJSON(ctx iris.Context, status int, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		ctx.StatusCode(http.StatusInternalServerError)
 		return
 	}
-	// A caller that does not read must not hold the connection and its memory for ever.
+	// Without a write deadline, a caller that does not read would hold the connection and its
+	// memory forever.
 	_ = http.NewResponseController(ctx.ResponseWriter().Naive()).SetWriteDeadline(time.Now().Add(DefaultReadTimeout))
 	ctx.ContentType("application/json")
 	ctx.StatusCode(status)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -42,82 +42,84 @@
 
 	tracerName      = "turmericgap/gate"
 	refreshInterval = 100 * time.Millisecond
-	turnInterval    = 10 * time.Millisecond
+	serveInterval   = 10 * time.Millisecond
 	sessionKeyBytes = 32
-	// driftDivisor sets the clock drift allowance: a lender adds 1/driftDivisor of the TTL to a loan.
-	driftDivisor = 20
+	// clockDriftDivisor divides the TTL of a loan; the lender adds the quotient for clock drift.
+	clockDriftDivisor = 20
 )
 
-// Gate faces the callers of one entry VM.
+// Gate is the caller-facing front end on one entry VM.
 type Gate struct {
-	opts    Options
-	log     *zap.Logger
-	meters  meters
-	budget  *budget.Budget
-	handler http.Handler
-	serial  atomic.Uint64
+	opts     Options
+	log      *zap.Logger
+	metrics  gateMetrics
+	budget   *budget.Budget
+	handler  http.Handler
+	sequence atomic.Uint64
 
 	shares *share.Allocator
 	tokens *session.Signer
 
-	mu    sync.Mutex
-	pools map[string]*pool
-	zones map[string][]string
-	// where gives the zone of each listed target.
-	where map[string]string
-	lanes map[string]*lane
+	mu           sync.Mutex
+	pools        map[string]*pool
+	serviceZones map[string][]string
+	// targetZones maps the ID of each listed target to its zone.
+	targetZones   map[string]string
+	sessionQueues map[string]*sessionQueue
 
-	work    work
-	kick    chan struct{}
-	need    chan struct{}
-	tables  chan struct{}
-	stop    chan struct{}
-	stopped sync.Once
-	duties  sync.WaitGroup
+	inProgress   inProgress
+	wake         chan struct{}
+	borrowNeeded chan struct{}
+	tableChanged chan struct{}
+	stop         chan struct{}
+	stopOnce     sync.Once
+	background   sync.WaitGroup
 }
 
-// New returns a Gate that serves at once; Close ends it.
+// New returns a running Gate; Close stops it.
 func New(opts ...Option) *Gate {
 	o := defaults()
 	for _, f := range opts {
 		f(&o)
 	}
 	g := &Gate{
-		opts: o, log: o.Logger, meters: newMeters(o.Metrics), budget: budget.New(),
-		pools: make(map[string]*pool), zones: make(map[string][]string),
-		lanes: make(map[string]*lane), tokens: newSigner(o.Keys), shares: newAllocator(&o),
-		kick: make(chan struct{}, 1), need: make(chan struct{}, 1),
-		tables: make(chan struct{}, 1), stop: make(chan struct{}),
+		opts: o, log: o.Logger, metrics: newGateMetrics(o.Metrics), budget: budget.New(),
+		pools: make(map[string]*pool), serviceZones: make(map[string][]string),
+		sessionQueues: make(map[string]*sessionQueue), tokens: newSigner(o.Keys), shares: newAllocator(&o),
+		wake: make(chan struct{}, 1), borrowNeeded: make(chan struct{}, 1),
+		tableChanged: make(chan struct{}, 1), stop: make(chan struct{}),
 	}
-	g.work.moving = make(chan struct{})
+	g.inProgress.moveStreams = make(chan struct{})
 	g.handler = g.newHandler()
-	g.refresh()
-	g.duties.Go(g.keepList)
-	g.duties.Go(g.keepTurn)
+	g.refreshTargets()
+	g.background.Go(g.pollTargets)
+	g.background.Go(g.serveLoop)
 	if g.opts.Siblings.Borrow != nil {
-		g.duties.Go(g.keepLoans)
-		g.duties.Go(g.keepConfirming)
+		g.background.Go(g.loanLoop)
+		g.background.Go(g.confirmLoop)
 	}
 	return g
 }
 
-// newAllocator returns the allocator of this gate's shares. The TTL of a loan is two thirds of the longest deadline,
-// which is enough for most checks. The removal grace period covers the last requests and the last loans of a removed
-// gate, whichever end later.
+// newAllocator returns the allocator of this gate's slot shares. A loan lasts two thirds of the
+// longest deadline, so most checks fit into it. The removal grace period is long enough for the
+// last requests and loans of a removed gate to end.
 func newAllocator(o *Options) *share.Allocator {
 	if o.Valid != nil {
 		ttl := o.Limits.MaxTimeout * 2 / 3
-		drift := ttl / driftDivisor
+		drift := ttl / clockDriftDivisor
 		grace := max(o.Limits.MaxTimeout+o.Limits.Grace, ttl+drift)
-		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift), share.Valid(o.Valid), share.MemberSince(o.MemberSince))
+		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift),
+			share.Valid(o.Valid), share.MemberSince(o.MemberSince))
 	}
-	// A gate that is alone in its zone and has no predecessor needs no removal grace period.
-	a := share.New(o.ID, share.RemovalGrace(0))
-	a.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
-	return a
+	// A single gate of a zone has no peers to wait for.
+	h := share.New(o.ID, share.RemovalGrace(0))
+	h.SetTable(share.Table{Version: 1, Gates: []string{o.ID}}, time.Now())
+	return h
 }
 
-// newSigner makes a key of its own where the settings give none; no other gate then knows it.
+// newSigner returns the signer of session tokens. If no keys are configured it generates one, which
+// no other gate knows.
 func newSigner(keys [][]byte) *session.Signer {
 	if len(keys) == 0 {
 		key := make([]byte, sessionKeyBytes)
@@ -137,7 +139,8 @@
 		Limits: Limits{
 			Timeout: DefaultTimeout, MaxTimeout: DefaultMaxTimeout, Queue: DefaultQueue,
 			Retries: DefaultRetries, Grace: DefaultGrace, Checks: DefaultChecks,
-			Streams: DefaultStreams, BufferedBytes: DefaultBufferedBytes, Pipelined: DefaultPipelined, SessionTTL: session.DefaultTTL,
+			Streams: DefaultStreams, BufferedBytes: DefaultBufferedBytes, Pipelined: DefaultPipelined,
+			SessionTTL:  session.DefaultTTL,
 			Connections: DefaultConnections, BodyBytes: DefaultBodyBytes, HeaderBytes: DefaultHeaderBytes,
 			ReadTimeout: DefaultReadTimeout, IdleTimeout: DefaultIdleTimeout,
 		},
@@ -150,12 +153,12 @@
 	}}
 }
 
-// Handler gives the HTTP API.
+// Handler returns the HTTP API.
 func (g *Gate) Handler() http.Handler { return g.handler }
 
-// Do runs a check and gives its final state.
+// Do runs a check and returns its final outcome.
 func (g *Gate) Do(ctx context.Context, c *Check) *Result {
-	return g.traceCheck(ctx, c, g.admitted)
+	return g.traceCheck(ctx, c, g.admitAndPerform)
 }
 
 func (g *Gate) traceCheck(ctx context.Context, c *Check, do func(context.Context, *Check) *Result) *Result {
@@ -165,57 +168,59 @@
 	start := time.Now()
 	r := do(ctx, c)
 	span.SetAttributes(attribute.String("outcome", string(r.Outcome)), attribute.Int("attempts", r.Attempts))
-	g.meters.ended(r, time.Since(start))
+	g.metrics.recordCheck(r, time.Since(start))
 	return r
 }
 
-// admitted performs a check unless the gate is full or stopping.
-func (g *Gate) admitted(ctx context.Context, c *Check) *Result {
-	if r := g.work.enter(g.opts.Limits.Checks); r != nil {
+// admitAndPerform runs a check unless the gate is full or stopping.
+func (g *Gate) admitAndPerform(ctx context.Context, c *Check) *Result {
+	if r := g.inProgress.admitCheck(g.opts.Limits.Checks); r != nil {
 		return r
 	}
-	defer g.work.leave()
+	defer g.inProgress.checkDone()
 	return g.perform(ctx, c)
 }
 
 func (g *Gate) perform(ctx context.Context, c *Check) *Result {
-	call, r := g.decide(c)
+	call, r := g.applyRules(c)
 	if r != nil {
 		return r
 	}
 	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	if c.Target != "" {
-		return g.doSession(ctx, call)
+		return g.runSession(ctx, call)
 	}
 	return g.route(ctx, call)
 }
 
-// call is one check on its way through this gate.
+// call is the state of one check in this gate.
 type call struct {
 	check    Check
 	deadline time.Time
 	zone     string
 	retries  int
 	queue    int
-	// attempts counts the requests that were sent, tries also those that came to nothing before.
+	// attempts counts the requests sent to targets; tries also counts those that failed before
+	// sending.
 	attempts int
 	tries    int
-	// mayRun says that an attempt may have run; the check is then never called notRun.
-	mayRun bool
-	avoid  string
+	// mayHaveRun reports that an attempt may have run; the outcome of the check is then never
+	// NotRun.
+	mayHaveRun bool
+	avoid      string
 }
 
-// decide asks the rules and applies the limits.
-func (g *Gate) decide(c *Check) (*call, *Result) {
+// applyRules evaluates the rules for a check and applies the limits.
+func (g *Gate) applyRules(c *Check) (*call, *Result) {
 	d := g.opts.Rules(c)
 	if d.RefusalReason != "" {
 		return nil, notRun("refused by rule: "+d.RefusalReason, 0)
 	}
 	l := &g.opts.Limits
 	cl := &call{check: *c, zone: c.Zone, retries: l.Retries, queue: l.Queue}
-	// A session stays where it is, and what another gate has decided is not decided anew.
-	if free := c.Target == "" && !c.Forwarded; free && d.Service != "" {
+	// A session stays with its service, and a forwarded check keeps the decision of the first gate.
+	if movable := c.Target == "" && !c.Forwarded; movable && d.Service != "" {
 		cl.check.Service = d.Service
 	}
 	if c.Target == "" && d.Zone != "" {
@@ -227,32 +232,32 @@
 	if d.Queue != 0 {
 		cl.queue = max(0, d.Queue)
 	}
-	left := c.Deadline
-	if left <= 0 {
-		left = l.Timeout
+	remaining := c.Deadline
+	if remaining <= 0 {
+		remaining = l.Timeout
 	}
-	left = min(left, l.MaxTimeout)
+	remaining = min(remaining, l.MaxTimeout)
 	if d.Timeout > 0 {
-		left = min(left, d.Timeout)
+		remaining = min(remaining, d.Timeout)
 	}
-	cl.deadline = time.Now().Add(left)
+	cl.deadline = time.Now().Add(remaining)
 	if cl.check.Key == "" {
-		// All attempts of a check bear one key, so that a target that sees a retry gives its first answer.
+		// All attempts share one key, so a target that receives a retry repeats its first answer.
 		cl.check.Key = g.nextID("key")
 	}
 	return cl, nil
 }
 
 func (g *Gate) nextID(kind string) string {
-	return g.opts.ID + "/" + kind + "/" + strconv.FormatUint(g.serial.Add(1), 36)
+	return g.opts.ID + "/" + kind + "/" + strconv.FormatUint(g.sequence.Add(1), 36)
 }
 
 func notRun(reason string, retryAfter time.Duration) *Result {
 	return &Result{Outcome: job.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// keepList follows the list of targets.
-func (g *Gate) keepList() {
+// pollTargets refreshes the list of targets periodically.
+func (g *Gate) pollTargets() {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
 	for {
@@ -260,31 +265,32 @@
 		case <-g.stop:
 			return
 		case <-t.C:
-			g.refresh()
+			g.refreshTargets()
 		}
 	}
 }
 
-// keepTurn serves waiters whose turn comes with time alone: by a probe, a pause or a loan.
-func (g *Gate) keepTurn() {
+// serveLoop retries waiters that can be served later without a new event: after a probe becomes
+// due, a busy backoff ends or a loan arrives.
+func (g *Gate) serveLoop() {
 	for {
 		select {
 		case <-g.stop:
 			return
-		case <-g.kick:
+		case <-g.wake:
 		}
-		for g.turn() {
+		for g.serveAllWaiters() {
 			select {
 			case <-g.stop:
 				return
-			case <-time.After(turnInterval):
+			case <-time.After(serveInterval):
 			}
 		}
 	}
 }
 
-// Close ends the gate's duties; requests in progress are not waited for.
+// Close stops the gate's background work without waiting for requests in progress.
 func (g *Gate) Close() {
-	g.stopped.Do(func() { close(g.stop) })
-	g.duties.Wait()
+	g.stopOnce.Do(func() { close(g.stop) })
+	g.background.Wait()
 }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -17,16 +17,16 @@
 	"turmericgap/job"
 )
 
-// fakes is a set of targets whose behaviour is one function.
-type fakes struct {
+// fakeTargets is a set of targets that share one implementation.
+type fakeTargets struct {
 	mu    sync.Mutex
 	infos []target.Info
 	calls atomic.Int64
 	do    func(ctx context.Context, id string, r *target.Request) (*target.Response, error)
 }
 
-func newFakes(n int, do func(context.Context, string, *target.Request) (*target.Response, error)) *fakes {
-	f := &fakes{do: do}
+func newFakeTargets(n int, do func(context.Context, string, *target.Request) (*target.Response, error)) *fakeTargets {
+	f := &fakeTargets{do: do}
 	for i := range n {
 		id := "t" + string(rune('a'+i))
 		f.infos = append(f.infos, target.Info{ID: id, Address: id, Zone: "z1", Service: "desk", Slots: 2, Connections: 64})
@@ -34,21 +34,22 @@
 	return f
 }
 
-func (f *fakes) dial(info target.Info, _ int) *target.Client {
+func (f *fakeTargets) dial(info target.Info, _ int) *target.Client {
 	return &target.Client{Do: func(ctx context.Context, r *target.Request) (*target.Response, error) {
 		f.calls.Add(1)
 		return f.do(ctx, info.ID, r)
 	}}
 }
 
-func (f *fakes) list() []target.Info {
+func (f *fakeTargets) list() []target.Info {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.infos
 }
 
-// change gives each target to keep, which may change it, and lists those for which it returns true.
-func (f *fakes) change(keep func(*target.Info) bool) {
+// updateInfos calls keep for each target, which may modify it, and keeps those for which it returns
+// true.
+func (f *fakeTargets) updateInfos(keep func(*target.Info) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var next []target.Info
@@ -60,7 +61,7 @@
 	f.infos = next
 }
 
-func (f *fakes) gate(opts ...Option) *Gate {
+func (f *fakeTargets) newGate(opts ...Option) *Gate {
 	base := []Option{ID("g1"), Zone("z1"), Targets(f.list), Dial(f.dial)}
 	return New(append(base, opts...)...)
 }
@@ -69,14 +70,14 @@
 	return &target.Response{ID: r.ID, Answer: job.NewAnswer(0, []byte(body))}
 }
 
-// script is what the targets do at the first, second, and each later call.
+// script lists what the targets do at the first, the second and each later call.
 type script []func(ctx context.Context, r *target.Request) (*target.Response, error)
 
-func (s script) play(n int64) func(context.Context, *target.Request) (*target.Response, error) {
+func (s script) step(n int64) func(context.Context, *target.Request) (*target.Response, error) {
 	return s[min(int(n), len(s))-1]
 }
 
-func whole1(_ context.Context, r *target.Request) (*target.Response, error) {
+func wholeAnswer(_ context.Context, r *target.Request) (*target.Response, error) {
 	return answer(r, "seat"), nil
 }
 
@@ -92,31 +93,30 @@
 	return &target.Response{ID: r.ID, Busy: true}, nil
 }
 
-func lost(context.Context, *target.Request) (*target.Response, error) {
+func connectionLost(context.Context, *target.Request) (*target.Response, error) {
 	return nil, errors.New("connection cut")
 }
 
-func late(context.Context, *target.Request) (*target.Response, error) {
+func staleAnswer(context.Context, *target.Request) (*target.Response, error) {
 	return answer(&target.Request{ID: "an earlier try"}, "other seat"), nil
 }
 
-func cut(_ context.Context, r *target.Request) (*target.Response, error) {
+func truncated(_ context.Context, r *target.Request) (*target.Response, error) {
 	a := answer(r, "seat taken")
 	a.Answer.Body = a.Answer.Body[:4]
 	return a, nil
 }
 
-func empty(context.Context, *target.Request) (*target.Response, error) { return nil, nil }
+func noResponse(context.Context, *target.Request) (*target.Response, error) { return nil, nil }
 
 func hang(ctx context.Context, _ *target.Request) (*target.Response, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// The caller sees one of three outcomes, and it is true.
-// Targets refuse, are busy, cut the connection, hang, or give a cut answer or that of another try.
-// What surely did not run may go to another target; what may have run goes there only if it is
-// repeatable, and is never called notRun after that, whatever the later tries say.
+// Guards against a wrong outcome after an attempt fails, hangs, or returns a truncated answer or
+// that of another attempt. A check that did not run may go to another target. A check that may have
+// run is retried only if it is repeatable, and is never reported as NotRun afterwards.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -125,34 +125,34 @@
 		want       job.Outcome
 		calls      int64
 	}{
-		{"whole answer", script{whole1}, false, job.Done, 1},
-		{"not reached, then whole", script{notSent, whole1}, false, job.Done, 2},
-		{"refused, then whole", script{refused, whole1}, false, job.Done, 2},
-		{"busy, then whole", script{busy, whole1}, false, job.Done, 2},
+		{"whole answer", script{wholeAnswer}, false, job.Done, 1},
+		{"not reached, then whole", script{notSent, wholeAnswer}, false, job.Done, 2},
+		{"refused, then whole", script{refused, wholeAnswer}, false, job.Done, 2},
+		{"busy, then whole", script{busy, wholeAnswer}, false, job.Done, 2},
 		{"never reached", script{notSent}, false, job.NotRun, 3},
 		{"always busy", script{busy}, true, job.NotRun, 3},
-		{"answer lost", script{lost, whole1}, false, job.Unknown, 1},
-		{"answer lost, repeatable", script{lost, whole1}, true, job.Done, 2},
-		{"lost, then never reached", script{lost, notSent}, true, job.Unknown, 3},
-		{"refused, then lost", script{refused, lost, whole1}, false, job.Unknown, 2},
-		{"answer of another try", script{late, whole1}, false, job.Unknown, 1},
-		{"answer of another try, repeatable", script{late, whole1}, true, job.Done, 2},
-		{"cut answer", script{cut, whole1}, false, job.Unknown, 1},
-		{"cut answer, repeatable", script{cut, whole1}, true, job.Done, 2},
-		{"no answer at all", script{empty, whole1}, false, job.Unknown, 1},
-		{"hangs", script{hang, whole1}, false, job.Unknown, 1},
-		{"hangs, repeatable", script{hang, whole1}, true, job.Done, 2},
+		{"answer lost", script{connectionLost, wholeAnswer}, false, job.Unknown, 1},
+		{"answer lost, repeatable", script{connectionLost, wholeAnswer}, true, job.Done, 2},
+		{"lost, then never reached", script{connectionLost, notSent}, true, job.Unknown, 3},
+		{"refused, then lost", script{refused, connectionLost, wholeAnswer}, false, job.Unknown, 2},
+		{"answer of another try", script{staleAnswer, wholeAnswer}, false, job.Unknown, 1},
+		{"answer of another try, repeatable", script{staleAnswer, wholeAnswer}, true, job.Done, 2},
+		{"cut answer", script{truncated, wholeAnswer}, false, job.Unknown, 1},
+		{"cut answer, repeatable", script{truncated, wholeAnswer}, true, job.Done, 2},
+		{"no answer at all", script{noResponse, wholeAnswer}, false, job.Unknown, 1},
+		{"hangs", script{hang, wholeAnswer}, false, job.Unknown, 1},
+		{"hangs, repeatable", script{hang, wholeAnswer}, true, job.Done, 2},
 		{"always hangs, repeatable", script{hang}, true, job.Unknown, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var f *fakes
-				f = newFakes(4, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-					return c.script.play(f.calls.Load())(ctx, r)
+				var f *fakeTargets
+				f = newFakeTargets(4, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+					return c.script.step(f.calls.Load())(ctx, r)
 				})
-				g := f.gate()
+				g := f.newGate()
 				defer g.Close()
 				r := g.Do(context.Background(), &Check{Service: "desk", Method: "seat", Repeatable: c.repeatable})
 				is.Equal(r.Outcome, c.want)
@@ -167,17 +167,17 @@
 	}
 }
 
-// The caller's check that has no time left must end, and must not use up the retries of others.
-// It gets its slot a moment before its deadline, when it is too late to send.
+// Guards against a check that uses up the retry budget of others when it gets its slot a moment
+// before its deadline, too late to be sent.
 func TestNoTimeLeftIsNoRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return whole1(ctx, r)
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+			return wholeAnswer(ctx, r)
 		})
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
-		r := g.Do(context.Background(), &Check{Service: "desk", Repeatable: true, Deadline: leastRun / 2})
+		r := g.Do(context.Background(), &Check{Service: "desk", Repeatable: true, Deadline: minRunTime / 2})
 		is.Equal(r.Outcome, job.NotRun)
 		is.Equal(f.calls.Load(), int64(0))
 		for range budget.DefaultBurst {
@@ -186,21 +186,22 @@
 	})
 }
 
-// The slots of a target must come back although the list loses it while it works, and shows it again.
+// Guards against leaked slots when a target leaves the list while it serves a request and then
+// returns.
 func TestSlotSurvivesList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			time.Sleep(time.Second)
-			return whole1(ctx, r)
+			return wholeAnswer(ctx, r)
 		})
 		all := f.infos
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		result := make(chan *Result, 1)
 		go func() { result <- g.Do(context.Background(), &Check{Service: "desk"}) }()
 		synctest.Wait()
-		f.change(func(*target.Info) bool { return false })
+		f.updateInfos(func(*target.Info) bool { return false })
 		is.Equal((<-result).Outcome, job.Done)
 		is.Equal(g.Status().Shares.Used, 0)
 		f.mu.Lock()
@@ -211,23 +212,23 @@
 	})
 }
 
-// The caller hangs up.
-// Its check is at a target, which must hear of it; another check waits in the queue, and must leave
-// it without ever being sent. The slot of the first stays taken until the target has surely stopped.
+// Guards against work for a caller that has hung up: its running check must be canceled at the
+// target and its queued check must never be sent. The slot of the running check stays taken until
+// its deadline has passed at the target.
 func TestCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		told := 0
-		f := newFakes(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+		canceled := 0
+		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			if string(r.Body) != "hang" {
 				return answer(r, "seat"), nil
 			}
 			<-ctx.Done()
-			told++
+			canceled++
 			return nil, ctx.Err()
 		})
 		f.infos[0].Slots = 1
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
 		ctx, hangUp := context.WithCancel(context.Background())
 		results := make(chan *Result, 2)
@@ -241,7 +242,7 @@
 		outcomes := []job.Outcome{(<-results).Outcome, (<-results).Outcome}
 		slices.Sort(outcomes)
 		is.Equal(outcomes, []job.Outcome{job.NotRun, job.Unknown})
-		is.Equal(told, 1)
+		is.Equal(canceled, 1)
 		start := time.Now()
 		r := g.Do(context.Background(), &Check{Service: "desk", Deadline: 10 * time.Second})
 		is.Equal(r.Outcome, job.Done)
@@ -249,20 +250,20 @@
 	})
 }
 
-// The caller is told at once that its check can't be run in time.
-// One slot works 100 ms on each check; 50 callers with 1 s each come at once. About ten can be
-// served; the rest must not wait for nothing, and hear when the queue will have drained.
+// Guards against checks that wait in a queue without a chance to run. One slot takes 100 ms per
+// check, and 50 callers with a deadline of 1 s arrive at once. About ten can be served; the others
+// must be rejected at once with the time in which the queue drains.
 func TestShedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
+		f := newFakeTargets(1, func(_ context.Context, _ string, r *target.Request) (*target.Response, error) {
 			time.Sleep(100 * time.Millisecond)
 			return answer(r, "seat"), nil
 		})
 		f.infos[0].Slots = 1
-		g := f.gate()
+		g := f.newGate()
 		defer g.Close()
-		for range 100 { // The gate learns how long a check takes.
+		for range 100 { // The gate learns the run time of a check.
 			g.Do(context.Background(), &Check{Service: "desk"})
 		}
 		start := time.Now()
@@ -291,15 +292,15 @@
 	})
 }
 
-// The targets fail for everyone, and callers' repeatable checks are retried.
-// Without a budget each check would be sent three times, which keeps the targets down.
+// Guards against retries that keep failed targets overloaded. Without a retry budget each
+// repeatable check would be sent three times.
 func TestOutageIsNotMultiplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakes(10, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return lost(ctx, r)
+		f := newFakeTargets(10, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
+			return connectionLost(ctx, r)
 		})
-		g := f.gate(Limit(func(l *Limits) { l.Grace = 0 }))
+		g := f.newGate(Limit(func(l *Limits) { l.Grace = 0 }))
 		defer g.Close()
 		const checks = 1000
 		for range checks {
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -15,55 +15,57 @@
 	borrowTimeout  = 500 * time.Millisecond
 	borrowInterval = 50 * time.Millisecond
 	returnInterval = 250 * time.Millisecond
-	// confirmInterval is how often a sibling is asked while it has not confirmed the newest table.
+	// confirmInterval is the interval at which siblings are asked for confirmations until they have
+	// confirmed the newest table.
 	confirmInterval = 200 * time.Millisecond
 )
 
-// Reasons why a gate is not ready.
+// Errors returned by Ready.
 var (
 	errStopping  = errors.New("gate is stopping")
-	errNoMember  = errors.New("gate is not a member of its zone")
+	errNotMember = errors.New("gate is not a member of its zone")
 	errNotAgreed = errors.New("gates of the zone have not yet agreed on their shares")
 )
 
-// SetTable takes over a newer gate table of this zone. Its ids are those of Option ID, which differ
-// from one life of a process to the next.
+// SetTable applies a newer gate table of this zone. The table lists the IDs set by Option ID, which
+// differ after each restart of a process.
 func (g *Gate) SetTable(t share.Table) {
 	if len(t.Gates) > maxGates {
-		g.log.Error("gate: connections are not divided for so many gates", zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
+		g.log.Error("gate: gate table has more gates than the connections of a target are divided among",
+			zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
 	}
 	g.shares.SetTable(t, time.Now())
-	signal(g.kick)
-	signal(g.tables)
+	signal(g.wake)
+	signal(g.tableChanged)
 }
 
-// Ready gives the reason why the gate can't use the targets of its zone yet, or nil.
+// Ready returns nil if the gate can use the targets of its zone, or else the reason why not.
 func (g *Gate) Ready() error {
 	switch r := g.shares.Report(time.Now()); {
-	case g.work.isDraining():
+	case g.inProgress.isDraining():
 		return errStopping
 	case !r.Valid:
-		return errNoMember
+		return errNotMember
 	case r.Agreed == 0:
 		return errNotAgreed
 	}
 	return nil
 }
 
-// HandleConfirmation serves a sibling's confirmation and answers with this gate's own.
+// HandleConfirmation handles a sibling's confirmation and returns the one of this gate.
 func (g *Gate) HandleConfirmation(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
 	now := time.Now()
 	g.shares.AddConfirmation(*c, now)
-	signal(g.kick)
+	signal(g.wake)
 	own := g.shares.Confirmation(now)
 	return &own, nil
 }
 
-// keepConfirming exchanges confirmations while the gates of the zone have not agreed on a table.
-func (g *Gate) keepConfirming() {
-	ctx, cancel := g.untilStop()
+// confirmLoop exchanges confirmations until the gates of the zone agree on a table.
+func (g *Gate) confirmLoop() {
+	ctx, cancel := g.contextUntilStop()
 	defer cancel()
-	told := make(map[string]share.Confirmation)
+	sent := make(map[string]share.Confirmation)
 	t := time.NewTicker(confirmInterval)
 	defer t.Stop()
 	for {
@@ -71,41 +73,42 @@
 		case <-g.stop:
 			return
 		case <-t.C:
-		case <-g.tables:
+		case <-g.tableChanged:
 		}
-		g.confirm(ctx, told)
+		g.confirm(ctx, sent)
 	}
 }
 
-// confirm tells the siblings what they have not yet heard, and asks again while they lag.
-func (g *Gate) confirm(ctx context.Context, told map[string]share.Confirmation) {
-	peers := g.shares.Peers()
-	for gate := range told {
-		if !slices.Contains(peers, gate) {
-			delete(told, gate)
+// confirm sends the siblings every confirmation that they have not received yet, and repeats it
+// until all agree.
+func (g *Gate) confirm(ctx context.Context, sent map[string]share.Confirmation) {
+	siblings := g.shares.Peers()
+	for gate := range sent {
+		if !slices.Contains(siblings, gate) {
+			delete(sent, gate)
 		}
 	}
-	for _, gate := range peers {
+	for _, gate := range siblings {
 		own := g.shares.Confirmation(time.Now())
-		if told[gate] == own && g.shares.Agreed() {
+		if sent[gate] == own && g.shares.Agreed() {
 			continue
 		}
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		theirs, err := g.opts.Siblings.Confirm(in, gate, &own)
 		cancel()
 		if err != nil {
-			g.log.Debug("gate: table not confirmed", zap.String("gate", gate), zap.Error(err))
+			g.log.Debug("gate: exchange of confirmations failed", zap.String("gate", gate), zap.Error(err))
 			continue
 		}
-		told[gate] = own
+		sent[gate] = own
 		g.shares.AddConfirmation(*theirs, time.Now())
 	}
-	signal(g.kick)
+	signal(g.wake)
 }
 
-// sayLeft tells the siblings that nothing here uses a target any more, so that they take over this
-// gate's share as soon as the table lacks it.
-func (g *Gate) sayLeft() {
+// announceLeave tells the siblings that this gate uses no target anymore, so that they take over
+// its share as soon as a table without it arrives.
+func (g *Gate) announceLeave() {
 	if g.opts.Siblings.Confirm == nil {
 		return
 	}
@@ -113,16 +116,16 @@
 	for _, gate := range g.shares.Peers() {
 		ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 		if _, err := g.opts.Siblings.Confirm(ctx, gate, &own); err != nil {
-			g.log.Debug("gate: leave not heard", zap.String("gate", gate), zap.Error(err))
+			g.log.Debug("gate: sibling did not receive the leave notice", zap.String("gate", gate), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// untilStop gives a context that ends with the gate.
-func (g *Gate) untilStop() (context.Context, context.CancelFunc) {
+// contextUntilStop returns a context that is canceled when the gate stops.
+func (g *Gate) contextUntilStop() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	g.duties.Go(func() {
+	g.background.Go(func() {
 		select {
 		case <-g.stop:
 			cancel()
@@ -132,27 +135,27 @@
 	return ctx, cancel
 }
 
-// HandleBorrow serves a sibling's request for idle slots.
-func (g *Gate) HandleBorrow(_ context.Context, r *share.LoanRequest) (*share.LoanReply, error) {
-	loans := g.shares.Lend(r, time.Now())
+// HandleBorrow handles a sibling's request for idle slots.
+func (g *Gate) HandleBorrow(_ context.Context, request *share.LoanRequest) (*share.LoanReply, error) {
+	loans := g.shares.Lend(request, time.Now())
 	for _, l := range loans.Loans {
-		g.meters.lent.Inc(int64(l.Slots))
+		g.metrics.lent.Inc(int64(l.Slots))
 	}
 	return &loans, nil
 }
 
-// AcceptReturn serves the return of loans by a sibling.
+// AcceptReturn handles the return of loans by a sibling.
 func (g *Gate) AcceptReturn(_ context.Context, r *share.LoanReturn) (*share.LoanReturnReply, error) {
 	g.shares.AcceptReturn(r, time.Now())
-	signal(g.kick)
+	signal(g.wake)
 	return &share.LoanReturnReply{}, nil
 }
 
-// keepLoans borrows while checks wait and returns what is no longer needed.
-func (g *Gate) keepLoans() {
+// loanLoop borrows slots while checks wait, renews loans in use and returns idle ones.
+func (g *Gate) loanLoop() {
 	t := time.NewTicker(returnInterval)
 	defer t.Stop()
-	ctx, cancel := g.untilStop()
+	ctx, cancel := g.contextUntilStop()
 	defer cancel()
 	for {
 		select {
@@ -161,15 +164,15 @@
 		case <-t.C:
 			g.returnIdleLoans(ctx)
 			g.renewLoans(ctx)
-		case <-g.need:
+		case <-g.borrowNeeded:
 			g.borrow(ctx)
 			select {
 			case <-g.stop:
 				return
 			case <-time.After(borrowInterval):
 			}
-			if g.turn() {
-				signal(g.need)
+			if g.serveAllWaiters() {
+				signal(g.borrowNeeded)
 			}
 		}
 	}
@@ -179,56 +182,57 @@
 	for gate, r := range g.shares.ReturnIdle(time.Now()) {
 		in, cancel := context.WithTimeout(ctx, borrowTimeout)
 		if err := g.opts.Siblings.Return(in, gate, r); err != nil {
-			// The loan expires at the lender.
-			g.log.Debug("gate: loan not returned", zap.String("gate", gate), zap.Error(err))
+			// An unreturned loan expires at the lender.
+			g.log.Debug("gate: return of a loan failed", zap.String("gate", gate), zap.Error(err))
 		}
 		cancel()
 	}
 }
 
-// renewLoans renews the loans in use before they expire, so that the checks they serve need not queue for new ones.
+// renewLoans renews loans in use before they expire, so that their checks don't have to wait for
+// new loans.
 func (g *Gate) renewLoans(ctx context.Context) {
-	for gate, r := range g.shares.Renewals(time.Now()) {
-		g.requestLoan(ctx, gate, r)
+	for gate, request := range g.shares.Renewals(time.Now()) {
+		g.requestLoan(ctx, gate, request)
 	}
 }
 
-// requestLoan sends a loan request to one sibling and returns how many slots it lent.
-func (g *Gate) requestLoan(ctx context.Context, gate string, r *share.LoanRequest) int {
+// requestLoan requests slots from one sibling and returns the number of slots lent.
+func (g *Gate) requestLoan(ctx context.Context, gate string, request *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	sent := time.Now()
-	loans, err := g.opts.Siblings.Borrow(in, gate, r)
+	asked := time.Now()
+	loans, err := g.opts.Siblings.Borrow(in, gate, request)
 	if err != nil {
-		g.log.Debug("gate: nothing borrowed", zap.String("gate", gate), zap.Error(err))
+		g.log.Debug("gate: loan request failed", zap.String("gate", gate), zap.Error(err))
 		return 0
 	}
-	n := g.shares.AddBorrowed(gate, loans, sent, time.Now())
-	g.meters.borrowed.Inc(int64(n))
+	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
+	g.metrics.borrowed.Inc(int64(n))
 	return n
 }
 
-// borrow sends loan requests to one sibling after the other until the waiting checks have the slots they need.
+// borrow requests slots for the waiting checks from the siblings in turn.
 func (g *Gate) borrow(ctx context.Context) {
-	for _, r := range g.loanRequests() {
+	for _, request := range g.loanRequests() {
 		for _, gate := range g.shares.Peers() {
-			if r.Want -= g.requestLoan(ctx, gate, r); r.Want <= 0 {
+			if request.Want -= g.requestLoan(ctx, gate, request); request.Want <= 0 {
 				break
 			}
 		}
-		signal(g.kick)
+		signal(g.wake)
 	}
 }
 
-// loanRequests returns one loan request for each service whose checks wait.
+// loanRequests returns one request for each service with waiting checks.
 func (g *Gate) loanRequests() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var requests []*share.LoanRequest
+	var asks []*share.LoanRequest
 	for _, p := range g.pools {
-		if n := p.len(); n > 0 {
-			requests = append(requests, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
+		if n := p.waitingCount(); n > 0 {
+			asks = append(asks, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
 		}
 	}
-	return requests
+	return asks
 }
--- a/gate/status.go
+++ b/gate/status.go
@@ -1,17 +1,64 @@
 package gate
 
 import (
-	"context"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
 
-	"turmericgap/job"
+	"turmericgap/balancer"
+	"turmericgap/share"
 )
 
-// JobClient reaches the owner of a job's home zone. A *rpc.Fault is a definite answer; any other error
-// leaves open whether the call took effect.
-type JobClient struct {
-	Submit func(ctx context.Context, s *job.Submission) (*job.Status, error)
-	Status func(ctx context.Context, id string) (*job.Status, error)
-	Cancel func(ctx context.Context, id string) (*job.Status, error)
-	// Wait returns when the job is final or ctx ends.
-	Wait func(ctx context.Context, id string) (*job.Status, error)
+// Status is the state of a gate as shown to operators.
+type Status struct {
+	ID       string `json:"id"`
+	Zone     string `json:"zone"`
+	Draining bool   `json:"draining"`
+	// InProgress counts checks, job calls and streams.
+	InProgress int             `json:"inProgress"`
+	Streams    int             `json:"streams"`
+	Shares     share.Report    `json:"shares"`
+	Services   []ServiceReport `json:"services"`
+}
+
+// ServiceReport is the state of one service in the gate's zone.
+type ServiceReport struct {
+	Service string `json:"service"`
+	Waiting int    `json:"waiting"`
+	// Slots is the number of slots that this gate may use; RunMicros is how long a check occupies
+	// one.
+	Slots     int   `json:"slots"`
+	RunMicros int64 `json:"runMicros"`
+	// RetryAfterMillis is the delay returned to a check that is rejected now.
+	RetryAfterMillis int64             `json:"retryAfterMillis"`
+	Targets          []balancer.Report `json:"targets"`
+}
+
+// Status returns the current state of the gate.
+func (g *Gate) Status() *Status {
+	now := time.Now()
+	p := &Status{
+		ID: g.opts.ID, Zone: g.opts.Zone, Draining: g.inProgress.isDraining(), InProgress: g.inProgress.count(),
+		Streams: g.inProgress.streamCount(), Shares: g.shares.Report(now),
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for service, pool := range g.pools {
+		p.Services = append(p.Services, ServiceReport{
+			Service: service, Waiting: pool.waitingCount(), Slots: pool.slots, RunMicros: pool.expectedRun().Microseconds(),
+			RetryAfterMillis: pool.retryAfter().Milliseconds(), Targets: pool.balancer.Reports(now),
+		})
+	}
+	slices.SortFunc(p.Services, func(a, b ServiceReport) int { return strings.Compare(a.Service, b.Service) })
+	return p
+}
+
+// ServeStatus writes Status as JSON.
+func (g *Gate) ServeStatus(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "application/json")
+	enc := json.NewEncoder(w)
+	enc.SetIndent("", "  ")
+	_ = enc.Encode(g.Status())
 }
