--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -86,19 +86,19 @@
 	if err != nil {
 		return err
 	}
-	kv, err := process.Store(service, &s.Process)
+	kv, err := process.OpenStore(service, &s.Process)
 	if err != nil {
 		return err
 	}
 	log := service.Logger()
 	p := &parts{pool: rpc.NewPool(), calls: webcall.New(), server: rpc.NewServer()}
-	p.group = process.Group(service, kv, &s.Process, member.RoleGate, process.Viewer{
-		View:  func() *view.View { return p.follower.View() },
-		Heard: func(m member.Member, v int64) { p.follower.Heard(m, v) },
+	p.group = process.NewGroup(service, kv, &s.Process, member.RoleGate, process.ViewHooks{
+		View:           func() *view.View { return p.follower.View() },
+		OnRulesVersion: func(m member.Member, v int64) { p.follower.Heard(m, v) },
 	}, member.OnChange(func(t member.Table) { p.gate.SetTable(gateTable(t)) }))
 	p.follower = view.NewFollower(s.Scheduler, view.Self(p.group.Self()), view.Groups(p.group),
 		view.Seeds(s.Seeds...), view.Logger(logger.Part(log, "view")), view.Metrics(service.Metrics()))
-	rules := &process.Rules{View: p.follower.View, Logger: log}
+	rules := &process.RuleFollower{View: p.follower.View, Logger: log}
 	p.gate = gate.New(gate.ID(gateID(p.group.Self())), gate.Zone(s.Zone), gate.Dial(web.New(p.calls)),
 		gate.Targets(func() []target.Info { return p.follower.View().Targets }),
 		gate.Member(p.group.Valid, p.group.JoinedVersion), gate.OverRPC(p.pool, p.gateAddress, p.gatesOf),
