--- a/day/day.go
+++ b/day/day.go
@@ -13,114 +13,115 @@
 	"turmericgap/finding"
 )
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
-	// DefaultMaxWorks bounds the works that are followed, and with them memory: half a kilobyte each.
+	// DefaultMaxWorks limits the number of tracked works, which take about half a kilobyte of memory each.
 	DefaultMaxWorks = 200_000
-	// DefaultMaxNamed is how many lost and how many slow works a report names.
+	// DefaultMaxNamed is how many lost and how many slow works a report lists.
 	DefaultMaxNamed = 10
-	// mostLine bounds a line, in bytes; our own are below a kilobyte.
-	mostLine = 1 << 20
-	// mostFindings bounds the lines that are named as unreadable; the others are counted.
-	mostFindings = 20
-	// mostReasons bounds the reasons of refusals that are told apart, otherReasons stands for the rest.
-	mostReasons  = 64
+	// maxLineBytes is far above the length of a log line of an entry VM, which is below a kilobyte.
+	maxLineBytes = 1 << 20
+	// maxFindings limits the unreadable lines that are listed; further ones are only counted.
+	maxFindings = 20
+	// maxReasons limits the refusal reasons that are counted separately; the others are counted as otherReasons.
+	maxReasons   = 64
 	otherReasons = "others"
-	// windowLength is the length of the windows of a report.
+	// windowLength is the length of the time windows of a report.
 	windowLength = 2 * time.Second
 )
 
-// Options are what a Day is made of.
+// Options configure an Analyzer.
 type Options struct {
-	// MaxWorks bounds the works that are followed, MaxNamed those that are named as lost and as slow.
+	// MaxWorks limits the number of tracked works, MaxNamed the works listed as lost and as slowest.
 	MaxWorks, MaxNamed int
 }
 
-// Option sets up a Day.
+// Option sets one of the Options.
 type Option func(*Options)
 
-// MaxWorks bounds the works that are followed.
+// MaxWorks limits the number of tracked works.
 func MaxWorks(n int) Option { return func(o *Options) { o.MaxWorks = n } }
 
-// MaxNamed sets how many lost and how many slow works are named.
+// MaxNamed sets how many lost and how many slow works are listed.
 func MaxNamed(n int) Option { return func(o *Options) { o.MaxNamed = n } }
 
-// Analyzer gathers what the lines of a day tell. It is not safe for concurrent use.
+// Analyzer collects data from log lines for a Report. It is not safe for concurrent use.
 type Analyzer struct {
-	o     Options
+	opts  Options
 	works map[string]*work
-	// leftOut counts lines of works beyond MostWorks.
-	leftOut            int
-	lines, others, bad int
-	findings           finding.List
-	from, until        time.Time
-	tenures            map[int64]*Tenure
-	// failures holds the calls of the store without an answer, by second.
-	failures map[int64]*Outage
-	refusals map[string]*Refusal
-	waits    []gangWait
-	waiting  []classWait
-	// loads holds what the owner had to do, by the second.
-	loads map[time.Time]*Load
-	free  []freeAt
+	// skippedWorkLines counts lines about works beyond MaxWorks.
+	skippedWorkLines               int
+	lines, nonLogLines, unreadable int
+	findings                       finding.List
+	from, until                    time.Time
+	tenures                        map[int64]*Tenure
+	// storeFailures holds the store calls without an answer, by Unix second.
+	storeFailures map[int64]*Outage
+	refusals      map[string]*Refusal
+	waits         []gangWait
+	waiting       []classWait
+	// loads holds the load of the owner, by second.
+	loads       map[time.Time]*Load
+	freeSamples []freeSample
 }
 
-// gangWait is how many gangs of a class waited for something in one second.
+// gangWait is the number of gangs of a class that waited for one reason in one second.
 type gangWait struct {
 	at           time.Time
 	queue, class string
-	why          string
+	reason       string
 	gangs        int
 }
 
-// classWait is how many steps of a class waited in one second, and how many of them could still be in time.
+// classWait is the number of steps of a class that waited in one second. Of these, inTime could still meet their
+// objective.
 type classWait struct {
 	queue, class  string
 	steps, inTime int
 }
 
-// freeAt is the share of the cell that was free at a moment.
-type freeAt struct {
+// freeSample is the free share of the cell's capacity at one time.
+type freeSample struct {
 	at    time.Time
 	share float64
 }
 
-// New returns a Day that has read nothing.
+// New returns an Analyzer without data.
 func New(opts ...Option) *Analyzer {
 	d := &Analyzer{
-		o:     Options{MaxWorks: DefaultMaxWorks, MaxNamed: DefaultMaxNamed},
-		works: make(map[string]*work), tenures: make(map[int64]*Tenure), failures: make(map[int64]*Outage), loads: make(map[time.Time]*Load), refusals: make(map[string]*Refusal),
+		opts:  Options{MaxWorks: DefaultMaxWorks, MaxNamed: DefaultMaxNamed},
+		works: make(map[string]*work), tenures: make(map[int64]*Tenure), storeFailures: make(map[int64]*Outage), loads: make(map[time.Time]*Load), refusals: make(map[string]*Refusal),
 	}
 	for _, f := range opts {
-		f(&d.o)
+		f(&d.opts)
 	}
 	return d
 }
 
-// Read takes in the lines of a log; name is what findings call it. A line that cannot be read is a finding, and
-// reading goes on with the next one. The error is that of the reader alone.
+// Read processes the lines of a log; findings refer to the log by name. An unreadable line is recorded as a finding
+// and skipped. An error is returned only if the reader fails.
 func (d *Analyzer) Read(r io.Reader, name string) error {
 	return eachLine(r, func(number int, raw []byte, tooLong bool) {
 		place := fmt.Sprintf("%s:%d", name, number)
 		if tooLong {
-			d.fault(place, fmt.Errorf("longer than %d bytes", mostLine))
+			d.addUnreadable(place, fmt.Errorf("longer than %d bytes", maxLineBytes))
 			return
 		}
 		l, ok, err := parse(raw)
 		switch {
 		case err != nil:
-			d.fault(place, err)
+			d.addUnreadable(place, err)
 		case !ok || l.Msg == "" || l.Time.IsZero():
-			d.others++
+			d.nonLogLines++
 		default:
-			d.take(l)
+			d.add(l)
 		}
 	})
 }
 
-// eachLine calls visit for each line, which is cut where it is too long.
+// eachLine calls visit for each line. A line that is too long is truncated.
 func eachLine(r io.Reader, visit func(number int, raw []byte, tooLong bool)) error {
-	in := bufio.NewReaderSize(r, mostLine)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	for number := 1; ; number++ {
 		raw, err := in.ReadSlice('\n')
 		tooLong := errors.Is(err, bufio.ErrBufferFull)
@@ -139,65 +140,66 @@
 	}
 }
 
-func (d *Analyzer) fault(place string, err error) {
-	d.bad++
-	if len(d.findings) < mostFindings {
+func (d *Analyzer) addUnreadable(place string, err error) {
+	d.unreadable++
+	if len(d.findings) < maxFindings {
 		d.findings.Add(place, "not a log line: %v", err)
 	}
 }
 
-// Findings gives the lines that could not be read, the first of them by their place.
+// Findings returns the unreadable lines: the first ones with their place, the others as a count.
 func (d *Analyzer) Findings() finding.List {
-	if more := d.bad - len(d.findings); more > 0 {
+	if more := d.unreadable - len(d.findings); more > 0 {
 		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Place: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
 	}
 	return d.findings
 }
 
-func (d *Analyzer) take(l *line) {
+func (d *Analyzer) add(l *line) {
 	d.lines++
-	earliest(&d.from, l.Time)
-	latest(&d.until, l.Time)
+	keepEarliest(&d.from, l.Time)
+	keepLatest(&d.until, l.Time)
 	switch l.Msg {
 	case "entry: answered":
-		d.answered(l)
+		d.addAnswer(l)
 	case "owner: this VM owns the cell":
-		earliest(&d.tenure(l).From, l.Time)
+		keepEarliest(&d.tenure(l).From, l.Time)
 	case "owner: this VM no longer owns the cell":
 		t := d.tenure(l)
 		t.Until, t.Reason = l.Time, l.Reason
 	case "dispatch: commit without an answer", "lease: renewal failed":
-		d.failed(l.Time)
+		d.addStoreFailure(l.Time)
 	case "dispatch: state of the cell":
-		d.load(l)
+		d.addLoad(l)
 		if l.Millicores > 0 {
-			d.free = append(d.free, freeAt{l.Time, float64(l.FreeMillicores) / float64(l.Millicores)})
+			d.freeSamples = append(d.freeSamples, freeSample{l.Time, float64(l.FreeMillicores) / float64(l.Millicores)})
 		}
 	case "dispatch: works by size":
 		if l.WaitingSteps > 0 {
 			d.waiting = append(d.waiting, classWait{l.Queue, l.Class, l.WaitingSteps, l.WaitingInTime})
 		}
-		for why, n := range l.waits() {
+		for reason, n := range l.gangWaits() {
 			if n > 0 {
-				d.waits = append(d.waits, gangWait{l.Time, l.Queue, l.Class, why, n})
+				d.waits = append(d.waits, gangWait{l.Time, l.Queue, l.Class, reason, n})
 			}
 		}
 	default:
-		if w := d.work(l.ID); w != nil {
-			w.take(l)
+		if w := d.findWork(l.ID); w != nil {
+			w.add(l)
 		}
 	}
 }
 
-// work gives the work of that ID, nil for a line of no work, or of one too many.
-func (d *Analyzer) work(id string) *work {
+// findWork returns the work with the given ID and adds it if it is new. It returns nil for an empty ID, and for a new
+// work beyond MaxWorks.
+func (d *Analyzer) findWork(id string) *work {
 	if id == "" {
 		return nil
 	}
 	w := d.works[id]
 	if w == nil {
-		if len(d.works) >= d.o.MaxWorks {
-			d.leftOut++
+		if len(d.works) >= d.opts.MaxWorks {
+			d.skippedWorkLines++
 			return nil
 		}
 		w = &work{id: id}
@@ -215,28 +217,28 @@
 	return t
 }
 
-// digits are left out of reasons, so that those that differ by a duration alone count as one.
-var digits = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
+// numberPattern matches numbers, which are masked in reasons: those that differ only in a duration count as one.
+var numberPattern = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
 
-// refusedFrom is the lowest status that tells a caller that nothing was done, or that it is not known.
-const refusedFrom = 400
+// minRefusedStatus is the lowest HTTP status for a request that was not executed or whose outcome is unknown.
+const minRefusedStatus = 400
 
-func (d *Analyzer) answered(l *line) {
-	if l.Status < refusedFrom {
+func (d *Analyzer) addAnswer(l *line) {
+	if l.Status < minRefusedStatus {
 		return
 	}
-	r := d.refusal(l.Method, l.Status, digits.ReplaceAllString(l.Error, "N"))
+	r := d.refusal(l.Method, l.Status, numberPattern.ReplaceAllString(l.Error, "N"))
 	r.Count++
-	earliest(&r.First, l.Time)
-	latest(&r.Last, l.Time)
+	keepEarliest(&r.First, l.Time)
+	keepLatest(&r.Last, l.Time)
 	r.bySecond[l.Time.Unix()]++
 }
 
-// refusal gives the refusals for one reason. Those for reasons beyond the bound are together, without the method
-// and status that they do not share.
+// refusal returns the entry for one method, status and reason. Reasons beyond maxReasons share one entry, which has no
+// method or status because they differ.
 func (d *Analyzer) refusal(method string, status int, reason string) *Refusal {
 	key := fmt.Sprintf("%s %d %s", method, status, reason)
-	if d.refusals[key] == nil && len(d.refusals) >= mostReasons {
+	if d.refusals[key] == nil && len(d.refusals) >= maxReasons {
 		key, method, status, reason = otherReasons, "", 0, otherReasons
 	}
 	if d.refusals[key] == nil {
@@ -245,13 +247,13 @@
 	return d.refusals[key]
 }
 
-func (d *Analyzer) failed(at time.Time) {
-	o := d.failures[at.Unix()]
+func (d *Analyzer) addStoreFailure(at time.Time) {
+	o := d.storeFailures[at.Unix()]
 	if o == nil {
 		o = &Outage{}
-		d.failures[at.Unix()] = o
+		d.storeFailures[at.Unix()] = o
 	}
-	earliest(&o.From, at)
-	latest(&o.Until, at)
+	keepEarliest(&o.From, at)
+	keepLatest(&o.Until, at)
 	o.Calls++
 }
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -44,7 +44,8 @@
 	golden.Equal(t, "testdata/day.json", append(raw, '\n'))
 }
 
-// Each VM has a log of its own, and nobody merges them. A work's lines then come in any order: the report is the same.
+// Each VM writes its own log, and logs are not merged, so the lines of a work arrive in any order.
+// The report must not depend on the order.
 func TestOrderOfLinesDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile(logFile)
@@ -67,24 +68,23 @@
 	is.Equal(string(a), string(b))
 }
 
-// A log is cut within a line, and a line is longer than any of ours. Both are told of by their place, and the lines
-// after them count.
+// A truncated line or one that is too long must be reported with its place, and must not end the reading of the log.
 func TestUnreadableLines(t *testing.T) {
 	is := is.New(t)
 	good := `{"time":"2026-10-07T22:55:00Z","msg":"owner: this VM owns the cell","vm":"kochi-1","fence":4}` + "\n"
-	log := good + `{"time":"2026-10-07T22:` + "\n" + strings.Repeat("x", 3*mostLine) + "\n" + strings.Repeat("{\n", mostFindings) + good
+	log := good + `{"time":"2026-10-07T22:` + "\n" + strings.Repeat("x", 3*maxLineBytes) + "\n" + strings.Repeat("{\n", maxFindings) + good
 	d := New()
 	is.NoErr(d.Read(strings.NewReader(log), "log"))
 	r := d.Report()
 	is.Equal(r.Lines, 2)
-	is.Equal(r.Unreadable, mostFindings+2)
-	is.Equal(len(r.Findings), mostFindings+1)
+	is.Equal(r.Unreadable, maxFindings+2)
+	is.Equal(len(r.Findings), maxFindings+1)
 	is.Equal(r.Findings[0].Place, "log:2")
 	is.Equal(r.Findings[1].Place, "log:3")
-	is.Equal(r.Findings[mostFindings].Reason, "2 cannot be read either")
+	is.Equal(r.Findings[maxFindings].Reason, "2 cannot be read either")
 }
 
-// A log of weeks has more works than memory holds. Those beyond the bound are counted, not followed.
+// A log of several weeks has more works than fit in memory: works beyond the limit must be counted only.
 func TestWorksAreBounded(t *testing.T) {
 	is := is.New(t)
 	r := readLog(t, MaxWorks(2), MaxNamed(1))
@@ -99,27 +99,27 @@
 	is.True(len(r.Slowest) <= 1)
 }
 
-// A fault gives each caller a reason of its own. Those beyond the bound are counted together, and none of them is
-// said to have another's method or status.
+// A fault may give each caller a different reason. Reasons beyond the limit must be counted together, without the
+// method and status of any one of them.
 func TestReasonsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var log strings.Builder
 	const more = 5
-	for i := range mostReasons + more {
-		word := strings.Repeat("x", i+1)
-		fmt.Fprintf(&log, `{"time":"2026-10-07T22:55:00Z","msg":"entry: answered","method":"POST","status":503,"error":"%s"}`+"\n", word)
+	for i := range maxReasons + more {
+		reason := strings.Repeat("x", i+1)
+		fmt.Fprintf(&log, `{"time":"2026-10-07T22:55:00Z","msg":"entry: answered","method":"POST","status":503,"error":"%s"}`+"\n", reason)
 	}
 	d := New()
 	is.NoErr(d.Read(strings.NewReader(log.String()), "log"))
 	refusals := d.Report().Refusals
-	is.Equal(len(refusals), mostReasons+1)
+	is.Equal(len(refusals), maxReasons+1)
 	is.Equal(refusals[0].Reason, otherReasons)
 	is.Equal(refusals[0].Count, more)
 	is.Equal(refusals[0].Method, "")
 	is.Equal(refusals[0].Status, 0)
 }
 
-// A caller chooses the names of queues, and a page shows them.
+// Callers choose the names of queues, so a page must escape them.
 func TestPageEscapes(t *testing.T) {
 	is := is.New(t)
 	d := New()
@@ -129,6 +129,6 @@
 	is.True(!strings.Contains(page.String(), "<script>"))
 	page.Reset()
 	is.NoErr(readLog(t).WritePage(&page))
-	is.Equal(strings.Count(page.String(), "<svg"), 5) // three of rosters, two of checks, which never wait as gangs
+	is.Equal(strings.Count(page.String(), "<svg"), 5) // three for rosters, two for checks, which never wait as gangs
 	is.Equal(strings.Count(page.String(), "<?xml"), 0)
 }
--- a/day/doc.go
+++ b/day/doc.go
@@ -1,7 +1,7 @@
-// Package day reports a day of a cell from the JSON lines that its entry VMs have logged: what became of works by
-// queue, zone and size, how long they spent in each stage of their path, what they waited for, what was refused
-// and why, who owned the cell, and which works were lost or slowest.
+// Package day reports on a day of a cell from the JSON logs of its entry VMs: the outcomes of works by queue, zone
+// and size class, the time spent in each stage, the reasons for waiting, refusals, owners of the cell, store outages,
+// and the lost and slowest works.
 //
-// Lines are read one at a time in any order, so that the logs of several VMs need not be merged. Memory is bounded
-// by the works that are followed (MostWorks), and by some hundred bytes for each second of the day.
+// Lines are processed one at a time and in any order, so the logs of several VMs need not be merged. Memory is bounded
+// by the number of tracked works (MaxWorks) and a few hundred bytes for each second of the day.
 package day
--- a/day/group.go
+++ b/day/group.go
@@ -8,31 +8,31 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Group is works of one queue; Zone or Class is empty where it holds all of them.
+// Group summarizes the works of a queue. An empty Zone or Class stands for all zones or classes.
 type Group struct {
 	Queue    string          `json:"queue"`
 	Zone     string          `json:"zone,omitempty"`
 	Class    string          `json:"class,omitempty"`
 	Works    int             `json:"works"`
 	Outcomes map[Outcome]int `json:"fates"`
-	// Owed are those that ended or were lost, but for the cancelled; Served is the share of them that was done.
+	// Owed counts the works that ended or were lost, except cancelled ones; Served is the completed share of them.
 	Owed   int     `json:"owed"`
 	Served float64 `json:"served"`
-	// Done is the share of all its works but the cancelled that were done before they were worth nothing; one that
-	// is open counts as not done. Margin is that share beside its queue's, 0 where none of the queue was done.
+	// Done is the share of all works except cancelled ones that completed before they expired; an open work counts as
+	// not completed. Margin is Done divided by the Done of the whole queue, or 0 if the queue completed none.
 	Done   float64     `json:"done"`
 	Margin float64     `json:"margin"`
 	Stages []StageTime `json:"stages"`
-	// GangSeconds is for how long its gangs waited for what, summed over the gangs.
+	// GangSeconds is the waiting time of gangs by reason, summed over the gangs.
 	GangSeconds map[string]int `json:"gangSeconds,omitempty"`
 	Windows     []Window       `json:"windows"`
-	// InTimeSeconds and LateSeconds are for how long its steps waited while they could still be in time, and while
-	// they could not, summed over the steps.
+	// InTimeSeconds is the waiting time of steps while they could still meet their objective, LateSeconds the time
+	// after that, summed over the steps.
 	InTimeSeconds int `json:"inTimeSeconds"`
 	LateSeconds   int `json:"lateSeconds"`
 }
 
-// StageTime is how long works spent in a stage.
+// StageTime is the time that works spent in a stage.
 type StageTime struct {
 	Stage Stage   `json:"stage"`
 	Works int     `json:"works"`
@@ -40,7 +40,8 @@
 	P90   float64 `json:"p90"`
 }
 
-// Window is the works of a group that were accepted within two seconds, After so long after the first line.
+// Window summarizes the works of a group that were accepted in a window of two seconds, which starts After
+// milliseconds from the first log line.
 type Window struct {
 	After       float64           `json:"after"`
 	Works       int               `json:"works"`
@@ -50,15 +51,15 @@
 	GangSeconds map[string]int    `json:"gangSeconds,omitempty"`
 }
 
-// groupKey names a group; an empty part stands for all.
+// groupKey identifies a group. An empty zone or class matches all.
 type groupKey struct{ queue, zone, class string }
 
-func (k groupKey) holds(w *work) bool {
+func (k groupKey) matches(w *work) bool {
 	return w.queue == k.queue && (k.zone == "" || w.zone == k.zone) && (k.class == "" || w.class == k.class)
 }
 
-// keys gives the groups of works: those of a queue, of each of its classes, of each of its zones.
-func keys(works []judgedWork) []groupKey {
+// groupKeys returns the keys of all groups: each queue, each class of a queue and each zone of a queue.
+func groupKeys(works []judgedWork) []groupKey {
 	found := make(map[groupKey]bool)
 	for _, w := range works {
 		found[groupKey{queue: w.queue}] = true
@@ -75,23 +76,23 @@
 	return list
 }
 
-func (d *Analyzer) group(key groupKey, works []judgedWork) Group {
+func (d *Analyzer) newGroup(key groupKey, works []judgedWork) Group {
 	g := Group{Queue: key.queue, Zone: key.zone, Class: key.class, Outcomes: make(map[Outcome]int), GangSeconds: make(map[string]int)}
 	times := make(map[Stage][]float64)
 	windows := make(map[int][]judgedWork)
 	for _, w := range works {
-		if !key.holds(w.work) {
+		if !key.matches(w.work) {
 			continue
 		}
 		g.Works++
-		g.Outcomes[w.fate]++
+		g.Outcomes[w.outcome]++
 		for s, t := range w.stages {
 			times[s] = append(times[s], t)
 		}
-		windows[d.window(w.accepted)] = append(windows[d.window(w.accepted)], w)
+		windows[d.windowIndex(w.accepted)] = append(windows[d.windowIndex(w.accepted)], w)
 	}
-	g.Owed, g.Served = served(g.Outcomes)
-	g.Done = done(g.Works, g.Outcomes)
+	g.Owed, g.Served = servedShare(g.Outcomes)
+	g.Done = doneShare(g.Works, g.Outcomes)
 	g.InTimeSeconds, g.LateSeconds = d.waitedSeconds(key)
 	for _, s := range Stages {
 		if ts := times[s]; len(ts) > 0 {
@@ -100,26 +101,27 @@
 		}
 	}
 	waits := d.gangSeconds(key)
-	for i := range d.window(d.until) + 1 {
+	for i := range d.windowIndex(d.until) + 1 {
 		if len(windows[i]) > 0 || len(waits[i]) > 0 {
-			g.Windows = append(g.Windows, window(i, windows[i], waits[i]))
+			g.Windows = append(g.Windows, newWindow(i, windows[i], waits[i]))
 		}
-		for why, n := range waits[i] {
-			g.GangSeconds[why] += n
+		for reason, n := range waits[i] {
+			g.GangSeconds[reason] += n
 		}
 	}
 	return g
 }
 
-// window gives the number of the window of a moment; what was accepted before the first line counts to the first.
-func (d *Analyzer) window(at time.Time) int { return max(int(at.Sub(d.from)/windowLength), 0) }
+// windowIndex returns the index of the window that contains the given time. Works accepted before the first line count
+// in the first window.
+func (d *Analyzer) windowIndex(at time.Time) int { return max(int(at.Sub(d.from)/windowLength), 0) }
 
-func window(i int, works []judgedWork, waits map[string]int) Window {
+func newWindow(i int, works []judgedWork, waits map[string]int) Window {
 	out := Window{After: millis(time.Duration(i) * windowLength), Works: len(works), Stages: make(map[Stage]float64), GangSeconds: waits}
-	fates := make(map[Outcome]int)
+	outcomes := make(map[Outcome]int)
 	counts := make(map[Stage]int)
 	for _, w := range works {
-		fates[w.fate]++
+		outcomes[w.outcome]++
 		for s, t := range w.stages {
 			out.Stages[s] += t
 			counts[s]++
@@ -128,30 +130,30 @@
 	for s, n := range counts {
 		out.Stages[s] /= float64(n)
 	}
-	out.Owed, out.Served = served(fates)
+	out.Owed, out.Served = servedShare(outcomes)
 	return out
 }
 
-// served gives how many works were owed, and the share of them that was done; 0 where none was owed.
-func served(fates map[Outcome]int) (owed int, share float64) {
-	done := fates[InTime] + fates[Late]
-	owed = done + fates[Lost] + fates[Failed]
+// servedShare returns the number of owed works and the completed share of them, which is 0 if none was owed.
+func servedShare(outcomes map[Outcome]int) (owed int, share float64) {
+	done := outcomes[InTime] + outcomes[Late]
+	owed = done + outcomes[Lost] + outcomes[Failed]
 	if owed == 0 {
 		return 0, 0
 	}
 	return owed, float64(done) / float64(owed)
 }
 
-// done gives the share of works that were done before they were worth nothing, of all but the cancelled.
-func done(works int, fates map[Outcome]int) float64 {
-	if kept := works - fates[Cancelled]; kept > 0 {
-		return float64(fates[InTime]+fates[Late]) / float64(kept)
+// doneShare returns the share of works, except cancelled ones, that completed before they expired.
+func doneShare(works int, outcomes map[Outcome]int) float64 {
+	if kept := works - outcomes[Cancelled]; kept > 0 {
+		return float64(outcomes[InTime]+outcomes[Late]) / float64(kept)
 	}
 	return 0
 }
 
-// margins compares each group with its queue, which stands before it.
-func margins(groups []Group) {
+// setMargins compares each group with its queue, whose own group precedes it in the list.
+func setMargins(groups []Group) {
 	whole := 0.0
 	for i := range groups {
 		g := &groups[i]
@@ -164,7 +166,7 @@
 	}
 }
 
-// waitedSeconds sums for how long the steps of a group waited; zones are not told apart by these lines.
+// waitedSeconds sums the waiting time of a group's steps. It is 0 for a zone, because these lines have no zone.
 func (d *Analyzer) waitedSeconds(key groupKey) (inTime, late int) {
 	if key.zone != "" {
 		return 0, 0
@@ -178,7 +180,8 @@
 	return inTime, late
 }
 
-// gangSeconds sums by window what the gangs of a group waited for; zones are not told apart by these lines.
+// gangSeconds sums the waiting time of a group's gangs by window and reason. It is empty for a zone, because these
+// lines have no zone.
 func (d *Analyzer) gangSeconds(key groupKey) map[int]map[string]int {
 	out := make(map[int]map[string]int)
 	if key.zone != "" {
@@ -188,11 +191,11 @@
 		if w.queue != key.queue || key.class != "" && w.class != key.class {
 			continue
 		}
-		i := d.window(w.at)
+		i := d.windowIndex(w.at)
 		if out[i] == nil {
 			out[i] = make(map[string]int)
 		}
-		out[i][w.why] += w.gangs
+		out[i][w.reason] += w.gangs
 	}
 	return out
 }
--- a/day/load.go
+++ b/day/load.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Load is what the owner of the cell had to do within two seconds, After so long after the first line. Of its lines
-// in that time each figure is the worst.
+// Load is the load of the cell's owner in a window of two seconds that starts After milliseconds from the first log
+// line. Each figure is the worst one logged in the window.
 type Load struct {
 	After float64 `json:"after"`
-	// Lag is how late the owner's loop was, Pass how long a pass took.
+	// Lag is the delay of the owner's loop, Pass the duration of a scheduling pass, both in milliseconds.
 	Lag  float64 `json:"lag"`
 	Pass float64 `json:"pass"`
-	// WaitingSteps waited, Questions were under way, and Usable of Workers could be used.
+	// Questions counts the pending permit requests, Usable the workers that accept tasks, Workers all workers.
 	WaitingSteps int `json:"waitingSteps"`
 	Questions    int `json:"questions"`
 	Usable       int `json:"usable"`
 	Workers      int `json:"workers"`
 }
 
-// load takes in a line on the state of the cell.
-func (d *Analyzer) load(l *line) {
+// addLoad processes a line about the state of the cell.
+func (d *Analyzer) addLoad(l *line) {
 	now := Load{Lag: l.Lag, Pass: l.Pass, WaitingSteps: l.WaitingSteps, Questions: l.Questions, Usable: l.Usable, Workers: l.Workers}
 	at := l.Time.Truncate(time.Second)
 	if known := d.loads[at]; known != nil {
-		known.worst(&now)
+		known.mergeWorst(&now)
 		return
 	}
 	d.loads[at] = &now
 }
 
-// worst keeps the worst of each figure.
-func (o *Load) worst(other *Load) {
+// mergeWorst keeps the worse value of each figure.
+func (o *Load) mergeWorst(other *Load) {
 	o.Lag = max(o.Lag, other.Lag)
 	o.Pass = max(o.Pass, other.Pass)
 	o.WaitingSteps = max(o.WaitingSteps, other.WaitingSteps)
@@ -41,17 +41,17 @@
 	o.Workers = max(o.Workers, other.Workers)
 }
 
-// ownerLoads gives the load by windows, those without a line left out.
+// ownerLoads returns the load of each window that has a log line.
 func (d *Analyzer) ownerLoads() []Load {
 	byWindow := make(map[int]*Load)
 	for at, o := range d.loads {
-		i := d.window(at)
+		i := d.windowIndex(at)
 		if byWindow[i] == nil {
 			first := *o
 			first.After = millis(time.Duration(i) * windowLength)
 			byWindow[i] = &first
 		}
-		byWindow[i].worst(o)
+		byWindow[i].mergeWorst(o)
 	}
 	var out []Load
 	for _, i := range slices.Sorted(maps.Keys(byWindow)) {
--- a/day/page.go
+++ b/day/page.go
@@ -20,13 +20,13 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// Size of a plot.
+// Plot dimensions.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// colors of a plot's lines, which differ in lightness as well.
+// colors holds the line colors of a plot. They also differ in lightness, so they can be told apart without color.
 var colors = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
@@ -36,20 +36,21 @@
 	color.RGBA{R: 0x33, G: 0x33, B: 0x33, A: 0xff},
 }
 
-// content is what a page shows.
-type content struct {
+// pageData is the input of the page template.
+type pageData struct {
 	Report   *Report
 	Sections []section
 	Text     string
 }
 
-// section is what a page shows of a queue.
+// section is the part of a page about one queue.
 type section struct {
 	Queue string
 	Plots []template.HTML
 }
 
-// WritePage writes the report as one HTML page: plots of each queue, owners and outages as bands in them, and the text.
+// WritePage writes the report as an HTML page with plots for each queue, which mark owner changes and store outages,
+// and the text report.
 func (r *Report) WritePage(out io.Writer) error {
 	var text bytes.Buffer
 	if err := r.WriteText(&text); err != nil {
@@ -58,14 +59,14 @@
 	var sections []section
 	for i := range r.Groups {
 		if g := &r.Groups[i]; g.Zone == "" && g.Class == "" {
-			s, err := r.section(g)
+			s, err := r.newSection(g)
 			if err != nil {
 				return err
 			}
 			sections = append(sections, s)
 		}
 	}
-	return eris.Wrap(page.Execute(out, &content{r, sections, text.String()}), "write the page of a day")
+	return eris.Wrap(page.Execute(out, &pageData{r, sections, text.String()}), "write the page of a day")
 }
 
 // curve is one line of a plot.
@@ -74,7 +75,7 @@
 	points plotter.XYs
 }
 
-func (r *Report) section(g *Group) (section, error) {
+func (r *Report) newSection(g *Group) (section, error) {
 	s := section{Queue: g.Queue}
 	for _, p := range []struct {
 		title  string
@@ -84,7 +85,7 @@
 		{"what gangs wait for, gang-seconds", waitCurves(g)},
 		{"mean time before the first start, ms", stageCurves(g)},
 	} {
-		svg, err := r.plot(p.title, p.curves)
+		svg, err := r.renderPlot(p.title, p.curves)
 		if err != nil {
 			return s, err
 		}
@@ -102,7 +103,7 @@
 		if g.Queue != queue || g.Zone != "" {
 			continue
 		}
-		c := curve{name: g.of()}
+		c := curve{name: g.scope()}
 		for _, w := range g.Windows {
 			if w.Owed > 0 {
 				c.points = append(c.points, plotter.XY{X: w.After / 1000, Y: w.Served})
@@ -115,13 +116,13 @@
 
 func waitCurves(g *Group) []curve {
 	var out []curve
-	for _, word := range waitWords {
-		if g.GangSeconds[word] == 0 {
+	for _, reason := range waitReasons {
+		if g.GangSeconds[reason] == 0 {
 			continue
 		}
-		c := curve{name: word}
+		c := curve{name: reason}
 		for _, w := range g.Windows {
-			c.points = append(c.points, plotter.XY{X: w.After / 1000, Y: float64(w.GangSeconds[word])})
+			c.points = append(c.points, plotter.XY{X: w.After / 1000, Y: float64(w.GangSeconds[reason])})
 		}
 		out = append(out, c)
 	}
@@ -142,9 +143,9 @@
 	return out
 }
 
-// plot draws curves over the seconds of the day, with a dotted line where the cell got an owner and a grey band
-// where the store gave no answers; it is empty where there is nothing to draw.
-func (r *Report) plot(title string, curves []curve) (template.HTML, error) {
+// renderPlot draws curves over the seconds of the day as SVG. A dotted line marks a new owner of the cell, a grey band a
+// store outage. The result is empty if no curve has points.
+func (r *Report) renderPlot(title string, curves []curve) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "s"
 	p.Legend.Top = true
@@ -168,7 +169,7 @@
 	if drawn == 0 {
 		return "", nil
 	}
-	if err := r.bands(p, top); err != nil {
+	if err := r.addMarkers(p, top); err != nil {
 		return "", err
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
@@ -177,12 +178,12 @@
 	if _, err := canvas.WriteTo(&svg); err != nil {
 		return "", eris.Wrap(err, "write a plot")
 	}
-	// A page has no place for the declaration that begins a file.
+	// The XML declaration of the SVG file is invalid inside an HTML page.
 	_, drawing, _ := bytes.Cut(svg.Bytes(), []byte("?>"))
-	return template.HTML(drawing), nil //nolint:gosec // the library's own drawing, which escapes its texts
+	return template.HTML(drawing), nil //nolint:gosec // generated by the plot library, which escapes texts
 }
 
-func (r *Report) bands(p *plot.Plot, top float64) error {
+func (r *Report) addMarkers(p *plot.Plot, top float64) error {
 	for _, o := range r.Outages {
 		from, until := o.From.Sub(r.From).Seconds(), o.Until.Sub(r.From).Seconds()
 		band, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: until}, {X: until, Y: top}, {X: from, Y: top}})
--- a/day/print.go
+++ b/day/print.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// tabPadding is the least space between two columns.
-	tabPadding = 2
-	clock      = "15:04:05.000"
+	// tabPadding is the minimum space between two columns.
+	tabPadding  = 2
+	clockLayout = "15:04:05.000"
 )
 
-// printer writes a report as text and keeps the first error.
+// printer writes tables as text and keeps the first error.
 type printer struct {
 	w   *tabwriter.Writer
 	err error
@@ -23,12 +23,12 @@
 
 func (p *printer) row(cells ...string) {
 	if p.err == nil {
-		_, p.err = fmt.Fprintln(p.w, plain(strings.Join(cells, "\t")))
+		_, p.err = fmt.Fprintln(p.w, stripControls(strings.Join(cells, "\t")))
 	}
 }
 
-// plain leaves out control characters, which a terminal would obey.
-func plain(s string) string {
+// stripControls removes control characters, which a terminal would interpret. It keeps tabs.
+func stripControls(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r != '\t' && unicode.IsControl(r) {
 			return -1
@@ -37,8 +37,8 @@
 	}, s)
 }
 
-// head ends the table before it and begins the next one.
-func (p *printer) head(title string, columns ...string) {
+// beginTable ends the previous table and prints the title and header of the next one.
+func (p *printer) beginTable(title string, columns ...string) {
 	if p.err == nil {
 		p.err = p.w.Flush()
 	}
@@ -50,7 +50,7 @@
 	p.row(columns...)
 }
 
-// WriteText writes the report as text.
+// WriteText writes the report as plain text.
 func (r *Report) WriteText(out io.Writer) error {
 	p := &printer{w: tabwriter.NewWriter(out, 0, 0, tabPadding, ' ', 0)}
 	p.row(fmt.Sprintf("%s to %s, %d lines, %d others, %d unreadable, %d of works beyond the bound",
@@ -59,22 +59,22 @@
 	r.printStages(p)
 	r.printWaits(p)
 	r.printWindows(p)
-	r.printBands(p)
-	p.head("Refused", "COUNT", "METHOD", "STATUS", "FIRST", "LAST", "FREE", "REASON")
+	r.printOwnersAndOutages(p)
+	p.beginTable("Refused", "COUNT", "METHOD", "STATUS", "FIRST", "LAST", "FREE", "REASON")
 	for i := range r.Refusals {
 		f := &r.Refusals[i]
-		p.row(fmt.Sprint(f.Count), f.Method, fmt.Sprint(f.Status), f.First.Format(clock), f.Last.Format(clock), fmt.Sprintf("%.2f", f.Free), f.Reason)
+		p.row(fmt.Sprint(f.Count), f.Method, fmt.Sprint(f.Status), f.First.Format(clockLayout), f.Last.Format(clockLayout), fmt.Sprintf("%.2f", f.Free), f.Reason)
 	}
-	printPaths(p, "Lost, the largest first", r.Lost)
-	printPaths(p, "Slowest", r.Slowest)
+	printWorks(p, "Lost, the largest first", r.Lost)
+	printWorks(p, "Slowest", r.Slowest)
 	if p.err == nil {
 		p.err = p.w.Flush()
 	}
 	return p.err
 }
 
-// of names what a group holds beside its queue.
-func (g *Group) of() string {
+// scope describes the part of the queue that the group covers.
+func (g *Group) scope() string {
 	switch {
 	case g.Class != "":
 		return "size " + g.Class
@@ -84,8 +84,8 @@
 	return "all"
 }
 
-// shareCell is a dash where nothing was owed.
-func shareCell(owed int, served float64) string {
+// formatShare formats a share, or a dash if no work was owed.
+func formatShare(owed int, served float64) string {
 	if owed == 0 {
 		return "-"
 	}
@@ -93,10 +93,10 @@
 }
 
 func (r *Report) printGroups(p *printer) {
-	p.head("What became of works", "QUEUE", "OF", "WORKS", "SERVED", "IN TIME", "LATE", "LOST", "FAILED", "CANCELLED", "OPEN", "DONE", "MARGIN")
+	p.beginTable("What became of works", "QUEUE", "OF", "WORKS", "SERVED", "IN TIME", "LATE", "LOST", "FAILED", "CANCELLED", "OPEN", "DONE", "MARGIN")
 	for i := range r.Groups {
 		g := &r.Groups[i]
-		cells := []string{g.Queue, g.of(), fmt.Sprint(g.Works), shareCell(g.Owed, g.Served)}
+		cells := []string{g.Queue, g.scope(), fmt.Sprint(g.Works), formatShare(g.Owed, g.Served)}
 		for _, f := range []Outcome{InTime, Late, Lost, Failed, Cancelled, Open} {
 			cells = append(cells, fmt.Sprint(g.Outcomes[f]))
 		}
@@ -110,10 +110,10 @@
 	for _, s := range Stages {
 		columns = append(columns, strings.ToUpper(string(s)))
 	}
-	p.head("Time in each stage, ms, mean and 0.9 quantile", columns...)
+	p.beginTable("Time in each stage, ms, mean and 0.9 quantile", columns...)
 	for i := range r.Groups {
 		g := &r.Groups[i]
-		cells := []string{g.Queue, g.of()}
+		cells := []string{g.Queue, g.scope()}
 		for _, s := range Stages {
 			cell := "-"
 			for _, t := range g.Stages {
@@ -127,50 +127,50 @@
 	}
 }
 
-// waitWords are what gangs wait for, in the order of their path.
-var waitWords = []string{"service", "answer", "room", "reserved", "rest", "rule"}
+// waitReasons lists the reasons why gangs wait, in the order of processing.
+var waitReasons = []string{"service", "answer", "room", "reserved", "rest", "rule"}
 
 func waitCells(seconds map[string]int) []string {
-	cells := make([]string, 0, len(waitWords))
-	for _, w := range waitWords {
-		cells = append(cells, fmt.Sprint(seconds[w]))
+	cells := make([]string, 0, len(waitReasons))
+	for _, reason := range waitReasons {
+		cells = append(cells, fmt.Sprint(seconds[reason]))
 	}
 	return cells
 }
 
 func waitColumns() []string {
-	columns := make([]string, 0, len(waitWords))
-	for _, w := range waitWords {
-		columns = append(columns, strings.ToUpper(w))
+	columns := make([]string, 0, len(waitReasons))
+	for _, reason := range waitReasons {
+		columns = append(columns, strings.ToUpper(reason))
 	}
 	return columns
 }
 
 func (r *Report) printWaits(p *printer) {
-	p.head("How long steps waited, step-seconds", "QUEUE", "WORKS", "IN TIME", "LATE")
+	p.beginTable("How long steps waited, step-seconds", "QUEUE", "WORKS", "IN TIME", "LATE")
 	for i := range r.Groups {
 		if g := &r.Groups[i]; g.InTimeSeconds+g.LateSeconds > 0 {
-			p.row(g.Queue, g.of(), fmt.Sprint(g.InTimeSeconds), fmt.Sprint(g.LateSeconds))
+			p.row(g.Queue, g.scope(), fmt.Sprint(g.InTimeSeconds), fmt.Sprint(g.LateSeconds))
 		}
 	}
-	p.head("What gangs waited for, gang-seconds", append([]string{"QUEUE", "WORKS"}, waitColumns()...)...)
+	p.beginTable("What gangs waited for, gang-seconds", append([]string{"QUEUE", "WORKS"}, waitColumns()...)...)
 	for i := range r.Groups {
 		if g := &r.Groups[i]; len(g.GangSeconds) > 0 {
-			p.row(append([]string{g.Queue, g.of()}, waitCells(g.GangSeconds)...)...)
+			p.row(append([]string{g.Queue, g.scope()}, waitCells(g.GangSeconds)...)...)
 		}
 	}
 }
 
-// printWindows tells of whole queues alone; JSON has the windows of all groups.
+// printWindows prints the windows of whole queues only; the JSON report has those of all groups.
 func (r *Report) printWindows(p *printer) {
 	for i := range r.Groups {
 		g := &r.Groups[i]
 		if g.Zone != "" || g.Class != "" {
 			continue
 		}
-		p.head("Queue "+g.Queue+" by when works were accepted", append([]string{"SECOND", "WORKS", "SERVED", "TURN", "PERMITS", "AGAIN", "ROOM"}, waitColumns()...)...)
+		p.beginTable("Queue "+g.Queue+" by when works were accepted", append([]string{"SECOND", "WORKS", "SERVED", "TURN", "PERMITS", "AGAIN", "ROOM"}, waitColumns()...)...)
 		for _, w := range g.Windows {
-			cells := []string{fmt.Sprintf("%.0f", w.After/1000), fmt.Sprint(w.Works), shareCell(w.Owed, w.Served)}
+			cells := []string{fmt.Sprintf("%.0f", w.After/1000), fmt.Sprint(w.Works), formatShare(w.Owed, w.Served)}
 			for _, s := range []Stage{StageTurn, StagePermits, StageAgain, StageRoom} {
 				cells = append(cells, fmt.Sprintf("%.0f", w.Stages[s]))
 			}
@@ -179,29 +179,29 @@
 	}
 }
 
-func (r *Report) printBands(p *printer) {
-	p.head("Owners of the cell", "FROM", "UNTIL", "VM", "FENCE", "ENDED BY")
+func (r *Report) printOwnersAndOutages(p *printer) {
+	p.beginTable("Owners of the cell", "FROM", "UNTIL", "VM", "FENCE", "ENDED BY")
 	for _, t := range r.Tenures {
 		until := "-"
 		if !t.Until.IsZero() {
-			until = t.Until.Format(clock)
+			until = t.Until.Format(clockLayout)
 		}
-		p.row(t.From.Format(clock), until, t.VM, fmt.Sprint(t.Fence), t.Reason)
+		p.row(t.From.Format(clockLayout), until, t.VM, fmt.Sprint(t.Fence), t.Reason)
 	}
-	p.head("Load of the owner, the worst of two seconds", "SECOND", "LAG MS", "PASS MS", "WAITING STEPS", "QUESTIONS", "USABLE", "WORKERS")
+	p.beginTable("Load of the owner, the worst of two seconds", "SECOND", "LAG MS", "PASS MS", "WAITING STEPS", "QUESTIONS", "USABLE", "WORKERS")
 	for i := range r.Loads {
 		o := &r.Loads[i]
 		p.row(fmt.Sprintf("%.0f", o.After/1000), fmt.Sprintf("%.0f", o.Lag), fmt.Sprintf("%.0f", o.Pass), fmt.Sprint(o.WaitingSteps),
 			fmt.Sprint(o.Questions), fmt.Sprint(o.Usable), fmt.Sprint(o.Workers))
 	}
-	p.head("Calls of the store without an answer", "FROM", "UNTIL", "CALLS")
+	p.beginTable("Calls of the store without an answer", "FROM", "UNTIL", "CALLS")
 	for _, o := range r.Outages {
-		p.row(o.From.Format(clock), o.Until.Format(clock), fmt.Sprint(o.Calls))
+		p.row(o.From.Format(clockLayout), o.Until.Format(clockLayout), fmt.Sprint(o.Calls))
 	}
 }
 
-func printPaths(p *printer, title string, list []WorkDetail) {
-	p.head(title, "ID", "QUEUE", "ZONE", "CLASS", "CORE-SECONDS", "TOOK MS", "STAGES")
+func printWorks(p *printer, title string, list []WorkDetail) {
+	p.beginTable(title, "ID", "QUEUE", "ZONE", "CLASS", "CORE-SECONDS", "TOOK MS", "STAGES")
 	for i := range list {
 		n := &list[i]
 		var stages []string
--- a/day/report.go
+++ b/day/report.go
@@ -10,29 +10,29 @@
 	"turmericgap/finding"
 )
 
-// Report is what a day was like. Times are as in the log, durations in milliseconds.
+// Report summarizes the logs of a day. Times are as in the log; durations are in milliseconds.
 type Report struct {
 	From  time.Time `json:"from"`
 	Until time.Time `json:"until"`
-	// Lines were read, Others are no log lines, Unreadable should be and cannot be read; LeftOut are lines of works
-	// beyond the bound.
+	// Lines counts the log lines, Others the lines that are not log lines, Unreadable those that cannot be parsed, and
+	// LeftOut those about works beyond MaxWorks.
 	Lines      int          `json:"lines"`
 	Others     int          `json:"others"`
 	Unreadable int          `json:"unreadable"`
 	LeftOut    int          `json:"leftOut"`
 	Findings   finding.List `json:"findings,omitempty"`
-	// Groups hold the works of each queue, and those of each zone and class of sizes of it.
+	// Groups has one group for each queue, and one for each zone and size class of a queue.
 	Groups   []Group   `json:"groups"`
 	Tenures  []Tenure  `json:"tenures"`
 	Outages  []Outage  `json:"outages"`
 	Loads    []Load    `json:"loads"`
 	Refusals []Refusal `json:"refusals"`
-	// Lost are the largest works that were lost, Slowest those that were done and took longest.
+	// Lost lists the largest lost works, Slowest the completed works that took longest.
 	Lost    []WorkDetail `json:"lost"`
 	Slowest []WorkDetail `json:"slowest"`
 }
 
-// Tenure is a time in which a VM owned the cell; Until is zero where no line tells of its end.
+// Tenure is a period in which one VM owned the cell. Until is zero if its end was not logged.
 type Tenure struct {
 	VM     string    `json:"vm"`
 	Fence  int64     `json:"fence"`
@@ -41,14 +41,15 @@
 	Reason string    `json:"reason,omitempty"`
 }
 
-// Outage is a time in which calls of the store had no answer.
+// Outage is a period in which store calls had no answer.
 type Outage struct {
 	From  time.Time `json:"from"`
 	Until time.Time `json:"until"`
 	Calls int       `json:"calls"`
 }
 
-// Refusal is the callers who were refused for one reason; Free is the mean share of the cell that was free then.
+// Refusal counts the requests refused for one reason. Free is the mean free share of the cell at the time of these
+// requests.
 type Refusal struct {
 	Method string    `json:"method"`
 	Status int       `json:"status"`
@@ -57,11 +58,11 @@
 	First  time.Time `json:"first"`
 	Last   time.Time `json:"last"`
 	Free   float64   `json:"free"`
-	// bySecond counts them by the second.
+	// bySecond counts the requests by Unix second.
 	bySecond map[int64]int
 }
 
-// WorkDetail is a work that a report names, and how long it spent in each stage.
+// WorkDetail is a work listed in a report, with the time it spent in each stage.
 type WorkDetail struct {
 	ID          string            `json:"id"`
 	Queue       string            `json:"queue"`
@@ -70,38 +71,38 @@
 	CoreSeconds float64           `json:"coreSeconds"`
 	Took        float64           `json:"took"`
 	Stages      map[Stage]float64 `json:"stages"`
-	// Lines are its log lines, where the log was read again for them.
+	// Lines holds its log lines if AttachLines has read the log.
 	Lines []string `json:"lines,omitempty"`
 }
 
-// outageGap parts two outages.
+// outageGap is the longest time between two failed calls of the same outage.
 const outageGap = 2 * time.Second
 
-// Report gives what was read so far.
+// Report returns a report on the lines read so far.
 func (d *Analyzer) Report() *Report {
 	r := &Report{
-		From: d.from, Until: d.until, Lines: d.lines, Others: d.others, Unreadable: d.bad, LeftOut: d.leftOut, Findings: d.Findings(),
-		Outages: d.outages(), Refusals: d.refused(), Loads: d.ownerLoads(),
+		From: d.from, Until: d.until, Lines: d.lines, Others: d.nonLogLines, Unreadable: d.unreadable, LeftOut: d.skippedWorkLines, Findings: d.Findings(),
+		Outages: d.outages(), Refusals: d.refusalList(), Loads: d.ownerLoads(),
 	}
 	for _, t := range d.tenures {
 		r.Tenures = append(r.Tenures, *t)
 	}
 	slices.SortFunc(r.Tenures, func(a, b Tenure) int { return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.Fence, b.Fence)) })
-	works := d.known()
-	for _, key := range keys(works) {
-		r.Groups = append(r.Groups, d.group(key, works))
+	works := d.judgedWorks()
+	for _, key := range groupKeys(works) {
+		r.Groups = append(r.Groups, d.newGroup(key, works))
 	}
-	margins(r.Groups)
-	r.Lost, r.Slowest = d.named(works)
+	setMargins(r.Groups)
+	r.Lost, r.Slowest = d.namedWorks(works)
 	return r
 }
 
-// known gives the works of which a line told the queue, by their acceptance.
-func (d *Analyzer) known() []judgedWork {
+// judgedWorks returns the works with a known queue, sorted by the time of acceptance.
+func (d *Analyzer) judgedWorks() []judgedWork {
 	var list []judgedWork
 	for _, w := range d.works {
 		if w.queue != "" {
-			list = append(list, judgedWork{w, w.became(), w.times()})
+			list = append(list, judgedWork{w, w.classify(), w.stageTimes()})
 		}
 	}
 	slices.SortFunc(list, func(a, b judgedWork) int { return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.id, b.id)) })
@@ -110,8 +111,8 @@
 
 func (d *Analyzer) outages() []Outage {
 	var out []Outage
-	for _, second := range slices.Sorted(maps.Keys(d.failures)) {
-		o := *d.failures[second]
+	for _, second := range slices.Sorted(maps.Keys(d.storeFailures)) {
+		o := *d.storeFailures[second]
 		if n := len(out); n > 0 && o.From.Sub(out[n-1].Until) <= outageGap {
 			out[n-1].Until = o.Until
 			out[n-1].Calls += o.Calls
@@ -122,14 +123,14 @@
 	return out
 }
 
-func (d *Analyzer) refused() []Refusal {
-	free := slices.SortedFunc(slices.Values(d.free), func(a, b freeAt) int { return a.at.Compare(b.at) })
+func (d *Analyzer) refusalList() []Refusal {
+	free := slices.SortedFunc(slices.Values(d.freeSamples), func(a, b freeSample) int { return a.at.Compare(b.at) })
 	var out []Refusal
 	for _, r := range d.refusals {
 		sum := 0.0
-		// In the same order each time: sums of floating point numbers depend on it.
+		// A fixed order keeps the floating point sum reproducible.
 		for _, second := range slices.Sorted(maps.Keys(r.bySecond)) {
-			sum += float64(r.bySecond[second]) * freeThen(free, time.Unix(second, 0))
+			sum += float64(r.bySecond[second]) * freeShareAt(free, time.Unix(second, 0))
 		}
 		r.Free = sum / float64(r.Count)
 		out = append(out, *r)
@@ -140,37 +141,37 @@
 	return out
 }
 
-// freeThen gives the share that was free by the first line at or after a moment, or the last line.
-func freeThen(free []freeAt, at time.Time) float64 {
+// freeShareAt returns the free share from the first sample at or after the given time, or else from the last sample.
+func freeShareAt(free []freeSample, at time.Time) float64 {
 	if len(free) == 0 {
 		return 0
 	}
-	i, _ := slices.BinarySearchFunc(free, at, func(f freeAt, t time.Time) int { return f.at.Compare(t) })
+	i, _ := slices.BinarySearchFunc(free, at, func(f freeSample, t time.Time) int { return f.at.Compare(t) })
 	return free[min(i, len(free)-1)].share
 }
 
-// named gives the largest works that were lost, and those that were done and took longest.
-func (d *Analyzer) named(works []judgedWork) (lost, slowest []WorkDetail) {
+// namedWorks returns the largest lost works and the completed works that took longest.
+func (d *Analyzer) namedWorks(works []judgedWork) (lost, slowest []WorkDetail) {
 	for _, w := range works {
 		n := WorkDetail{ID: w.id, Queue: w.queue, Zone: w.zone, Class: w.class, CoreSeconds: w.size, Stages: w.stages}
-		switch w.fate {
+		switch w.outcome {
 		case Lost:
 			lost = append(lost, n)
 		case InTime, Late:
-			n.Took = millis(w.shown.Sub(w.accepted))
+			n.Took = millis(w.published.Sub(w.accepted))
 			slowest = append(slowest, n)
 		default:
 		}
 	}
 	slices.SortStableFunc(lost, func(a, b WorkDetail) int { return cmp.Compare(b.CoreSeconds, a.CoreSeconds) })
 	slices.SortStableFunc(slowest, func(a, b WorkDetail) int { return cmp.Compare(b.Took, a.Took) })
-	return lost[:min(len(lost), d.o.MaxNamed)], slowest[:min(len(slowest), d.o.MaxNamed)]
+	return lost[:min(len(lost), d.opts.MaxNamed)], slowest[:min(len(slowest), d.opts.MaxNamed)]
 }
 
-// mostNamedLines bounds the lines that are kept of a named work.
-const mostNamedLines = 200
+// maxNamedLines limits the log lines kept for a listed work.
+const maxNamedLines = 200
 
-// AttachLines reads a log again and keeps the lines of the works that the report names.
+// AttachLines reads a log again and adds the lines of the works that the report lists.
 func (r *Report) AttachLines(log io.Reader) error {
 	byID := make(map[string]*WorkDetail)
 	for i := range r.Lost {
@@ -187,8 +188,8 @@
 		if err != nil || !ok {
 			return
 		}
-		if n := byID[l.ID]; n != nil && len(n.Lines) < mostNamedLines {
-			n.Lines = append(n.Lines, trimmed(raw))
+		if n := byID[l.ID]; n != nil && len(n.Lines) < maxNamedLines {
+			n.Lines = append(n.Lines, jsonObject(raw))
 		}
 	})
 }
--- a/day/work.go
+++ b/day/work.go
@@ -6,111 +6,113 @@
 	"time"
 )
 
-// Outcome is what became of a work.
+// Outcome is the final state of a work in a report.
 type Outcome string
 
-// The fates.
+// Outcomes of a work.
 const (
 	InTime    Outcome = "inTime"
 	Late      Outcome = "late"
-	Lost      Outcome = "lost" // not done within three objectives
+	Lost      Outcome = "lost" // not completed within three times its objective
 	Failed    Outcome = "failed"
 	Cancelled Outcome = "cancelled"
-	Open      Outcome = "open" // not ended when the log ends
+	Open      Outcome = "open" // not ended at the end of the log
 )
 
-// Stage is a part of a work's path.
+// Stage is a phase in the processing of a work.
 type Stage string
 
-// The stages, in the order of a work's path.
+// Stages in the order of processing.
 const (
-	StageTurn     Stage = "turn"     // from its acceptance until its first question is put
-	StagePermits  Stage = "permits"  // until that is answered
-	StageAgain    Stage = "again"    // in further questions before its first start, as far as one was under way
-	StageRoom     Stage = "room"     // the rest until its first start is decided; from its acceptance where it needs no permits
-	StageRecorded Stage = "recorded" // until the intent of a start is durable, mean over its runs
-	StageOrdered  Stage = "ordered"  // until the worker has answered the order, mean over its runs
-	StageRun      Stage = "run"      // from its first start until its last end is heard or it is shown, later steps included
-	StageShown    Stage = "shown"    // until its end is durable and shown
+	StageTurn     Stage = "turn"     // from acceptance to the first permit request
+	StagePermits  Stage = "permits"  // until the first permit response
+	StageAgain    Stage = "again"    // time before the first start with at least one further permit request pending
+	StageRoom     Stage = "room"     // remaining time until the first start is decided; counted from acceptance if no permit is needed
+	StageRecorded Stage = "recorded" // until the intent to start is durable, mean over the runs
+	StageOrdered  Stage = "ordered"  // until the worker has answered the order, mean over the runs
+	StageRun      Stage = "run"      // from the first start until the last end is reported or the result is published, later steps included
+	StageShown    Stage = "shown"    // until the end is durable and published
 )
 
-// Stages lists all stages.
+// Stages lists all stages in the order of processing.
 var Stages = []Stage{StageTurn, StagePermits, StageAgain, StageRoom, StageRecorded, StageOrdered, StageRun, StageShown}
 
-// work is what the lines tell of one work.
+// work collects the data of one work from log lines.
 type work struct {
 	id, queue, zone, class string
 	// size is in core-seconds, objective in milliseconds.
 	size, objective float64
-	// taken is when the line that told of its class was written: the first owner's counts.
-	taken time.Time
-	// accepted, asked, permitted, started and ended are the first or last moment of their kind, shown is when its
-	// end was shown; zero where no line tells.
-	accepted, asked, permitted, started, ended, shown time.Time
-	state                                             string
-	// questions are those that were answered.
-	questions  []span
-	beforeGoal float64
-	lost       bool
-	// recorded and ordered are sums over its runs, in milliseconds.
-	recorded, ordered float64
-	runs              int
+	// describedAt is the time of the line that gave queue, zone, class, size and objective. The earliest such line
+	// wins, which is that of the first owner.
+	describedAt time.Time
+	// firstRequest, firstPermit and started are the earliest, ended is the latest of several events. A time is zero if
+	// the event was not logged.
+	accepted, firstRequest, firstPermit, started, ended, published time.Time
+	state                                                          string
+	// permitRequests holds the answered permit requests.
+	permitRequests []span
+	beforeGoal     float64
+	lost           bool
+	// recordedSum and orderedSum are sums over the runs, in milliseconds.
+	recordedSum, orderedSum float64
+	runs                    int
 }
 
-func earliest(at *time.Time, t time.Time) {
+func keepEarliest(at *time.Time, t time.Time) {
 	if at.IsZero() || t.Before(*at) {
 		*at = t
 	}
 }
 
-func latest(at *time.Time, t time.Time) {
+func keepLatest(at *time.Time, t time.Time) {
 	if t.After(*at) {
 		*at = t
 	}
 }
 
-// take takes in a line about the work.
-func (w *work) take(l *line) {
+// add processes a line about the work.
+func (w *work) add(l *line) {
 	switch l.Msg {
 	case "dispatch: work taken":
-		earliest(&w.accepted, l.since(l.Age))
-		if w.taken.IsZero() || l.Time.Before(w.taken) {
-			w.taken, w.queue, w.zone, w.class, w.size, w.objective = l.Time, l.Queue, l.Zone, l.Class, l.CoreSeconds, l.Objective
+		keepEarliest(&w.accepted, l.millisBefore(l.Age))
+		if w.describedAt.IsZero() || l.Time.Before(w.describedAt) {
+			w.describedAt, w.queue, w.zone, w.class, w.size, w.objective = l.Time, l.Queue, l.Zone, l.Class, l.CoreSeconds, l.Objective
 		}
 	case "dispatch: permits":
-		earliest(&w.asked, l.since(l.Took))
-		earliest(&w.permitted, l.Time)
-		w.questions = append(w.questions, span{l.since(l.Took), l.Time})
+		keepEarliest(&w.firstRequest, l.millisBefore(l.Took))
+		keepEarliest(&w.firstPermit, l.Time)
+		w.permitRequests = append(w.permitRequests, span{l.millisBefore(l.Took), l.Time})
 	case "dispatch: start decided":
-		earliest(&w.started, l.Time)
+		keepEarliest(&w.started, l.Time)
 	case "dispatch: run ended":
-		latest(&w.ended, l.Time)
-		w.recorded += l.Recorded
-		w.ordered += l.Ordered
+		keepLatest(&w.ended, l.Time)
+		w.recordedSum += l.Recorded
+		w.orderedSum += l.Ordered
 		w.runs++
 	case "dispatch: work is worth nothing any more":
 		w.lost = true
 	case "dispatch: work ended":
-		w.state, w.shown, w.beforeGoal = l.State, l.Time, l.BeforeGoal
+		w.state, w.published, w.beforeGoal = l.State, l.Time, l.BeforeGoal
 	}
 }
 
-// millis gives a duration as reports have it.
+// millis converts a duration to milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// lostAfter objectives after it was due a work is worth nothing any more.
-const lostAfter = 3
+// lostAfterObjectives is the multiple of its objective after which a work has expired.
+const lostAfterObjectives = 3
 
-// became tells what became of the work. An end wins over a loss, which may be told of a work that was cancelled.
-func (w *work) became() Outcome {
+// classify returns the outcome of the work. A cancellation or failure takes precedence over a loss, since a cancelled
+// work may be reported as lost too.
+func (w *work) classify() Outcome {
 	switch {
 	case w.state == "cancelled":
 		return Cancelled
 	case w.state == "failed":
 		return Failed
-	case w.lost || w.beforeGoal < -(lostAfter-1)*w.objective:
+	case w.lost || w.beforeGoal < -(lostAfterObjectives-1)*w.objective:
 		return Lost
-	case w.shown.IsZero():
+	case w.published.IsZero():
 		return Open
 	case w.beforeGoal < 0:
 		return Late
@@ -118,45 +120,45 @@
 	return InTime
 }
 
-// times gives how long the work spent in each stage that the lines tell of, in milliseconds.
-func (w *work) times() map[Stage]float64 {
+// stageTimes returns the time in milliseconds that the work spent in each stage with known bounds.
+func (w *work) stageTimes() map[Stage]float64 {
 	out := make(map[Stage]float64, len(Stages))
-	between := func(s Stage, from, to time.Time) {
+	record := func(s Stage, from, to time.Time) {
 		if !from.IsZero() && !to.IsZero() && !to.Before(from) {
 			out[s] = millis(to.Sub(from))
 		}
 	}
-	between(StageTurn, w.accepted, w.asked)
-	between(StagePermits, w.asked, w.permitted)
-	ready := w.permitted
+	record(StageTurn, w.accepted, w.firstRequest)
+	record(StagePermits, w.firstRequest, w.firstPermit)
+	ready := w.firstPermit
 	if ready.IsZero() {
 		ready = w.accepted
 	}
-	between(StageRoom, ready, w.started)
-	if room, ok := out[StageRoom]; ok && !w.permitted.IsZero() {
-		out[StageAgain] = millis(w.asking(ready, w.started))
+	record(StageRoom, ready, w.started)
+	if room, ok := out[StageRoom]; ok && !w.firstPermit.IsZero() {
+		out[StageAgain] = millis(w.requestTime(ready, w.started))
 		out[StageRoom] = room - out[StageAgain]
 	}
 	if w.runs > 0 {
-		out[StageRecorded] = w.recorded / float64(w.runs)
-		out[StageOrdered] = w.ordered / float64(w.runs)
+		out[StageRecorded] = w.recordedSum / float64(w.runs)
+		out[StageOrdered] = w.orderedSum / float64(w.runs)
 	}
-	// The ends of a gang's other members are heard after the one that its work is shown by.
+	// Runs of a gang may be reported as ended after the work's result was published.
 	ended := w.ended
-	if !w.shown.IsZero() && ended.After(w.shown) {
-		ended = w.shown
+	if !w.published.IsZero() && ended.After(w.published) {
+		ended = w.published
 	}
-	between(StageRun, w.started, ended)
-	between(StageShown, ended, w.shown)
+	record(StageRun, w.started, ended)
+	record(StageShown, ended, w.published)
 	return out
 }
 
-// span is a time from one moment to another.
+// span is a time interval.
 type span struct{ from, to time.Time }
 
-// asking gives for how long at least one question was under way between two moments.
-func (w *work) asking(from, to time.Time) time.Duration {
-	spans := slices.SortedFunc(slices.Values(w.questions), func(a, b span) int { return cmp.Or(a.from.Compare(b.from), a.to.Compare(b.to)) })
+// requestTime returns how long at least one permit request was pending in the given interval.
+func (w *work) requestTime(from, to time.Time) time.Duration {
+	spans := slices.SortedFunc(slices.Values(w.permitRequests), func(a, b span) int { return cmp.Or(a.from.Compare(b.from), a.to.Compare(b.to)) })
 	sum := time.Duration(0)
 	for _, s := range spans {
 		if s.from.Before(from) {
@@ -173,9 +175,9 @@
 	return sum
 }
 
-// judgedWork is a work with what became of it and how long it spent in each stage, which every group asks for.
+// judgedWork is a work with its outcome and stage times, which are computed once for all groups.
 type judgedWork struct {
 	*work
-	fate   Outcome
-	stages map[Stage]float64
+	outcome Outcome
+	stages  map[Stage]float64
 }
