--- a/cmd/ctl/caller.go
+++ b/cmd/ctl/caller.go
@@ -19,11 +19,11 @@
 
 const (
 	maxReplyBytes = 32 << 20
-	// mostCheckMillis is the longest deadline that a gate takes for a check.
-	mostCheckMillis = 15_000
+	// maxCheckDeadlineMillis is the longest deadline that a gate accepts for a check.
+	maxCheckDeadlineMillis = 15_000
 )
 
-func callerCommands(c *common) []command {
+func callerCommands(c *commonOptions) []command {
 	return []command{
 		{"submit", "submit a job from a JSON file", "Reads a submission (docs/API.md) from a file, or from - for standard input.", &submit{cell: c}},
 		{"status", "show a job", "Shows where a job and its tasks stand.", &status{cell: c}},
@@ -33,7 +33,7 @@
 	}
 }
 
-// reply is what the gate answers to any request.
+// reply is the gate's answer to a request.
 type reply struct {
 	gate.Body
 	status int
@@ -41,7 +41,7 @@
 }
 
 // call sends one request to the gate.
-func (c *common) call(method, path string, header http.Header, body []byte) (*reply, error) {
+func (c *commonOptions) call(method, path string, header http.Header, body []byte) (*reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Seconds)*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Gate+path, bytes.NewReader(body))
@@ -53,37 +53,37 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, &exit{exitUnknown, fmt.Errorf("the gate at %s gave no answer (%w); try another with --gate", c.Gate, err)}
+		return nil, &exitError{exitUnknown, fmt.Errorf("the gate at %s gave no answer (%w); try another with --gate", c.Gate, err)}
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return nil, &exit{exitUnknown, err}
+		return nil, &exitError{exitUnknown, err}
 	}
 	r := &reply{status: resp.StatusCode, raw: raw}
 	if resp.StatusCode >= http.StatusBadRequest {
 		_ = json.Unmarshal(raw, &r.Body)
-		return r, r.fault()
+		return r, r.asError()
 	}
 	return r, nil
 }
 
-// fault turns an answer that is no success into an error with its exit code.
-func (r *reply) fault() error {
+// asError converts an unsuccessful answer into an error with the matching exit code.
+func (r *reply) asError() error {
 	switch {
 	case len(r.Findings) > 0:
 		return r.Findings
 	case r.Outcome == job.Unknown:
-		return &exit{exitUnknown, fmt.Errorf("may have run: %s; ask again with the same key", r.Reason)}
+		return &exitError{exitUnknown, fmt.Errorf("may have run: %s; ask again with the same key", r.Reason)}
 	case r.RetryAfterMillis > 0:
-		return &exit{exitNotRun, fmt.Errorf("not run: %s; try again in %d ms", r.Reason, r.RetryAfterMillis)}
+		return &exitError{exitNotRun, fmt.Errorf("not run: %s; try again in %d ms", r.Reason, r.RetryAfterMillis)}
 	default:
-		return &exit{exitNotRun, fmt.Errorf("not run: %s (HTTP status %d)", r.Reason, r.status)}
+		return &exitError{exitNotRun, fmt.Errorf("not run: %s (HTTP status %d)", r.Reason, r.status)}
 	}
 }
 
 type submit struct {
-	cell *common
+	cell *commonOptions
 	Wait bool `long:"wait" description:"wait for the answer"`
 	Args struct {
 		File string `positional-arg-name:"file" description:"a submission, or -"`
@@ -105,13 +105,14 @@
 		return err
 	}
 	if !s.Wait {
-		return s.cell.print(&st, r.raw)
+		return s.cell.printJob(&st, r.raw)
 	}
-	return s.cell.await(st.ID)
+	return s.cell.awaitJob(st.ID)
 }
 
-// await asks for the job's answer.
-func (c *common) await(id string) error {
+// awaitJob waits for the job's final state and prints it. It asks for half a second less than the command's time
+// limit, so that the gate can still answer.
+func (c *commonOptions) awaitJob(id string) error {
 	margin := int64(max(1, c.Seconds)*1000 - 500)
 	r, err := c.call(http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/wait?timeoutMillis="+strconv.FormatInt(min(margin, 60_000), 10), nil, nil)
 	if err != nil {
@@ -121,7 +122,7 @@
 	if err := json.Unmarshal(r.raw, &st); err != nil {
 		return err
 	}
-	return c.print(&st, r.raw)
+	return c.printJob(&st, r.raw)
 }
 
 func readFile(name string) ([]byte, error) {
@@ -131,8 +132,8 @@
 	return os.ReadFile(name)
 }
 
-// print shows a job and turns its outcome into the exit code.
-func (c *common) print(s *job.Status, raw []byte) error {
+// printJob prints a job and converts its outcome into the exit code.
+func (c *commonOptions) printJob(s *job.Status, raw []byte) error {
 	if c.JSON {
 		fmt.Println(string(bytes.TrimSpace(raw)))
 	} else {
@@ -140,9 +141,9 @@
 	}
 	switch s.Outcome {
 	case job.NotRun:
-		return &exit{exitNotRun, errors.New("not run: " + s.Reason)}
+		return &exitError{exitNotRun, errors.New("not run: " + s.Reason)}
 	case job.Unknown:
-		return &exit{exitUnknown, errors.New("may have run: " + s.Reason)}
+		return &exitError{exitUnknown, errors.New("may have run: " + s.Reason)}
 	case job.Done:
 	}
 	return nil
@@ -171,30 +172,30 @@
 }
 
 type status struct {
-	cell *common
+	cell *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute shows the job.
-func (s *status) Execute([]string) error { return s.cell.job(http.MethodGet, s.Args.ID) }
+// Execute prints the job's status.
+func (s *status) Execute([]string) error { return s.cell.callJob(http.MethodGet, s.Args.ID) }
 
 type wait struct {
-	cell *common
+	cell *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute waits for the job.
-func (w *wait) Execute([]string) error { return w.cell.await(w.Args.ID) }
+// Execute waits for the job and prints its status.
+func (w *wait) Execute([]string) error { return w.cell.awaitJob(w.Args.ID) }
 
 type cancel struct {
-	cell *common
+	cell *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute cancels the job.
-func (x *cancel) Execute([]string) error { return x.cell.job(http.MethodDelete, x.Args.ID) }
+func (x *cancel) Execute([]string) error { return x.cell.callJob(http.MethodDelete, x.Args.ID) }
 
-func (c *common) job(method, id string) error {
+func (c *commonOptions) callJob(method, id string) error {
 	r, err := c.call(method, "/v1/jobs/"+url.PathEscape(id), nil, nil)
 	if err != nil {
 		return err
@@ -203,11 +204,11 @@
 	if err := json.Unmarshal(r.raw, &st); err != nil {
 		return err
 	}
-	return c.print(&st, r.raw)
+	return c.printJob(&st, r.raw)
 }
 
 type check struct {
-	cell       *common
+	cell       *commonOptions
 	Key        string `long:"key" description:"idempotency key"`
 	Repeatable bool   `long:"repeatable" description:"running it twice does no harm"`
 	Body       string `long:"body" description:"the body of the request"`
@@ -217,10 +218,10 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute sends the check.
+// Execute sends the check and prints the answer.
 func (k *check) Execute([]string) error {
 	h := http.Header{}
-	h.Set(gate.HeaderDeadline, strconv.Itoa(min(k.cell.Seconds*1000, mostCheckMillis)))
+	h.Set(gate.HeaderDeadline, strconv.Itoa(min(k.cell.Seconds*1000, maxCheckDeadlineMillis)))
 	if k.Key != "" {
 		h.Set(gate.HeaderKey, k.Key)
 	}
--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -15,7 +15,7 @@
 	"turmericgap/view"
 )
 
-func cellCommands(c *common) []command {
+func cellCommands(c *commonOptions) []command {
 	return []command{
 		{"inforce", "show which rules each process has", "Shows, process by process, the rules' version and when it was last heard of. Exit code 6 says that some process lacks the newest.", &inForce{cell: c}},
 		{"jobs", "list jobs", "Lists the jobs of a zone or of all, live ones first.", &jobs{cell: c}},
@@ -28,16 +28,16 @@
 	}
 }
 
-// near is a connection to the scheduler that the operator chose.
-type near struct {
-	c    *common
+// schedulerConn holds the view of the chosen scheduler and a connection pool.
+type schedulerConn struct {
+	opts *commonOptions
 	pool *rpc.Pool
 	view *view.View
 }
 
-// reach reads the view of the chosen scheduler.
-func (c *common) reach(ctx context.Context) (*near, error) {
-	n := &near{c: c, pool: rpc.NewPool()}
+// connect reads the view of the scheduler given by --scheduler.
+func (c *commonOptions) connect(ctx context.Context) (*schedulerConn, error) {
+	n := &schedulerConn{opts: c, pool: rpc.NewPool()}
 	r, err := rpc.Call[view.NextCall, view.NextReply](ctx, n.pool.Get(c.Scheduler), view.NextMethod, &view.NextCall{Workers: true})
 	if err != nil {
 		n.pool.Close()
@@ -47,15 +47,15 @@
 	return n, nil
 }
 
-func (c *common) schedulerError(err error) error {
-	return &exit{exitFailed, fmt.Errorf("the scheduler at %s gave no answer (%w); try another with --scheduler", c.Scheduler, err)}
+func (c *commonOptions) schedulerError(err error) error {
+	return &exitError{exitFailed, fmt.Errorf("the scheduler at %s gave no answer (%w); try another with --scheduler", c.Scheduler, err)}
 }
 
-// with runs f on the view of the chosen scheduler.
-func (c *common) with(f func(ctx context.Context, n *near) error) error {
+// withScheduler calls f with a connection to the chosen scheduler and closes the connection afterwards.
+func (c *commonOptions) withScheduler(f func(ctx context.Context, n *schedulerConn) error) error {
 	ctx, cancel := c.context()
 	defer cancel()
-	n, err := c.reach(ctx)
+	n, err := c.connect(ctx)
 	if err != nil {
 		return err
 	}
@@ -63,21 +63,21 @@
 	return f(ctx, n)
 }
 
-func (n *near) state(ctx context.Context) (*operate.State, error) {
-	s, err := rpc.Call[operate.Ask, operate.State](ctx, n.pool.Get(n.c.Scheduler), operate.CallState, &operate.Ask{})
+func (n *schedulerConn) state(ctx context.Context) (*operate.State, error) {
+	s, err := rpc.Call[operate.Ask, operate.State](ctx, n.pool.Get(n.opts.Scheduler), operate.CallState, &operate.Ask{})
 	if err != nil {
-		return nil, n.c.schedulerError(err)
+		return nil, n.opts.schedulerError(err)
 	}
 	return s, nil
 }
 
-func (n *near) owner(zone string) (string, bool) {
+func (n *schedulerConn) owner(zone string) (string, bool) {
 	t, _ := n.view.Table(zone, member.RoleScheduler)
 	m, ok := t.Find(t.Owner)
 	return m.Address, ok
 }
 
-func (n *near) zones() []string {
+func (n *schedulerConn) zones() []string {
 	var out []string
 	for _, t := range n.view.Tables {
 		if t.Role == member.RoleScheduler {
@@ -87,42 +87,42 @@
 	return out
 }
 
-func (n *near) route() *route.Client {
+func (n *schedulerConn) route() *route.Client {
 	return &route.Client{Zones: n.zones(), Owner: n.owner, Pool: n.pool}
 }
 
-type inForce struct{ cell *common }
+type inForce struct{ cell *commonOptions }
 
-// inForceReport is what inforce prints as JSON.
+// inForceReport is the JSON output of inforce.
 type inForceReport struct {
-	// Newest is the newest version that the store or any process is known to have.
+	// Newest is the newest version known in the store or in any process.
 	Newest    int64          `json:"newest"`
 	Behind    int            `json:"behind"`
 	Processes []view.Process `json:"processes"`
 }
 
-// Execute compares every process with the newest version.
+// Execute compares the rules of every process with the newest version.
 func (f *inForce) Execute([]string) error {
-	return f.cell.with(func(ctx context.Context, n *near) error {
+	return f.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		s, err := n.state(ctx)
 		if err != nil {
 			return err
 		}
-		r := newReport(s, f.cell.stored(ctx))
+		r := newInForceReport(s, f.cell.storedVersion(ctx))
 		if f.cell.JSON {
 			err = printJSON(&r)
 		} else {
 			err = r.print(s.At)
 		}
 		if err == nil && r.Behind > 0 {
-			err = &exit{exitBehind, fmt.Errorf("%d of %d processes are not known to have version %d; ask again in some seconds, then see 'ctl members'", r.Behind, len(r.Processes), r.Newest)}
+			err = &exitError{exitBehind, fmt.Errorf("%d of %d processes are not known to have version %d; ask again in some seconds, then see 'ctl members'", r.Behind, len(r.Processes), r.Newest)}
 		}
 		return err
 	})
 }
 
-// stored gives the version in the store, or zero when that does not answer.
-func (c *common) stored(ctx context.Context) int64 {
+// storedVersion returns the rules' version in the store, or zero if the store does not answer.
+func (c *commonOptions) storedVersion(ctx context.Context) int64 {
 	ctx, cancel := context.WithTimeout(ctx, operate.AskTimeout)
 	defer cancel()
 	kv, err := c.openStore()
@@ -131,13 +131,13 @@
 	}
 	e, err := operate.Current(ctx, kv)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "ctl: %s\nctl: the processes are compared with each other alone\n", oneLine(err))
+		fmt.Fprintf(os.Stderr, "ctl: %s\nctl: comparing the processes with each other only\n", oneLine(err))
 	}
 	return e.Version
 }
 
-// newReport counts a process as behind that has older rules, or that nobody has lately heard.
-func newReport(s *operate.State, stored int64) inForceReport {
+// newInForceReport counts a process as behind if it has older rules or has not been heard of recently.
+func newInForceReport(s *operate.State, stored int64) inForceReport {
 	r := inForceReport{Newest: stored, Processes: append([]view.Process{}, s.InForce...)}
 	for _, p := range s.InForce {
 		r.Newest = max(r.Newest, p.Rules)
@@ -154,31 +154,31 @@
 	fmt.Printf("newest rules: version %d\n", r.Newest)
 	t := newTable("PROCESS", "ROLE", "ZONE", "ADDRESS", "RULES", "HEARD")
 	for _, p := range r.Processes {
-		t.row(p.ID, p.Role, p.Zone, p.Address, strconv.FormatInt(p.Rules, 10), ago(at, p.Heard))
+		t.row(p.ID, p.Role, p.Zone, p.Address, strconv.FormatInt(p.Rules, 10), formatAge(at, p.Heard))
 	}
 	return t.print()
 }
 
-func ago(now, then time.Time) string {
+func formatAge(now, then time.Time) string {
 	if then.IsZero() {
 		return "never"
 	}
 	return max(0, now.Sub(then)).Round(time.Second).String() + " ago"
 }
 
-type members struct{ cell *common }
+type members struct{ cell *commonOptions }
 
-// membersReport is what members prints as JSON.
+// membersReport is the JSON output of members.
 type membersReport struct {
 	Asked  member.Status  `json:"asked"`
 	Tables []member.Table `json:"tables"`
-	// Present holds the keys of the members whose lease is there.
+	// Present holds the presence keys of the members that have a lease.
 	Present map[string]bool `json:"present"`
 }
 
-// Execute shows the tables.
+// Execute prints the member tables.
 func (m *members) Execute([]string) error {
-	return m.cell.with(func(ctx context.Context, n *near) error {
+	return m.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		s, err := n.state(ctx)
 		if err != nil {
 			return err
@@ -211,16 +211,16 @@
 	a := &r.Asked
 	fmt.Printf("\nasked %s: valid %t by %s, lease left %s\n", a.Self.ID, a.Valid, a.Basis, time.Duration(a.LeaseMillis)*time.Millisecond)
 	for _, p := range a.Peers {
-		fmt.Printf("  %s is %s, heard %s ago\n", plain(p.Member.ID), p.Health, time.Duration(p.LastHeardMillis)*time.Millisecond)
+		fmt.Printf("  %s is %s, heard %s ago\n", stripControls(p.Member.ID), p.Health, time.Duration(p.LastHeardMillis)*time.Millisecond)
 	}
 	return nil
 }
 
-type zones struct{ cell *common }
+type zones struct{ cell *commonOptions }
 
-// Execute shows each zone as its owner tells it.
+// Execute prints the state of each zone as its owner reports it.
 func (z *zones) Execute([]string) error {
-	return z.cell.with(func(ctx context.Context, n *near) error {
+	return z.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		cell := operate.Collect(ctx, n.pool, n.view, nil)
 		if z.cell.JSON {
 			return printJSON(cell.Zones)
@@ -228,12 +228,12 @@
 		for i := range cell.Zones {
 			printZone(&cell.Zones[i], cell.At)
 		}
-		return missing(cell.Zones)
+		return missingZones(cell.Zones)
 	})
 }
 
-// missing says which zones could not be shown.
-func missing(l []operate.Zone) error {
+// missingZones returns an error for each zone without a state.
+func missingZones(l []operate.Zone) error {
 	var out []error
 	for i := range l {
 		if l[i].State == nil {
@@ -246,7 +246,7 @@
 func printZone(z *operate.Zone, now time.Time) {
 	fmt.Printf("zone %s, owner %s", z.Name, z.Owner)
 	if z.State == nil {
-		fmt.Println(": " + plain(z.Problem))
+		fmt.Println(": " + stripControls(z.Problem))
 		return
 	}
 	s := z.State
@@ -256,12 +256,12 @@
 		fmt.Println("  " + doubt)
 	}
 	for _, class := range operate.Classes(s.Stats.Pending) {
-		fmt.Printf("  %d tasks of class %s wait\n", s.Stats.Pending[class], plain(class))
+		fmt.Printf("  %d tasks of class %s wait\n", s.Stats.Pending[class], stripControls(class))
 	}
 	for _, e := range s.Ejections {
-		fmt.Printf("  %s is %s since %s: %s\n", plain(e.ID), e.State, ago(now, e.Since), plain(e.Reason))
+		fmt.Printf("  %s is %s since %s: %s\n", stripControls(e.ID), e.State, formatAge(now, e.Since), stripControls(e.Reason))
 	}
 	for _, e := range s.Ends {
-		fmt.Printf("  job %s, %s, was %s: %s\n", plain(e.Job), ago(now, e.Ended), e.Outcome, plain(e.Reason))
+		fmt.Printf("  job %s, %s, was %s: %s\n", stripControls(e.Job), formatAge(now, e.Ended), e.Outcome, stripControls(e.Reason))
 	}
 }
--- a/cmd/ctl/day.go
+++ b/cmd/ctl/day.go
@@ -11,38 +11,38 @@
 	"turmericgap/finding"
 )
 
-// progressFrom is how large a log must be for a progress bar: smaller ones are read in a second.
-const progressFrom = 32 << 20
+// minProgressBytes is the smallest log that gets a progress bar. Smaller ones are read within a second.
+const minProgressBytes = 32 << 20
 
 type dayReport struct {
-	cell  *common
-	Page  string `long:"page" value-name:"FILE" description:"write the report as an HTML page with plots as well"`
-	Named int    `long:"named" default:"10" description:"how many lost and how many slow works are named, with their lines where the log is a file"`
-	Args  struct {
+	cell     *commonOptions
+	Page     string `long:"page" value-name:"FILE" description:"write the report as an HTML page with plots as well"`
+	MaxNamed int    `long:"named" default:"10" description:"how many lost and how many slow works are named, with their lines where the log is a file"`
+	Args     struct {
 		Logs []string `positional-arg-name:"LOG" description:"file of JSON log lines, or - for standard input"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute reports a day from the logs of entry VMs.
+// Execute prints a report on a day from the logs of entry VMs.
 func (c *dayReport) Execute([]string) error {
-	var wrong finding.List
+	var findings finding.List
 	if len(c.Args.Logs) == 0 {
-		wrong.Add("LOG", "name a file, or - for standard input")
+		findings.Add("LOG", "name a file, or - for standard input")
 	}
-	if c.Named < 0 {
-		wrong.Add("--named", "%d is below 0", c.Named)
+	if c.MaxNamed < 0 {
+		findings.Add("--named", "%d is below 0", c.MaxNamed)
 	}
 	for _, name := range c.Args.Logs {
 		if info, err := os.Stat(name); name != "-" && (err != nil || info.IsDir()) {
-			wrong.Add(name, "is no file that can be read")
+			findings.Add(name, "is not a readable file")
 		}
 	}
-	if err := wrong.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return err
 	}
-	d := day.New(day.MaxNamed(c.Named))
+	d := day.New(day.MaxNamed(c.MaxNamed))
 	for _, name := range c.Args.Logs {
-		if err := read(name, "reading "+name, func(in io.Reader) error { return d.Read(in, name) }); err != nil {
+		if err := readLog(name, "reading "+name, func(in io.Reader) error { return d.Read(in, name) }); err != nil {
 			return err
 		}
 	}
@@ -51,23 +51,23 @@
 		if name == "-" {
 			continue
 		}
-		if err := read(name, "finding lines in "+name, r.AttachLines); err != nil {
+		if err := readLog(name, "finding lines in "+name, r.AttachLines); err != nil {
 			return err
 		}
 	}
-	if err := c.write(r); err != nil {
+	if err := c.writeReport(r); err != nil {
 		return err
 	}
 	if len(r.Findings) > 0 {
-		return &exit{exitUsage, fmt.Errorf("the report is without the lines that cannot be read: %w", r.Findings)}
+		return &exitError{exitUsage, fmt.Errorf("the report omits unreadable lines: %w", r.Findings)}
 	}
 	return nil
 }
 
-// read opens a log, with a progress bar on standard error where it is long and somebody watches.
-func read(name, doing string, take func(io.Reader) error) error {
+// readLog passes a log to process. It shows a progress bar if the log is long and standard error is a terminal.
+func readLog(name, label string, process func(io.Reader) error) error {
 	if name == "-" {
-		return take(os.Stdin)
+		return process(os.Stdin)
 	}
 	f, err := os.Open(name)
 	if err != nil {
@@ -78,21 +78,21 @@
 	if err != nil {
 		return err
 	}
-	if info.Size() < progressFrom || !watched() {
-		return take(f)
+	if info.Size() < minProgressBytes || !stderrIsTerminal() {
+		return process(f)
 	}
-	bar := progressbar.DefaultBytes(info.Size(), doing)
+	bar := progressbar.DefaultBytes(info.Size(), label)
 	in := progressbar.NewReader(f, bar)
-	return take(&in)
+	return process(&in)
 }
 
-// watched reports whether standard error is a terminal.
-func watched() bool {
+// stderrIsTerminal reports whether standard error is a terminal.
+func stderrIsTerminal() bool {
 	info, err := os.Stderr.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-func (c *dayReport) write(r *day.Report) error {
+func (c *dayReport) writeReport(r *day.Report) error {
 	if c.Page != "" {
 		f, err := os.Create(c.Page)
 		if err != nil {
--- a/cmd/ctl/day_test.go
+++ b/cmd/ctl/day_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator reports a day from the logs that there are. A wrong file or flag does nothing and is told with code 2;
-// lines that cannot be read do not keep the report from being written, and are told with code 2 after it.
+// A wrong file or flag must end with code 2 before any report. Unreadable lines must not prevent the report; they are
+// listed after it, also with code 2.
 func TestDay(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -19,8 +19,8 @@
 		}
 		return path
 	}
-	const line = `{"time":"2026-10-07T22:55:00Z","msg":"owner: this VM owns the cell","vm":"vm1","fence":4}` + "\n"
-	good, cut := write("good.log", line), write("cut.log", line+`{"time":`+"\n"+line)
+	const validLine = `{"time":"2026-10-07T22:55:00Z","msg":"owner: this VM owns the cell","vm":"vm1","fence":4}` + "\n"
+	good, cut := write("good.log", validLine), write("cut.log", validLine+`{"time":`+"\n"+validLine)
 	page := filepath.Join(dir, "day.html")
 	for name, c := range map[string]struct {
 		args []string
--- a/cmd/ctl/edition.go
+++ b/cmd/ctl/edition.go
@@ -12,12 +12,12 @@
 )
 
 type rulesDiff struct {
-	cell    *common
+	cell    *commonOptions
 	Version int64        `long:"version" description:"compare with a kept version instead of the one in force"`
 	Args    fileArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute shows the changes.
+// Execute prints the changes.
 func (d *rulesDiff) Execute([]string) error {
 	raw, err := readFile(d.Args.File)
 	if err != nil {
@@ -34,7 +34,7 @@
 		return err
 	}
 	if d.Version > 0 {
-		if e, err = d.cell.edition(ctx, s, d.Version); err != nil {
+		if e, err = d.cell.findEdition(ctx, s, d.Version); err != nil {
 			return err
 		}
 	}
@@ -62,17 +62,17 @@
 		}
 		fmt.Println()
 		if c.Before != nil {
-			fmt.Printf("    - %s\n", compact(c.Before))
+			fmt.Printf("    - %s\n", compactJSON(c.Before))
 		}
 		if c.After != nil {
-			fmt.Printf("    + %s\n", compact(c.After))
+			fmt.Printf("    + %s\n", compactJSON(c.After))
 		}
 	}
 }
 
-type rulesHistory struct{ cell *common }
+type rulesHistory struct{ cell *commonOptions }
 
-// Execute lists the editions.
+// Execute lists the kept editions.
 func (h *rulesHistory) Execute([]string) error {
 	s, err := h.cell.openStore()
 	if err != nil {
@@ -97,7 +97,7 @@
 }
 
 type rulesRollback struct {
-	cell   *common
+	cell   *commonOptions
 	Editor string `long:"editor" env:"USER" required:"yes" description:"who edits"`
 	Args   struct {
 		Version int64 `positional-arg-name:"version"`
@@ -112,9 +112,9 @@
 	if err != nil {
 		return err
 	}
-	e, err := r.cell.edition(ctx, s, r.Args.Version)
+	e, err := r.cell.findEdition(ctx, s, r.Args.Version)
 	if err != nil {
 		return err
 	}
-	return r.cell.write(ctx, s, view.Edit{Base: now.Version, Raw: e.Rules, Editor: r.Editor})
+	return r.cell.writeRules(ctx, s, view.Edit{Base: now.Version, Raw: e.Rules, Editor: r.Editor})
 }
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -12,19 +12,19 @@
 )
 
 type rulesExplain struct {
-	cell  *common
+	cell  *commonOptions
 	Rules string       `long:"rules" description:"a rule document instead of the rules in force"`
 	Args  fileArgument `positional-args:"yes" required:"yes"`
 }
 
-// explained is what an explanation prints as JSON.
-type explained struct {
+// explainOutput is the JSON output of rules explain.
+type explainOutput struct {
 	rule.Explanation
-	// Rule is the one that decided.
+	// Rule is the rule that decided.
 	Rule *rule.Rule `json:"rule,omitempty"`
 }
 
-// Execute judges the submission.
+// Execute evaluates the rules for the submission and prints the result of each.
 func (x *rulesExplain) Execute([]string) error {
 	raw, err := readFile(x.Args.File)
 	if err != nil {
@@ -39,13 +39,13 @@
 	if l := spec.Check(); len(l) > 0 {
 		return l
 	}
-	list, err := x.list()
+	list, err := x.ruleList()
 	if err != nil {
 		return err
 	}
 	var r rule.Request
 	r.ForJob(time.Now(), &spec)
-	out := explained{Explanation: list.Explain(&r)}
+	out := explainOutput{Explanation: list.Explain(&r)}
 	for _, each := range list.Document().Rules {
 		if each.ID == out.DecidedBy {
 			out.Rule = &each
@@ -56,12 +56,12 @@
 	}
 	printExplanation(&out.Explanation)
 	if out.Rule != nil {
-		fmt.Println("  it does " + compact(out.Rule.Then))
+		fmt.Println("  it does " + compactJSON(out.Rule.Then))
 	}
 	return nil
 }
 
-func (x *rulesExplain) list() (*rule.List, error) {
+func (x *rulesExplain) ruleList() (*rule.List, error) {
 	if x.Rules != "" {
 		raw, err := readFile(x.Rules)
 		if err != nil {
@@ -91,6 +91,6 @@
 		}
 	}
 	if x.DecidedBy == "" {
-		fmt.Println("  no rule holds; everything is at its default")
+		fmt.Println("  no rule holds; all defaults apply")
 	}
 }
--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -14,22 +14,22 @@
 )
 
 type jobs struct {
-	cell *common
-	Zone string `long:"zone" description:"only this zone"`
-	Most int    `long:"most" default:"50" description:"the most jobs of each zone"`
+	cell  *commonOptions
+	Zone  string `long:"zone" description:"only this zone"`
+	Limit int    `long:"most" default:"50" description:"the most jobs of each zone"`
 }
 
-// Execute lists jobs; a zone without an answer is said to be so, and the rest is shown.
+// Execute lists jobs. If a zone does not answer, it prints the others and returns an error for that zone.
 func (j *jobs) Execute([]string) error {
-	return j.cell.with(func(ctx context.Context, n *near) error {
-		asked := n.zones()
+	return j.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+		zones := n.zones()
 		if j.Zone != "" {
-			asked = []string{j.Zone}
+			zones = []string{j.Zone}
 		}
 		all := []job.Status{}
 		var missing []error
-		for _, zone := range asked {
-			l, err := n.route().List(ctx, zone, j.Most)
+		for _, zone := range zones {
+			l, err := n.route().List(ctx, zone, j.Limit)
 			if err != nil {
 				missing = append(missing, fmt.Errorf("zone %s is not shown: %w", zone, err))
 			}
@@ -55,19 +55,19 @@
 }
 
 type why struct {
-	cell *common
+	cell *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute explains the job.
+// Execute prints the job's state and what it waits for.
 func (w *why) Execute([]string) error {
 	if route.ZoneOf(w.Args.ID) == "" {
 		return finding.List{{Place: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
 	}
-	return w.cell.with(func(ctx context.Context, n *near) error {
+	return w.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		x, err := n.route().Explain(ctx, w.Args.ID)
 		if fault := rpc.AsFault(err); fault != nil && fault.Code == rpc.CodeNotFound {
-			return &exit{exitFailed, fmt.Errorf("job %s is not known: its id may be wrong, or it ended long ago; see 'ctl jobs'", w.Args.ID)}
+			return &exitError{exitFailed, fmt.Errorf("job %s is not known: its id may be wrong, or it ended long ago; see 'ctl jobs'", w.Args.ID)}
 		}
 		if err != nil {
 			return fmt.Errorf("%w; see the zone's owner in 'ctl members'", err)
@@ -87,8 +87,8 @@
 		fmt.Println("  nothing of it waits or runs")
 		return
 	}
-	fmt.Printf("  %d tasks wait, %d run; each is charged %s\n", e.Pending, e.Running, amount(e.Charge))
-	fmt.Printf("  pool %s holds %s\n", e.Pool, amount(e.Holds))
+	fmt.Printf("  %d tasks wait, %d run; each is charged %s\n", e.Pending, e.Running, formatResources(e.Charge))
+	fmt.Printf("  pool %s holds %s\n", e.Pool, formatResources(e.Holds))
 	if e.WaitsFor != "" {
 		fmt.Println("  waits for " + e.WaitsFor)
 	}
@@ -98,6 +98,6 @@
 	printExplanation(&e.Rules)
 }
 
-func amount(r job.Resources) string {
+func formatResources(r job.Resources) string {
 	return fmt.Sprintf("%d millicores, %d MB, %d accelerators", r.Millicores, r.MemoryMB, r.Accelerators)
 }
--- a/cmd/ctl/list.go
+++ b/cmd/ctl/list.go
@@ -11,11 +11,11 @@
 )
 
 type workers struct {
-	cell *common
+	cell *commonOptions
 	Zone string `long:"zone" description:"only this zone"`
 }
 
-// workerRow is one worker as workers prints it; Load is absent where its zone's owner is silent.
+// workerRow is one worker in the output of workers. Load is nil if the owner of its zone does not answer.
 type workerRow struct {
 	worker.Info
 	Load *planner.Load `json:"load,omitempty"`
@@ -23,7 +23,7 @@
 
 // Execute lists the workers.
 func (w *workers) Execute([]string) error {
-	return w.cell.with(func(ctx context.Context, n *near) error {
+	return w.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		cell := operate.Collect(ctx, n.pool, n.view, nil)
 		rows := w.rows(&cell)
 		if w.cell.JSON {
@@ -36,7 +36,7 @@
 		if err := t.print(); err != nil {
 			return err
 		}
-		return missing(cell.Zones)
+		return missingZones(cell.Zones)
 	})
 }
 
@@ -66,17 +66,17 @@
 	if r.Leaving {
 		state = "leaving"
 	}
-	return []string{r.ID, r.Zone, r.Rack, r.Address, amount(r.Has), tasks, packing, state}
+	return []string{r.ID, r.Zone, r.Rack, r.Address, formatResources(r.Has), tasks, packing, state}
 }
 
 type targets struct {
-	cell *common
+	cell *commonOptions
 	Zone string `long:"zone" description:"only this zone"`
 }
 
 // Execute lists the targets.
 func (g *targets) Execute([]string) error {
-	return g.cell.with(func(_ context.Context, n *near) error {
+	return g.cell.withScheduler(func(_ context.Context, n *schedulerConn) error {
 		rows := n.view.Targets[:0:0]
 		for _, t := range n.view.Targets {
 			if g.Zone == "" || t.Zone == g.Zone {
--- a/cmd/ctl/main.go
+++ b/cmd/ctl/main.go
@@ -1,4 +1,4 @@
-// Command ctl is the command line of operators, and of callers who try the cell by hand.
+// Command ctl is the command line client for operators, and for callers who use a cell manually.
 package main
 
 import (
@@ -18,14 +18,14 @@
 	exitUsage   = 2
 	exitNotRun  = 3
 	exitUnknown = 4
-	// exitConflict means that another edit came first.
+	// exitConflict means that another edit was written first.
 	exitConflict = 5
-	// exitBehind means that some process lacks the newest rules.
+	// exitBehind means that a process does not have the newest rules.
 	exitBehind = 6
 )
 
-// common are the options of every command.
-type common struct {
+// commonOptions holds the options of every command.
+type commonOptions struct {
 	Gate      string `long:"gate" env:"TURMERICGAP_GATE" default:"127.0.0.1:7801" description:"callers' address of a gate, IP number and port"`
 	Scheduler string `long:"scheduler" env:"TURMERICGAP_SCHEDULER" default:"127.0.0.1:7010" description:"rpc address of any scheduler, IP number and port"`
 	Store     string `long:"store" env:"TURMERICGAP_STORE" default:"http://127.0.0.1:7100" description:"endpoint of the platform's key-value service"`
@@ -34,42 +34,42 @@
 	Seconds   int    `long:"seconds" default:"10" description:"time limit of the command"`
 }
 
-// exit is an error with the exit code that it asks for.
-type exit struct {
+// exitError is an error with a process exit code.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e *exit) Error() string { return e.err.Error() }
+func (e *exitError) Error() string { return e.err.Error() }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run gives the exit code of a command line.
+// run executes a command line and returns the exit code.
 func run(args []string) int {
-	_, err := newParser(&common{}).ParseArgs(args)
-	return report(err)
+	_, err := newParser(&commonOptions{}).ParseArgs(args)
+	return reportError(err)
 }
 
-// newParser holds every command; the manual is printed from it.
-func newParser(c *common) *flags.Parser {
+// newParser returns a parser with all commands. The manual is generated from it.
+func newParser(c *commonOptions) *flags.Parser {
 	parser := flags.NewNamedParser("ctl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "drives a turmericgap cell"
 	parser.LongDescription = "Exit codes: 0 done, 1 failed, 2 wrong usage or findings, 3 surely not run, 4 may have run or unknown, 5 another edit came first, 6 some process lacks the newest rules."
 	if _, err := parser.AddGroup("Common options", "", c); err != nil {
 		panic(err)
 	}
-	add(parser.Command, callerCommands(c))
-	add(parser.Command, cellCommands(c))
-	rules, err := parser.AddCommand("rules", "read and change the rules", "Reads and changes the operators' rules (docs/RULES.md).", &rulesWord{})
+	addCommands(parser.Command, callerCommands(c))
+	addCommands(parser.Command, cellCommands(c))
+	rules, err := parser.AddCommand("rules", "read and change the rules", "Reads and changes the operators' rules (docs/RULES.md).", &rulesGroup{})
 	if err != nil {
 		panic(err)
 	}
-	add(rules, rulesCommands(c))
-	add(parser.Command, []command{{"manual", "print the manual", "Prints the manual of all commands in Markdown.", &manual{parser: parser}}})
+	addCommands(rules, rulesCommands(c))
+	addCommands(parser.Command, []command{{"manual", "print the manual", "Prints the manual of all commands in Markdown.", &manual{parser: parser}}})
 	return parser
 }
 
-func add(to *flags.Command, commands []command) {
+func addCommands(to *flags.Command, commands []command) {
 	for _, cmd := range commands {
 		if _, err := to.AddCommand(cmd.name, cmd.short, cmd.long, cmd.run); err != nil {
 			panic(err)
@@ -77,16 +77,16 @@
 	}
 }
 
-// command is one word of the command line.
+// command describes one command of the command line.
 type command struct {
 	name, short, long string
 	run               flags.Commander
 }
 
-// report prints an error with what to do next and gives the exit code.
-func report(err error) int {
+// reportError prints an error with advice and returns the exit code.
+func reportError(err error) int {
 	var flagsErr *flags.Error
-	var e *exit
+	var e *exitError
 	var l finding.List
 	switch {
 	case err == nil:
@@ -109,5 +109,5 @@
 	}
 }
 
-// oneLine joins the lines of an error that has several causes.
+// oneLine joins the lines of an error with several causes.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
--- a/cmd/ctl/main_test.go
+++ b/cmd/ctl/main_test.go
@@ -24,7 +24,7 @@
 	"turmericgap/view"
 )
 
-// cell is a store and one scheduler that knows some version of the rules.
+// cell has a store and a scheduler that reports a given version of the rules.
 type cell struct {
 	*is.I
 	kv    *store.Store
@@ -53,7 +53,7 @@
 	return c
 }
 
-// run gives the exit code of a command.
+// run executes a command and returns its exit code.
 func (c *cell) run(args ...string) int { return run(append(c.flags, args...)) }
 
 func (c *cell) set(base int64, raw string) int {
@@ -62,8 +62,8 @@
 	return c.run("rules", "set", file, "--base", strconv.FormatInt(base, 10), "--editor", "asha")
 }
 
-// An operator's edit would replace one that it never saw, or be accepted and never come into force.
-// Edits come with a base that is old, right or not there yet, on a store that may have been restored.
+// An edit must not replace one that its author never saw, nor be accepted without ever coming into force. Edits have
+// an old, current or future base, and the store may have been restored from a backup.
 func TestRulesSet(t *testing.T) {
 	const good = `{"rules":[{"id":"a","then":[{"kind":"limit","with":{"mostRunning":1}}]}]}`
 	cases := []struct {
@@ -106,9 +106,8 @@
 	}
 }
 
-// An operator edits the rules of a cell on the users' platform, where no scheduler of the other kind is: the
-// edit must reach the platform's store under the key that the entry VMs follow, and a second one with the
-// same base must be refused.
+// On the users' platform there is no scheduler to ask. An edit must reach the platform's store under the key that the
+// entry VMs watch, and a second edit with the same base must be refused.
 func TestRulesOnPlatform(t *testing.T) {
 	standIn := platform.NewStandin()
 	web := httptest.NewServer(standIn.StoreHandler())
--- a/cmd/ctl/manual_test.go
+++ b/cmd/ctl/manual_test.go
@@ -11,6 +11,6 @@
 
 func TestManual(t *testing.T) {
 	var got bytes.Buffer
-	writeManual(&got, newParser(&common{}))
+	writeManual(&got, newParser(&commonOptions{}))
 	golden.Equal(t, manualFile, got.Bytes())
 }
--- a/cmd/ctl/print.go
+++ b/cmd/ctl/print.go
@@ -10,7 +10,7 @@
 	"unicode"
 )
 
-// tabPadding is the least space between two columns.
+// tabPadding is the minimum space between two columns.
 const tabPadding = 2
 
 // table prints aligned columns.
@@ -22,17 +22,17 @@
 	return t
 }
 
-// row adds one line; control characters, which a terminal would obey, are left out.
+// row adds one line. It removes control characters, which a terminal would interpret.
 func (t *table) row(cells ...string) {
 	for i := range cells {
-		cells[i] = plain(cells[i])
+		cells[i] = stripControls(cells[i])
 	}
 	fmt.Fprintln(t.w, strings.Join(cells, "\t"))
 }
 
 func (t *table) print() error { return t.w.Flush() }
 
-func plain(s string) string {
+func stripControls(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
 			return -1
@@ -48,7 +48,7 @@
 	return enc.Encode(v)
 }
 
-func indent(raw []byte) string {
+func indentJSON(raw []byte) string {
 	var b bytes.Buffer
 	if json.Indent(&b, raw, "", "  ") != nil {
 		return string(raw)
@@ -56,7 +56,7 @@
 	return b.String()
 }
 
-func compact(v any) string {
+func compactJSON(v any) string {
 	var b strings.Builder
 	enc := json.NewEncoder(&b)
 	enc.SetEscapeHTML(false)
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -10,18 +10,18 @@
 
 	"turmericgap/finding"
 	"turmericgap/operate"
-	_ "turmericgap/platform" // The key-value service of the users' platform.
+	_ "turmericgap/platform" // Registers the key-value service of the users' platform.
 	"turmericgap/rule"
 	"turmericgap/rule/standard"
 	"turmericgap/store"
-	_ "turmericgap/store/etcd" // The platform's key-value service.
+	_ "turmericgap/store/etcd" // Registers the etcd store.
 	"turmericgap/view"
 )
 
-// rulesWord is the command that holds those about rules.
-type rulesWord struct{}
+// rulesGroup is the parent of the commands about rules.
+type rulesGroup struct{}
 
-func rulesCommands(c *common) []command {
+func rulesCommands(c *commonOptions) []command {
 	return []command{
 		{"get", "print the rules in force", "Prints the rule document that the store holds, ready to be edited; its version is what 'rules set' takes as --base.", &rulesGet{cell: c}},
 		{"check", "check a rule document", "Reports every finding of a document with its place. Asks no cell.", &rulesCheck{cell: c}},
@@ -33,35 +33,35 @@
 	}
 }
 
-func (c *common) context() (context.Context, context.CancelFunc) {
+func (c *commonOptions) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), time.Duration(c.Seconds)*time.Second)
 }
 
-func (c *common) openStore() (*store.Store, error) { return store.Open(c.StoreKind, c.Store) }
+func (c *commonOptions) openStore() (*store.Store, error) { return store.Open(c.StoreKind, c.Store) }
 
-// storeError says what to do about a store that does not answer.
-func (c *common) storeError(err error) error {
-	return &exit{exitFailed, fmt.Errorf("the store at %s gave no answer (%w); set --store, or see what the cell has by 'ctl inforce'", c.Store, err)}
+// storeError returns an error for a store that does not answer, with advice.
+func (c *commonOptions) storeError(err error) error {
+	return &exitError{exitFailed, fmt.Errorf("the store at %s gave no answer (%w); set --store, or see what the cell has by 'ctl inforce'", c.Store, err)}
 }
 
-// current gives the newest rules of the store and of the chosen scheduler, or the standard ones at
-// version zero.
+// current returns the newer of the rules in the store and in the chosen scheduler, or the standard rules if none were
+// set yet.
 //
-// Failure: the store was restored and holds older rules than the processes. Symptom: an edit based
-// on those is accepted and never in force, since no process goes back.
-// The scheduler is read first, so that its version is above the store's only after a restoration.
-func (c *common) current(ctx context.Context) (*store.Store, operate.Edition, error) {
+// A store restored from a backup holds older rules than the processes. An edit based on those would be accepted but
+// never come into force, because no process accepts an older version than it has. The scheduler is read before the
+// store, so its version can be higher only after a restore.
+func (c *commonOptions) current(ctx context.Context) (*store.Store, operate.Edition, error) {
 	s, err := c.openStore()
 	if err != nil {
 		return nil, operate.Edition{}, err
 	}
-	known := c.known(ctx)
+	known := c.schedulerRules(ctx)
 	e, err := operate.Current(ctx, s)
 	if err != nil {
 		return nil, e, c.storeError(err)
 	}
 	if known.Version > e.Version {
-		fmt.Fprintf(os.Stderr, "ctl: the store holds version %d, the cell has %d: the store was restored; edits go on from %d\n", e.Version, known.Version, known.Version)
+		fmt.Fprintf(os.Stderr, "ctl: the store holds version %d, the cell has %d: the store was restored; edits continue from %d\n", e.Version, known.Version, known.Version)
 		return s, operate.Edition{Version: known.Version, Editor: "an editor unknown to the restored store", Rules: known.Raw}, nil
 	}
 	if e.Version == 0 {
@@ -70,13 +70,13 @@
 	return s, e, nil
 }
 
-// known gives the rules that the chosen scheduler has, if it answers soon.
-func (c *common) known(ctx context.Context) view.Rules {
+// schedulerRules returns the rules of the chosen scheduler, or none if it does not answer in time.
+func (c *commonOptions) schedulerRules(ctx context.Context) view.Rules {
 	ctx, cancel := context.WithTimeout(ctx, operate.AskTimeout)
 	defer cancel()
-	n, err := c.reach(ctx)
+	n, err := c.connect(ctx)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "ctl: %s\nctl: the rules are taken from the store alone\n", oneLine(err))
+		fmt.Fprintf(os.Stderr, "ctl: %s\nctl: using the rules of the store only\n", oneLine(err))
 		return view.Rules{}
 	}
 	defer n.pool.Close()
@@ -88,11 +88,11 @@
 }
 
 type rulesGet struct {
-	cell    *common
+	cell    *commonOptions
 	Version int64 `long:"version" description:"a kept version instead of the one in force"`
 }
 
-// Execute prints the document.
+// Execute prints the rule document.
 func (g *rulesGet) Execute([]string) error {
 	ctx, cancel := g.cell.context()
 	defer cancel()
@@ -101,7 +101,7 @@
 		return err
 	}
 	if g.Version > 0 {
-		if e, err = g.cell.edition(ctx, s, g.Version); err != nil {
+		if e, err = g.cell.findEdition(ctx, s, g.Version); err != nil {
 			return err
 		}
 	}
@@ -112,7 +112,7 @@
 	return printJSON(e.Rules)
 }
 
-func (c *common) edition(ctx context.Context, s *store.Store, version int64) (operate.Edition, error) {
+func (c *commonOptions) findEdition(ctx context.Context, s *store.Store, version int64) (operate.Edition, error) {
 	l, err := operate.History(ctx, s)
 	if err != nil {
 		return operate.Edition{}, c.storeError(err)
@@ -122,15 +122,15 @@
 			return e, nil
 		}
 	}
-	return operate.Edition{}, &exit{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
+	return operate.Edition{}, &exitError{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
 }
 
 type rulesCheck struct {
-	cell *common
+	cell *commonOptions
 	Args fileArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute reports the findings.
+// Execute prints the findings.
 func (k *rulesCheck) Execute([]string) error {
 	raw, err := readFile(k.Args.File)
 	if err != nil {
@@ -155,13 +155,13 @@
 }
 
 type rulesSet struct {
-	cell   *common
+	cell   *commonOptions
 	Base   int64        `long:"base" required:"yes" description:"the version that was edited, 0 where none was set yet"`
 	Editor string       `long:"editor" env:"USER" required:"yes" description:"who edits"`
 	Args   fileArgument `positional-args:"yes" required:"yes"`
 }
 
-// Execute writes the rules.
+// Execute writes the rules unless another edit was written since the base.
 func (r *rulesSet) Execute([]string) error {
 	raw, err := readFile(r.Args.File)
 	if err != nil {
@@ -185,32 +185,32 @@
 			Theirs: view.Rules{Version: now.Version, Raw: now.Rules}, Editor: now.Editor,
 		})
 	}
-	return r.cell.write(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
+	return r.cell.writeRules(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
 }
 
-// accepted is what a write of rules prints as JSON.
-type accepted struct {
+// writeOutput is the JSON output of a successful write of rules.
+type writeOutput struct {
 	Version int64 `json:"version"`
 }
 
-// refused is what a conflict prints as JSON.
-type refused struct {
+// conflictOutput is the JSON output of a conflict.
+type conflictOutput struct {
 	Editor string          `json:"editor"`
 	Base   int64           `json:"base"`
 	Yours  json.RawMessage `json:"yours"`
-	// Version and Theirs are what is in force.
+	// Version and Theirs are the version and document in force.
 	Version int64            `json:"version"`
 	Theirs  json.RawMessage  `json:"theirs"`
 	Changes []operate.Change `json:"changes"`
 }
 
-func (c *common) write(ctx context.Context, s *store.Store, e view.Edit) error {
+func (c *commonOptions) writeRules(ctx context.Context, s *store.Store, e view.Edit) error {
 	version, err := operate.SetRules(ctx, s, e)
 	var conflict *view.Conflict
 	var l finding.List
 	switch {
 	case err == nil && c.JSON:
-		return printJSON(&accepted{version})
+		return printJSON(&writeOutput{version})
 	case err == nil:
 		fmt.Printf("rules: version %d accepted; 'ctl inforce' tells which processes have it\n", version)
 		return nil
@@ -219,12 +219,12 @@
 	case errors.As(err, &l):
 		return l
 	default:
-		return &exit{exitUnknown, fmt.Errorf("the edit may have been accepted (%w); look by 'ctl rules history' before trying again", err)}
+		return &exitError{exitUnknown, fmt.Errorf("the edit may have been accepted (%w); look by 'ctl rules history' before trying again", err)}
 	}
 }
 
-func (c *common) printConflict(x *view.Conflict) error {
-	out := refused{Editor: x.Editor, Base: x.Yours.Version, Yours: x.Yours.Raw, Version: x.Theirs.Version, Theirs: x.Theirs.Raw}
+func (c *commonOptions) printConflict(x *view.Conflict) error {
+	out := conflictOutput{Editor: x.Editor, Base: x.Yours.Version, Yours: x.Yours.Raw, Version: x.Theirs.Version, Theirs: x.Theirs.Raw}
 	theirs, errTheirs := rule.Parse(x.Theirs.Raw)
 	yours, errYours := rule.Parse(x.Yours.Raw)
 	if errTheirs == nil && errYours == nil {
@@ -235,9 +235,9 @@
 			return err
 		}
 	} else {
-		fmt.Printf("--- in force: version %d by %s\n%s\n+++ yours, from base %d\n%s\n", x.Theirs.Version, x.Editor, indent(x.Theirs.Raw), x.Yours.Version, indent(x.Yours.Raw))
+		fmt.Printf("--- in force: version %d by %s\n%s\n+++ yours, from base %d\n%s\n", x.Theirs.Version, x.Editor, indentJSON(x.Theirs.Raw), x.Yours.Version, indentJSON(x.Yours.Raw))
 		fmt.Println("What yours would change in those in force:")
 		printChanges(out.Changes)
 	}
-	return &exit{exitConflict, fmt.Errorf("%w; nothing was written. Merge both, and set with --base %d", x, x.Theirs.Version)}
+	return &exitError{exitConflict, fmt.Errorf("%w; nothing was written. Merge both, and set with --base %d", x, x.Theirs.Version)}
 }
--- a/cmd/entry/config.go
+++ b/cmd/entry/config.go
@@ -8,23 +8,23 @@
 	"turmericgap/rpc"
 )
 
-// methodConfig asks an entry VM for a newer configuration.
+// methodConfig is the RPC method that returns an entry VM's configuration if it is newer than the caller's.
 const methodConfig = "Entry.Config"
 
 type configRequest struct {
-	Known int64 `msgpack:"k"`
+	KnownVersion int64 `msgpack:"k"`
 }
 
-func (p *parts) serveConfig(_ context.Context, in *configRequest) (*configuration.Document, error) {
+func (p *program) serveConfig(_ context.Context, in *configRequest) (*configuration.Document, error) {
 	doc := p.config.Document()
-	if doc.Version <= in.Known {
+	if doc.Version <= in.KnownVersion {
 		return &configuration.Document{}, nil
 	}
 	return &doc, nil
 }
 
-// askConfig asks another VM at random.
-func (p *parts) askConfig(ctx context.Context, known int64) (*configuration.Document, error) {
+// fetchPeerConfig asks a random other VM for a newer configuration. It returns nil if it picks this VM itself.
+func (p *program) fetchPeerConfig(ctx context.Context, known int64) (*configuration.Document, error) {
 	nodes := p.group.Nodes()
 	if len(nodes) == 0 {
 		return nil, nil
@@ -33,5 +33,5 @@
 	if peer.ID == p.settings.ID {
 		return nil, nil
 	}
-	return rpc.Call[configRequest, configuration.Document](ctx, p.peers.Get(peer.Address), methodConfig, &configRequest{Known: known})
+	return rpc.Call[configRequest, configuration.Document](ctx, p.peers.Get(peer.Address), methodConfig, &configRequest{KnownVersion: known})
 }
--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry is the one program of an entry VM on the users' platform: it takes callers' work, and
-// places and follows the work of the whole cell while its VM owns the cell.
+// Command entry is the only program of an entry VM on the users' platform. It accepts work from callers, and it
+// schedules and tracks the work of the whole cell while its VM owns the cell.
 package main
 
 import (
--- a/cmd/entry/reload.go
+++ b/cmd/entry/reload.go
@@ -11,8 +11,8 @@
 	"turmericgap/platform"
 )
 
-// reloadOn reads the settings again at each SIGHUP. Without a handler the signal would end the process.
-func (p *parts) reloadOn(path string) {
+// reloadOnSIGHUP reloads the settings on each SIGHUP. Without a handler the signal would end the process.
+func (p *program) reloadOnSIGHUP(path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
@@ -22,20 +22,20 @@
 	}()
 }
 
-// reload logs what has changed. Addresses, bounds and names hold for the life of a process, since its
-// leases and its place in the cell were made with them; the platform starts a process anew to change them.
-func (p *parts) reload(path string) {
+// reload logs which settings have changed but applies none of them. Leases and membership were set up with the current
+// addresses, bounds and names, so a change takes effect only when the platform restarts the process.
+func (p *program) reload(path string) {
 	next, err := platform.LoadSettings(path)
 	if err != nil {
-		p.log.Error("entry: the settings cannot be read; those of the start stay in force", zap.Error(err))
+		p.log.Error("entry: settings cannot be read; keeping those from process start", zap.Error(err))
 		return
 	}
-	changed := differences(p.settings, next)
-	p.log.Info("entry: settings read again", zap.Strings("changedForTheNextStart", changed))
+	changed := changedSettings(p.settings, next)
+	p.log.Info("entry: settings reloaded; changes apply after a restart", zap.Strings("changedForTheNextStart", changed))
 }
 
-// differences names the settings that are not equal.
-func differences(a, b *platform.Settings) []string {
+// changedSettings returns the names of the settings that differ.
+func changedSettings(a, b *platform.Settings) []string {
 	var names []string
 	va, vb := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	for i := range va.NumField() {
--- a/cmd/entry/reload_test.go
+++ b/cmd/entry/reload_test.go
@@ -20,8 +20,8 @@
 "Listen":{"Frontend":"10.1.0.13:8161","Readiness":"10.1.0.13:8167"},"InternalPorts":[7720,7735],
 "platform":{"Address":"10.200.1.7:8169"},"Bounds":{"HoldLimitMs":10000,"GraceS":6}}`
 
-// An operator changes the settings and sends SIGHUP: the process goes on, and says what has changed;
-// a file that cannot be read leaves the settings of the start in force.
+// SIGHUP must not end the process: it must log the changed settings, and report an unreadable file while the settings
+// from process start stay in force.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "boot.json")
@@ -30,8 +30,8 @@
 	settings, err := platform.LoadSettings(path)
 	is.NoErr(err)
 	core, logs := observer.New(zapcore.InfoLevel)
-	p := &parts{settings: settings, log: zap.New(core)}
-	p.reloadOn(path)
+	p := &program{settings: settings, log: zap.New(core)}
+	p.reloadOnSIGHUP(path)
 	for _, c := range []struct{ text, want string }{
 		{strings.Replace(settingsFile, `"GraceS":6`, `"GraceS":9`, 1), "ShutdownWithin"},
 		{"{", "cannot be read"},
@@ -39,19 +39,19 @@
 		write(c.text)
 		logs.TakeAll()
 		is.NoErr(syscall.Kill(syscall.Getpid(), syscall.SIGHUP))
-		var said string
+		var logged string
 		for range 200 {
 			if all := logs.All(); len(all) > 0 {
-				said = all[0].Message + " " + strings.Join(names(all[0]), " ")
+				logged = all[0].Message + " " + strings.Join(changedNames(all[0]), " ")
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(strings.Contains(said, c.want))
+		is.True(strings.Contains(logged, c.want))
 	}
 }
 
-func names(e observer.LoggedEntry) []string {
+func changedNames(e observer.LoggedEntry) []string {
 	list, _ := e.ContextMap()["changedForTheNextStart"].([]any)
 	var out []string
 	for _, name := range list {
--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -1,4 +1,4 @@
-// Command gate faces the callers of one entry VM: jobs, checks and sessions.
+// Command gate serves the callers of one entry VM: jobs, checks and sessions.
 package main
 
 import (
@@ -35,12 +35,13 @@
 
 type settings struct {
 	setting.Process
-	// CallerAddress serves callers over HTTP.
+	// CallerAddress is the HTTP address for callers.
 	CallerAddress string `json:"callerAddress"`
-	// Scheduler is the rpc address of the scheduler on this VM, Seeds those of schedulers elsewhere.
+	// Scheduler is the RPC address of the scheduler on this VM, Seeds holds those of schedulers on other VMs.
 	Scheduler string   `json:"scheduler"`
 	Seeds     []string `json:"seeds"`
-	// SessionKeys sign session tokens, the first; all are accepted. All gates of the cell need the same.
+	// SessionKeys are the keys of session tokens: the first one signs, all are accepted. All gates of a cell need the
+	// same keys.
 	SessionKeys []string `json:"sessionKeys"`
 }
 
@@ -67,8 +68,8 @@
 	process.Main("gate", &s.Process, &s, s.check, func(service *turmericgap.Service) error { return wire(service, &s) })
 }
 
-// parts are what the gate's process consists of.
-type parts struct {
+// program holds the components of the gate's process.
+type program struct {
 	follower *view.Follower
 	group    *member.Group
 	pool     *rpc.Pool
@@ -91,19 +92,19 @@
 		return err
 	}
 	log := service.Logger()
-	p := &parts{pool: rpc.NewPool(), calls: webcall.New(), server: rpc.NewServer()}
+	p := &program{pool: rpc.NewPool(), calls: webcall.New(), server: rpc.NewServer()}
 	p.group = process.NewGroup(service, kv, &s.Process, member.RoleGate, process.ViewHooks{
 		View:           func() *view.View { return p.follower.View() },
 		OnRulesVersion: func(m member.Member, v int64) { p.follower.Heard(m, v) },
-	}, member.OnChange(func(t member.Table) { p.gate.SetTable(gateTable(t)) }))
+	}, member.OnChange(func(t member.Table) { p.gate.SetTable(shareTable(t)) }))
 	p.follower = view.NewFollower(s.Scheduler, view.Self(p.group.Self()), view.Groups(p.group),
 		view.Seeds(s.Seeds...), view.Logger(logger.Part(log, "view")), view.Metrics(service.Metrics()))
 	rules := &process.RuleFollower{View: p.follower.View, Logger: log}
-	p.gate = gate.New(gate.ID(gateID(p.group.Self())), gate.Zone(s.Zone), gate.Dial(web.New(p.calls)),
+	p.gate = gate.New(gate.ID(incarnationID(p.group.Self())), gate.Zone(s.Zone), gate.Dial(web.New(p.calls)),
 		gate.Targets(func() []target.Info { return p.follower.View().Targets }),
-		gate.Member(p.group.Valid, p.group.JoinedVersion), gate.OverRPC(p.pool, p.gateAddress, p.gatesOf),
-		gate.SessionKeys(s.keys()...), gate.JobOwner(p.jobs(s)),
-		gate.Rules(func(c *gate.Check) gate.Decision { return decide(rules.List(), s.Zone, c) }),
+		gate.Member(p.group.Valid, p.group.JoinedVersion), gate.OverRPC(p.pool, p.gateAddress, p.gateAddresses),
+		gate.SessionKeys(s.keys()...), gate.JobOwner(p.jobClient(s)),
+		gate.Rules(func(c *gate.Check) gate.Decision { return applyRules(rules.List(), s.Zone, c) }),
 		gate.Logger(logger.Part(log, "gate")), gate.Metrics(service.Metrics()))
 	p.register()
 	service.Init(
@@ -118,19 +119,19 @@
 	return nil
 }
 
-func (p *parts) register() {
+func (p *program) register() {
 	p.follower.Register(p.server)
 	rpc.Handle(p.server, member.HeartbeatMethod, p.group.HandleHeartbeat)
 	p.gate.Register(p.server)
 }
 
-// stop lets what is in progress end, then leaves the table so that its shares pass on at once.
-func (p *parts) stop(deadline time.Time, log *zap.Logger) {
+// stop drains open requests, then leaves the member table so that the other gates get its shares immediately.
+func (p *program) stop(deadline time.Time, log *zap.Logger) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	p.gate.Drain(deadline)
 	if err := p.group.Leave(ctx, false); err != nil {
-		log.Warn("gate: left without notice", zap.Error(err))
+		log.Warn("gate: leaving the member table failed; the lease will expire", zap.Error(err))
 	}
 	p.gate.Close()
 	p.follower.Close()
@@ -138,8 +139,8 @@
 	p.pool.Close()
 }
 
-// gatesOf gives the addresses of a zone's gates that take new work.
-func (p *parts) gatesOf(zone string) []string {
+// gateAddresses returns the addresses of the zone's gates that accept new work.
+func (p *program) gateAddresses(zone string) []string {
 	t, _ := p.follower.View().Table(zone, member.RoleGate)
 	out := make([]string, 0, len(t.Members))
 	for _, m := range t.Members {
@@ -150,28 +151,28 @@
 	return out
 }
 
-// gateID is unique for each life of a gate, as shares need it.
-func gateID(m member.Member) string { return m.ID + "#" + strconv.FormatInt(m.Incarnation, 36) }
+// incarnationID returns an ID that is unique for each start of a gate, which shares of slots require.
+func incarnationID(m member.Member) string { return m.ID + "#" + strconv.FormatInt(m.Incarnation, 36) }
 
-func gateTable(t member.Table) share.Table {
+func shareTable(t member.Table) share.Table {
 	out := share.Table{Version: t.Version}
 	for _, m := range t.Members {
-		out.Gates = append(out.Gates, gateID(m))
+		out.Gates = append(out.Gates, incarnationID(m))
 	}
 	return out
 }
 
-// gateAddress gives the address of a gate of this zone.
-func (p *parts) gateAddress(id string) (string, bool) {
+// gateAddress returns the address of a gate of this zone by its incarnation ID.
+func (p *program) gateAddress(id string) (string, bool) {
 	for _, m := range p.group.Table().Members {
-		if gateID(m) == id {
+		if incarnationID(m) == id {
 			return m.Address, true
 		}
 	}
 	return "", false
 }
 
-func (p *parts) jobs(s *settings) gate.Jobs {
+func (p *program) jobClient(s *settings) gate.Jobs {
 	c := &route.Client{Zones: s.Zones, Pool: p.pool, Owner: func(zone string) (string, bool) {
 		t, _ := p.follower.View().Table(zone, member.RoleScheduler)
 		m, ok := t.Find(t.Owner)
@@ -183,8 +184,8 @@
 	}
 }
 
-// decide asks the rules about a check.
-func decide(l *rule.List, zone string, c *gate.Check) gate.Decision {
+// applyRules evaluates the rules for a check.
+func applyRules(l *rule.List, zone string, c *gate.Check) gate.Decision {
 	var r rule.Request
 	r.ForCheck(time.Now(), c.Service, c.Method, "", zone, c.Session != "")
 	e := l.Decide(&r)
--- a/cmd/gate/settings_test.go
+++ b/cmd/gate/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A setting that the operators' handbook lacks would be found by reading code only.
+// An operator can find a setting that is missing from the handbook only by reading the code.
 func TestEverySettingIsInTheHandbook(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("../../docs/OPERATIONS.md")
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process holds what the mains of the cell's programs share: arguments, settings, wiring.
+// Package process holds code shared by the main packages of the cell's programs: arguments, settings and wiring.
 package process
 
 import (
@@ -41,7 +41,7 @@
 	Check    bool   `long:"check" description:"report all findings of the settings and end"`
 }
 
-// Main reads arguments and settings, wires the program and runs it until it is stopped.
+// Main parses arguments, loads settings into the value given, wires the program and runs it until it is stopped.
 func Main(name string, common *setting.Process, into any, check func(*finding.List), wire func(*turmericgap.Service) error) {
 	var args arguments
 	if _, err := flags.NewParser(&args, flags.Default).Parse(); err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// OpenStore opens the platform's key-value service and counts this process's calls of it.
+// OpenStore opens the platform's key-value service and counts this process's calls to it.
 func OpenStore(s *turmericgap.Service, p *setting.Process) (*store.Store, error) {
 	kv, err := store.Open(p.Store.Kind, p.Store.Endpoint)
 	if err != nil {
@@ -81,13 +81,13 @@
 	return meter.New(kv, meter.Metrics(s.Metrics())), nil
 }
 
-// ViewHooks is where a Group learns what the process's view knows.
+// ViewHooks connects a member group with the view of its process.
 type ViewHooks struct {
 	View           func() *view.View
 	OnRulesVersion func(from member.Member, version int64)
 }
 
-// NewGroup makes this process's part in the table of its zone and role.
+// NewGroup creates this process's membership in the table of its zone and role.
 func NewGroup(s *turmericgap.Service, kv *store.Store, p *setting.Process, role string, v ViewHooks, opts ...member.Option) *member.Group {
 	self := member.Member{ID: p.ID, Role: role, Zone: p.Zone, Address: p.RPCAddress, VM: p.VM}
 	base := []member.Option{
@@ -98,15 +98,15 @@
 	return member.New(kv, self, append(base, opts...)...)
 }
 
-// CheckMembership is the readiness of a process that acts only as a valid member.
+// CheckMembership is a readiness check for a process that acts only while its membership is valid.
 func CheckMembership(g *member.Group) error {
 	if !g.Valid() {
-		return errors.New("membership does not hold now")
+		return errors.New("membership is not valid")
 	}
 	return nil
 }
 
-// VMListReader reads the platform's VM list.
+// VMListReader returns a function that reads the platform's VM list.
 func VMListReader(calls *webcall.Pool, address string) func(context.Context) (view.Listing, error) {
 	source := web.New(calls, address)
 	return func(ctx context.Context) (view.Listing, error) {
@@ -122,7 +122,8 @@
 	}
 }
 
-// RuleFollower follows the view's rule document; until there is one, the standard list decides.
+// RuleFollower provides the rules of the view's rule document. Before the first document, it provides the standard
+// rules.
 type RuleFollower struct {
 	View   func() *view.View
 	Logger *zap.Logger
@@ -132,13 +133,13 @@
 	parsed int64
 }
 
-// List gives the rules in force.
+// List returns the rules in force.
 func (r *RuleFollower) List() *rule.List {
 	l, _ := r.Refresh()
 	return l
 }
 
-// Refresh gives the rules in force and whether they changed since the last call.
+// Refresh returns the rules in force and whether they have changed since the last call.
 func (r *RuleFollower) Refresh() (l *rule.List, newer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,8 +153,8 @@
 	r.parsed = latest.Version
 	parsed, err := rule.Parse(latest.Raw)
 	if err != nil {
-		// Documents are checked when they are accepted; one of a newer program may not be understood.
-		r.Logger.Error("rules: document not understood, the last one stays", zap.Int64("version", latest.Version), zap.Error(err))
+		// Documents are validated when they are accepted, but a newer version of the program may have accepted this one.
+		r.Logger.Error("rules: document cannot be parsed; keeping the previous rules", zap.Int64("version", latest.Version), zap.Error(err))
 		return r.list, newer
 	}
 	r.list = parsed
--- a/cmd/journalload/main.go
+++ b/cmd/journalload/main.go
@@ -1,5 +1,5 @@
-// Command journalload measures what a store bears: it writes the records of a steady rate of starts
-// below zones of its own, and removes them at the end.
+// Command journalload measures the capacity of a store. It writes the records of task starts at a steady rate in zones
+// of its own, and removes them at the end.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"turmericgap/record"
 	"turmericgap/record/load"
 	"turmericgap/store"
-	_ "turmericgap/store/etcd" // registers itself
+	_ "turmericgap/store/etcd" // Registers the etcd store.
 )
 
 type arguments struct {
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -40,11 +40,11 @@
 		}
 		os.Exit(2)
 	}
-	fmt.Println(o.run())
+	fmt.Println(o.submitAll())
 }
 
-// run submits the jobs and gives a line with how many were accepted and how many were not.
-func (o *options) run() string {
+// submitAll submits the jobs at the given rate and returns a summary line with the accepted and rejected counts.
+func (o *options) submitAll() string {
 	due := make(chan int, senders)
 	var accepted, refused atomic.Int64
 	var wg sync.WaitGroup
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -1,4 +1,4 @@
-// Command regress compares the scores of sites with those of the last landing; script/regress.sh plays them.
+// Command regress compares the scores of sites with those of the last landing. script/regress.sh produces the scores.
 package main
 
 import (
@@ -13,16 +13,17 @@
 	"turmericgap/platform/bench"
 )
 
-// Codes of exit.
+// Exit codes.
 const (
-	// exitWorse means that a rule broke, a gate failed or a mean fell by more than worthLess.
-	exitWorse = 1
-	// exitFindings means wrong flags, or files that cannot be read.
+	// exitRegression means that a rule was broken, a gate failed or the worth of a site fell by more than maxWorthDrop.
+	exitRegression = 1
+	// exitFindings means that flags are wrong or files cannot be read.
 	exitFindings = 2
 )
 
-// worthLess is how much less a site may be worth than at the last landing: what one score differs from another.
-const worthLess = 0.03
+// maxWorthDrop is the tolerated drop of a site's worth since the last landing, which is the usual difference between
+// two scores of the same code.
+const maxWorthDrop = 0.03
 
 type options struct {
 	Against string `long:"against" value-name:"FILE" description:"the scores of the last landing; none are compared without it"`
@@ -53,15 +54,15 @@
 		}
 		scores = append(scores, s)
 	}
-	last, err := readLast(o.Against)
+	baseline, err := readBaseline(o.Against)
 	if err != nil {
 		findings = append(findings, err)
 	}
-	worse, err := compare(out, scores, last)
+	regressed, err := compare(out, scores, baseline)
 	if err != nil {
 		findings = append(findings, err)
 	}
-	if err := keep(o.Keep, scores); err != nil {
+	if err := writeScores(o.Keep, scores); err != nil {
 		findings = append(findings, err)
 	}
 	for _, f := range findings {
@@ -70,14 +71,14 @@
 	switch {
 	case len(findings) > 0:
 		return exitFindings
-	case worse:
-		return exitWorse
+	case regressed:
+		return exitRegression
 	}
 	return 0
 }
 
-// readLast reads the scores of the last landing, by site.
-func readLast(path string) (map[string]*bench.Score, error) {
+// readBaseline reads the scores of the last landing and returns them by site.
+func readBaseline(path string) (map[string]*bench.Score, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -89,14 +90,14 @@
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	last := make(map[string]*bench.Score, len(list))
+	baseline := make(map[string]*bench.Score, len(list))
 	for _, s := range list {
-		last[s.Site] = s
+		baseline[s.Site] = s
 	}
-	return last, nil
+	return baseline, nil
 }
 
-func keep(path string, scores []*bench.Score) error {
+func writeScores(path string, scores []*bench.Score) error {
 	if path == "" {
 		return nil
 	}
@@ -107,37 +108,37 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// compare prints a row for each site and then what is wrong, and tells whether anything is.
-func compare(out io.Writer, scores []*bench.Score, last map[string]*bench.Score) (worse bool, err error) {
+// compare prints a row for each site and then all regressions, and reports whether there are any.
+func compare(out io.Writer, scores []*bench.Score, baseline map[string]*bench.Score) (regressed bool, err error) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "site\tdays\tworth\tlast landing\tdifference\tgate\trules broken\tclasses short\t")
-	var wrong []string
+	var regressions []string
 	for _, s := range scores {
 		before, differs := "-", "-"
-		if l := last[s.Site]; l != nil {
+		if l := baseline[s.Site]; l != nil {
 			before, differs = fmt.Sprintf("%.3f", l.Worth), fmt.Sprintf("%+.3f", s.Worth-l.Worth)
-			if s.Worth < l.Worth-worthLess {
-				wrong = append(wrong, fmt.Sprintf("%s: worth %.3f, %.3f at the last landing", s.Site, s.Worth, l.Worth))
+			if s.Worth < l.Worth-maxWorthDrop {
+				regressions = append(regressions, fmt.Sprintf("%s: worth %.3f, %.3f at the last landing", s.Site, s.Worth, l.Worth))
 			}
 		}
 		gate := "passed"
 		if !s.Gate {
 			gate = "failed"
-			wrong = append(wrong, s.Site+": gate failed")
+			regressions = append(regressions, s.Site+": gate failed")
 		}
 		fmt.Fprintf(t, "%s\t%d\t%.3f\t%s\t%s\t%s\t%d\t%d\t\n", s.Site, s.Days, s.Worth, before, differs, gate, len(s.Broken), len(s.Short))
 		for _, b := range s.Broken {
-			wrong = append(wrong, s.Site+" "+b)
+			regressions = append(regressions, s.Site+" "+b)
 		}
 		for _, b := range s.Short {
-			wrong = append(wrong, s.Site+" below its floor, "+b)
+			regressions = append(regressions, s.Site+" below its floor, "+b)
 		}
 	}
 	if err := t.Flush(); err != nil {
 		return false, err
 	}
-	for _, w := range wrong {
+	for _, w := range regressions {
 		fmt.Fprintln(out, w)
 	}
-	return len(wrong) > 0, nil
+	return len(regressions) > 0, nil
 }
--- a/cmd/regress/main_test.go
+++ b/cmd/regress/main_test.go
@@ -25,7 +25,8 @@
 	landing    = `[{"site":"north","worth":0.56},{"site":"south","worth":0.5}]`
 )
 
-// What fell, failed or broke is listed and ends with code 1; what cannot be read ends with code 2 and all of it.
+// Regressions must be listed and end with code 1; wrong flags and unreadable files must all be listed and end with
+// code 2.
 func TestRun(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -40,20 +41,20 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		says []string
+		want []string
 	}{
 		"good":          {[]string{"--against", last, "--keep", filepath.Join(dir, "kept.json"), good}, 0, nil},
-		"worse":         {[]string{"--against", last, good, bad}, exitWorse, nil},
+		"worse":         {[]string{"--against", last, good, bad}, exitRegression, nil},
 		"nothing":       {nil, exitFindings, []string{"required"}},
 		"unknown flag":  {[]string{"--nosuch", last, good}, exitFindings, []string{"nosuch"}},
-		"all is told":   {[]string{"--against", filepath.Join(dir, "none"), hunt, cut, good}, exitFindings, []string{"of a hunt", "did not finish", "none"}},
+		"all findings":  {[]string{"--against", filepath.Join(dir, "none"), hunt, cut, good}, exitFindings, []string{"of a hunt", "did not finish", "none"}},
 		"kept and read": {[]string{"--against", last, good}, 0, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var out, errs bytes.Buffer
 			is.Equal(run(c.args, &out, &errs), c.code)
-			for _, s := range c.says {
+			for _, s := range c.want {
 				is.True(strings.Contains(errs.String(), s))
 			}
 			if name == "worse" {
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -25,10 +25,10 @@
 	"turmericgap/worker/web"
 )
 
-// cellWrites is what the journals of all zones may write together, a second.
+// cellWritesPerSecond limits the writes of all zones' journals together; each zone gets an equal share.
 const (
-	cellWrites = 60.0
-	writeBurst = 5
+	cellWritesPerSecond = 60.0
+	journalBurst        = 5
 )
 
 func main() {
@@ -36,8 +36,8 @@
 	process.Main("scheduler", &p, &p, p.Check, func(s *turmericgap.Service) error { return wire(s, &p) })
 }
 
-// wire joins the parts; the address is listened on first, because holding it proves to other
-// members that an earlier process at it has ended.
+// wire creates and connects all components. It listens on the RPC address first, because holding the address proves to
+// other members that an earlier process on it has ended.
 func wire(service *turmericgap.Service, p *setting.Process) error {
 	listener, err := net.Listen("tcp", p.RPCAddress)
 	if err != nil {
@@ -61,7 +61,7 @@
 		scheduler.Zone(p.Zone), scheduler.Store(kv), scheduler.Owns(group.Owns), scheduler.Dial(web.New(calls)),
 		scheduler.Workers(func() []worker.Info { return keeper.View().Workers }),
 		scheduler.Logger(logger.Part(log, "scheduler")), scheduler.Metrics(service.Metrics()),
-		scheduler.Journal(record.Metrics(service.Metrics()), record.Rate(cellWrites/float64(len(p.Zones)), writeBurst)),
+		scheduler.Journal(record.Metrics(service.Metrics()), record.Rate(cellWritesPerSecond/float64(len(p.Zones)), journalBurst)),
 		scheduler.Planner(func() *planner.Planner { return planner.New(planner.Rules(rules.List())) }),
 		scheduler.Rules(func(pl *planner.Planner) {
 			if l, newer := rules.Refresh(); newer {
@@ -88,7 +88,7 @@
 			defer cancel()
 			sched.Stop(ctx)
 			if err := group.Leave(ctx, true); err != nil {
-				log.Warn("scheduler: left without hand-over", zap.Error(err))
+				log.Warn("scheduler: leaving without handing over the zone", zap.Error(err))
 			}
 			keeper.Close()
 			pool.Close()
--- a/cmd/standinlist/main.go
+++ b/cmd/standinlist/main.go
@@ -1,4 +1,4 @@
-// Command standinlist is a stand-in of the platform's VM list.
+// Command standinlist is a stand-in for the platform's VM list.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	Listen string        `long:"listen" description:"IP number and port" default:"127.0.0.1:7400"`
 	Lag    time.Duration `long:"lag" description:"how old the shown state is" default:"0s"`
 	Expiry time.Duration `long:"expiry" description:"removes a VM that has not registered for that long; 0 keeps it" default:"10s"`
-	// Entries never expire: the stand-in itself keeps them registered.
+	// Entries never expire, because the stand-in registers them periodically itself.
 	Entries map[string]string `long:"entry" description:"an entry VM and its availability zone, as id:zone; may be given again"`
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// keepEntries registers the entry VMs again and again, as the platform would that hosts them.
+// keepEntries registers the entry VMs periodically, as the platform that hosts them would.
 func (o *options) keepEntries(l *list.List) {
 	var vms vmlist.List
 	for id, zone := range o.Entries {
--- a/cmd/standinstore/main.go
+++ b/cmd/standinstore/main.go
@@ -1,5 +1,4 @@
-// Command standinstore serves a stand-in of the platform's key-value service; it keeps nothing when
-// it ends.
+// Command standinstore serves a stand-in for the platform's key-value service. Its data is lost when it ends.
 package main
 
 import (
@@ -36,7 +35,7 @@
 	}
 	log := logger.New("standinstore")
 	if err := serve(args.Listen, log); err != nil {
-		log.Fatal("standinstore: ended", zap.Error(err))
+		log.Fatal("standinstore: serving failed", zap.Error(err))
 	}
 }
 
@@ -51,7 +50,7 @@
 	go func() {
 		<-stop
 		if err := server.Close(); err != nil {
-			log.Warn("standinstore: close failed", zap.Error(err))
+			log.Warn("standinstore: closing the HTTP server failed", zap.Error(err))
 		}
 	}()
 	log.Info("standinstore: serving", zap.String("address", listener.Addr().String()))
--- a/cmd/standintarget/main.go
+++ b/cmd/standintarget/main.go
@@ -1,4 +1,4 @@
-// Command standintarget hosts stand-ins of the platform's targets, each below a path of its own.
+// Command standintarget hosts stand-ins for the platform's targets, each under its own URL path.
 package main
 
 import (
@@ -47,15 +47,15 @@
 		path := fmt.Sprintf("/t/%d", i)
 		mux.Handle(path+"/", http.StripPrefix(path, targets[i].Handler()))
 	}
-	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterEvery, func() vmlist.List { return listed(targets) })
+	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterEvery, func() vmlist.List { return currentTargets(targets) })
 	if err := endpoint.Serve(o.Listen, mux); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// listed gives the targets as they are now, so that a target that leaves is registered as leaving.
-func listed(targets []*standin.Target) vmlist.List {
+// currentTargets returns the present state of the targets, so that a leaving target is registered as leaving.
+func currentTargets(targets []*standin.Target) vmlist.List {
 	var vms vmlist.List
 	for _, t := range targets {
 		vms.Targets = append(vms.Targets, t.Info())
--- a/cmd/standinworker/main.go
+++ b/cmd/standinworker/main.go
@@ -1,4 +1,4 @@
-// Command standinworker hosts stand-ins of the platform's workers, each below a path of its own.
+// Command standinworker hosts stand-ins for the platform's workers, each under its own URL path.
 package main
 
 import (
--- a/cmd/trial/main.go
+++ b/cmd/trial/main.go
@@ -1,4 +1,4 @@
-// Command trial compares the plays of two versions of the code that script/paired.sh has made.
+// Command trial compares the results of two versions of the code, which script/paired.sh produces.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"turmericgap/trial"
 )
 
-// exitFindings tells of wrong flags or reports that cannot be read.
+// exitFindings means that flags are wrong or reports cannot be read.
 const exitFindings = 2
 
 type options struct {
@@ -37,9 +37,9 @@
 		return exitFindings
 	}
 	old, findings := bench.ReadReports(o.Args.Old)
-	changed, more := bench.ReadReports(o.Args.New)
-	findings = append(findings, more...)
-	c := trial.Compare(old, changed)
+	current, newFindings := bench.ReadReports(o.Args.New)
+	findings = append(findings, newFindings...)
+	c := trial.Compare(old, current)
 	for _, write := range []func() error{
 		func() error { return c.Print(out) },
 		func() error { return writeJSON(c, o.JSON) },
--- a/cmd/trial/main_test.go
+++ b/cmd/trial/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// Wrong flags and reports that cannot be read end with code 2 and all that is wrong.
+// Wrong flags and unreadable reports must be printed and end with code 2.
 func TestRun(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -19,7 +19,7 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		"good":         {[]string{dir, dir, "--json", filepath.Join(empty, "out"), "--plot", filepath.Join(empty, "out.svg")}, 0, ""},
 		"no folders":   {nil, 2, "required"},
@@ -31,7 +31,7 @@
 			is := is.New(t)
 			var out, errs bytes.Buffer
 			is.Equal(run(c.args, &out, &errs), c.code)
-			is.True(strings.Contains(errs.String(), c.says))
+			is.True(strings.Contains(errs.String(), c.want))
 		})
 	}
 }
