--- a/cmd/ctl/caller.go
+++ b/cmd/ctl/caller.go
@@ -25,11 +25,11 @@
 
 func callerCommands(c *commonOptions) []command {
 	return []command{
-		{"submit", "submit a job from a JSON file", "Reads a submission (docs/API.md) from a file, or from - for standard input.", &submit{cell: c}},
-		{"status", "show a job", "Shows where a job and its tasks stand.", &status{cell: c}},
-		{"wait", "wait for a job's answer", "Waits until the job is final, or until --seconds have passed.", &wait{cell: c}},
-		{"cancel", "cancel a job", "Cancels a job; tasks that were not started are then surely not run.", &cancel{cell: c}},
-		{"check", "send a check to a service", "Sends one check through the gate and prints its whole answer.", &check{cell: c}},
+		{"submit", "submit a job from a JSON file", "Reads a submission (docs/API.md) from a file, or from - for standard input.", &submit{opts: c}},
+		{"status", "show a job", "Shows where a job and its tasks stand.", &status{opts: c}},
+		{"wait", "wait for a job's answer", "Waits until the job is final, or until --seconds have passed.", &wait{opts: c}},
+		{"cancel", "cancel a job", "Cancels a job; tasks that were not started are then surely not run.", &cancel{opts: c}},
+		{"check", "send a check to a service", "Sends one check through the gate and prints its whole answer.", &check{opts: c}},
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 type submit struct {
-	cell *commonOptions
+	opts *commonOptions
 	Wait bool `long:"wait" description:"wait for the answer"`
 	Args struct {
 		File string `positional-arg-name:"file" description:"a submission, or -"`
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := s.cell.call(http.MethodPost, "/v1/jobs", nil, raw)
+	r, err := s.opts.call(http.MethodPost, "/v1/jobs", nil, raw)
 	if err != nil {
 		return err
 	}
@@ -105,13 +105,13 @@
 		return err
 	}
 	if !s.Wait {
-		return s.cell.printJob(&st, r.raw)
+		return s.opts.printJob(&st, r.raw)
 	}
-	return s.cell.awaitJob(st.ID)
+	return s.opts.awaitJob(st.ID)
 }
 
-// awaitJob waits for the job's final state and prints it. It asks for half a second less than the command's time
-// limit, so that the gate can still answer.
+// awaitJob waits for the job's final state and prints it. It waits for at most a minute, and half a second less than the
+// command's time limit so that the gate can still answer.
 func (c *commonOptions) awaitJob(id string) error {
 	margin := int64(max(1, c.Seconds)*1000 - 500)
 	r, err := c.call(http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/wait?timeoutMillis="+strconv.FormatInt(min(margin, 60_000), 10), nil, nil)
@@ -172,28 +172,28 @@
 }
 
 type status struct {
-	cell *commonOptions
+	opts *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute prints the job's status.
-func (s *status) Execute([]string) error { return s.cell.callJob(http.MethodGet, s.Args.ID) }
+func (s *status) Execute([]string) error { return s.opts.callJob(http.MethodGet, s.Args.ID) }
 
 type wait struct {
-	cell *commonOptions
+	opts *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute waits for the job and prints its status.
-func (w *wait) Execute([]string) error { return w.cell.awaitJob(w.Args.ID) }
+func (w *wait) Execute([]string) error { return w.opts.awaitJob(w.Args.ID) }
 
 type cancel struct {
-	cell *commonOptions
+	opts *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
 // Execute cancels the job.
-func (x *cancel) Execute([]string) error { return x.cell.callJob(http.MethodDelete, x.Args.ID) }
+func (x *cancel) Execute([]string) error { return x.opts.callJob(http.MethodDelete, x.Args.ID) }
 
 func (c *commonOptions) callJob(method, id string) error {
 	r, err := c.call(method, "/v1/jobs/"+url.PathEscape(id), nil, nil)
@@ -208,7 +208,7 @@
 }
 
 type check struct {
-	cell       *commonOptions
+	opts       *commonOptions
 	Key        string `long:"key" description:"idempotency key"`
 	Repeatable bool   `long:"repeatable" description:"running it twice does no harm"`
 	Body       string `long:"body" description:"the body of the request"`
@@ -221,18 +221,18 @@
 // Execute sends the check and prints the answer.
 func (k *check) Execute([]string) error {
 	h := http.Header{}
-	h.Set(gate.HeaderDeadline, strconv.Itoa(min(k.cell.Seconds*1000, maxCheckDeadlineMillis)))
+	h.Set(gate.HeaderDeadline, strconv.Itoa(min(k.opts.Seconds*1000, maxCheckDeadlineMillis)))
 	if k.Key != "" {
 		h.Set(gate.HeaderKey, k.Key)
 	}
 	if k.Repeatable {
 		h.Set(gate.HeaderRepeatable, "true")
 	}
-	r, err := k.cell.call(http.MethodPost, "/v1/checks/"+url.PathEscape(k.Args.Service)+"/"+url.PathEscape(k.Args.Method), h, []byte(k.Body))
+	r, err := k.opts.call(http.MethodPost, "/v1/checks/"+url.PathEscape(k.Args.Service)+"/"+url.PathEscape(k.Args.Method), h, []byte(k.Body))
 	if err != nil {
 		return err
 	}
-	if k.cell.JSON {
+	if k.opts.JSON {
 		fmt.Println(string(bytes.TrimSpace(r.raw)))
 		return nil
 	}
--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -17,14 +17,14 @@
 
 func cellCommands(c *commonOptions) []command {
 	return []command{
-		{"inforce", "show which rules each process has", "Shows, process by process, the rules' version and when it was last heard of. Exit code 6 says that some process lacks the newest.", &inForce{cell: c}},
-		{"jobs", "list jobs", "Lists the jobs of a zone or of all, live ones first.", &jobs{cell: c}},
-		{"why", "say what a job waits for", "Shows where a job stands, which rule decided, why those before it did not hold, and what the job waits for.", &why{cell: c}},
-		{"members", "show the processes of the cell", "Shows the member tables of all zones, and who owns each zone.", &members{cell: c}},
-		{"workers", "list workers", "Lists the workers of the VM list with what their tasks are charged.", &workers{cell: c}},
-		{"targets", "list targets", "Lists the targets of the VM list.", &targets{cell: c}},
-		{"day", "report a day from logs", "Reads the JSON log lines of entry VMs, in any order, and reports what became of works by queue, zone and size, how long they spent in each stage of their path, what they waited for, what was refused and why, owners and outages, and the works that were lost or slowest. Lines that cannot be read are reported after it, with exit code 2.", &dayReport{cell: c}},
-		{"zones", "show the zones", "Shows owner, queues, packing, ejections and last failed jobs of each zone.", &zones{cell: c}},
+		{"inforce", "show which rules each process has", "Shows, process by process, the rules' version and when it was last heard of. Exit code 6 says that some process lacks the newest.", &inForce{opts: c}},
+		{"jobs", "list jobs", "Lists the jobs of a zone or of all, live ones first.", &jobs{opts: c}},
+		{"why", "say what a job waits for", "Shows where a job stands, which rule decided, why those before it did not hold, and what the job waits for.", &why{opts: c}},
+		{"members", "show the processes of the cell", "Shows the member tables of all zones, and who owns each zone.", &members{opts: c}},
+		{"workers", "list workers", "Lists the workers of the VM list with what their tasks are charged.", &workers{opts: c}},
+		{"targets", "list targets", "Lists the targets of the VM list.", &targets{opts: c}},
+		{"day", "report a day from logs", "Reads the JSON log lines of entry VMs, in any order, and reports what became of works by queue, zone and size, how long they spent in each stage of their path, what they waited for, what was refused and why, owners and outages, and the works that were lost or slowest. Lines that cannot be read are reported after it, with exit code 2.", &dayReport{opts: c}},
+		{"zones", "show the zones", "Shows owner, queues, packing, ejections and last failed jobs of each zone.", &zones{opts: c}},
 	}
 }
 
@@ -91,7 +91,7 @@
 	return &route.Client{Zones: n.zones(), Owner: n.owner, Pool: n.pool}
 }
 
-type inForce struct{ cell *commonOptions }
+type inForce struct{ opts *commonOptions }
 
 // inForceReport is the JSON output of inforce.
 type inForceReport struct {
@@ -103,13 +103,13 @@
 
 // Execute compares the rules of every process with the newest version.
 func (f *inForce) Execute([]string) error {
-	return f.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return f.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		s, err := n.state(ctx)
 		if err != nil {
 			return err
 		}
-		r := newInForceReport(s, f.cell.storedVersion(ctx))
-		if f.cell.JSON {
+		r := newInForceReport(s, f.opts.storedVersion(ctx))
+		if f.opts.JSON {
 			err = printJSON(&r)
 		} else {
 			err = r.print(s.At)
@@ -166,7 +166,7 @@
 	return max(0, now.Sub(then)).Round(time.Second).String() + " ago"
 }
 
-type members struct{ cell *commonOptions }
+type members struct{ opts *commonOptions }
 
 // membersReport is the JSON output of members.
 type membersReport struct {
@@ -178,13 +178,13 @@
 
 // Execute prints the member tables.
 func (m *members) Execute([]string) error {
-	return m.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return m.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		s, err := n.state(ctx)
 		if err != nil {
 			return err
 		}
 		r := membersReport{s.Members, n.view.Tables, n.view.Present}
-		if m.cell.JSON {
+		if m.opts.JSON {
 			return printJSON(&r)
 		}
 		return r.print()
@@ -216,13 +216,13 @@
 	return nil
 }
 
-type zones struct{ cell *commonOptions }
+type zones struct{ opts *commonOptions }
 
 // Execute prints the state of each zone as its owner reports it.
 func (z *zones) Execute([]string) error {
-	return z.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return z.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		cell := operate.Collect(ctx, n.pool, n.view, nil)
-		if z.cell.JSON {
+		if z.opts.JSON {
 			return printJSON(cell.Zones)
 		}
 		for i := range cell.Zones {
--- a/cmd/ctl/day.go
+++ b/cmd/ctl/day.go
@@ -15,7 +15,7 @@
 const minProgressBytes = 32 << 20
 
 type dayReport struct {
-	cell     *commonOptions
+	opts     *commonOptions
 	Page     string `long:"page" value-name:"FILE" description:"write the report as an HTML page with plots as well"`
 	MaxNamed int    `long:"named" default:"10" description:"how many lost and how many slow works are named, with their lines where the log is a file"`
 	Args     struct {
@@ -106,7 +106,7 @@
 			return err
 		}
 	}
-	if c.cell.JSON {
+	if c.opts.JSON {
 		return printJSON(r)
 	}
 	return r.WriteText(os.Stdout)
--- a/cmd/ctl/edition.go
+++ b/cmd/ctl/edition.go
@@ -12,7 +12,7 @@
 )
 
 type rulesDiff struct {
-	cell    *commonOptions
+	opts    *commonOptions
 	Version int64        `long:"version" description:"compare with a kept version instead of the one in force"`
 	Args    fileArgument `positional-args:"yes" required:"yes"`
 }
@@ -27,14 +27,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := d.cell.context()
+	ctx, cancel := d.opts.context()
 	defer cancel()
-	s, e, err := d.cell.current(ctx)
+	s, e, err := d.opts.current(ctx)
 	if err != nil {
 		return err
 	}
 	if d.Version > 0 {
-		if e, err = d.cell.findEdition(ctx, s, d.Version); err != nil {
+		if e, err = d.opts.findEdition(ctx, s, d.Version); err != nil {
 			return err
 		}
 	}
@@ -43,7 +43,7 @@
 		return err
 	}
 	changes := operate.Diff(from.Document(), to.Document())
-	if d.cell.JSON {
+	if d.opts.JSON {
 		return printJSON(append([]operate.Change{}, changes...))
 	}
 	fmt.Printf("from version %d (%s) to %s:\n", e.Version, e.Editor, d.Args.File)
@@ -70,21 +70,21 @@
 	}
 }
 
-type rulesHistory struct{ cell *commonOptions }
+type rulesHistory struct{ opts *commonOptions }
 
 // Execute lists the kept editions.
 func (h *rulesHistory) Execute([]string) error {
-	s, err := h.cell.openStore()
+	s, err := h.opts.openStore()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := h.cell.context()
+	ctx, cancel := h.opts.context()
 	defer cancel()
 	l, err := operate.History(ctx, s)
 	if err != nil {
-		return h.cell.storeError(err)
+		return h.opts.storeError(err)
 	}
-	if h.cell.JSON {
+	if h.opts.JSON {
 		return printJSON(l)
 	}
 	t := newTable("VERSION", "EDITOR", "AT", "RULES")
@@ -97,7 +97,7 @@
 }
 
 type rulesRollback struct {
-	cell   *commonOptions
+	opts   *commonOptions
 	Editor string `long:"editor" env:"USER" required:"yes" description:"who edits"`
 	Args   struct {
 		Version int64 `positional-arg-name:"version"`
@@ -106,15 +106,15 @@
 
 // Execute writes the earlier rules as a new version.
 func (r *rulesRollback) Execute([]string) error {
-	ctx, cancel := r.cell.context()
+	ctx, cancel := r.opts.context()
 	defer cancel()
-	s, now, err := r.cell.current(ctx)
+	s, now, err := r.opts.current(ctx)
 	if err != nil {
 		return err
 	}
-	e, err := r.cell.findEdition(ctx, s, r.Args.Version)
+	e, err := r.opts.findEdition(ctx, s, r.Args.Version)
 	if err != nil {
 		return err
 	}
-	return r.cell.writeRules(ctx, s, view.Edit{Base: now.Version, Raw: e.Rules, Editor: r.Editor})
+	return r.opts.writeRules(ctx, s, view.Edit{Base: now.Version, Raw: e.Rules, Editor: r.Editor})
 }
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -12,7 +12,7 @@
 )
 
 type rulesExplain struct {
-	cell  *commonOptions
+	opts  *commonOptions
 	Rules string       `long:"rules" description:"a rule document instead of the rules in force"`
 	Args  fileArgument `positional-args:"yes" required:"yes"`
 }
@@ -51,7 +51,7 @@
 			out.Rule = &each
 		}
 	}
-	if x.cell.JSON {
+	if x.opts.JSON {
 		return printJSON(&out)
 	}
 	printExplanation(&out.Explanation)
@@ -69,9 +69,9 @@
 		}
 		return rule.Parse(raw)
 	}
-	ctx, cancel := x.cell.context()
+	ctx, cancel := x.opts.context()
 	defer cancel()
-	_, e, err := x.cell.current(ctx)
+	_, e, err := x.opts.current(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -14,14 +14,14 @@
 )
 
 type jobs struct {
-	cell  *commonOptions
+	opts  *commonOptions
 	Zone  string `long:"zone" description:"only this zone"`
 	Limit int    `long:"most" default:"50" description:"the most jobs of each zone"`
 }
 
 // Execute lists jobs. If a zone does not answer, it prints the others and returns an error for that zone.
 func (j *jobs) Execute([]string) error {
-	return j.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return j.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		zones := n.zones()
 		if j.Zone != "" {
 			zones = []string{j.Zone}
@@ -43,7 +43,7 @@
 }
 
 func (j *jobs) print(all []job.Status) error {
-	if j.cell.JSON {
+	if j.opts.JSON {
 		return printJSON(all)
 	}
 	t := newTable("JOB", "ZONE", "STATE", "OUTCOME", "RULE", "TASKS", "ACCEPTED", "REASON")
@@ -55,7 +55,7 @@
 }
 
 type why struct {
-	cell *commonOptions
+	opts *commonOptions
 	Args jobArgument `positional-args:"yes" required:"yes"`
 }
 
@@ -64,7 +64,7 @@
 	if route.ZoneOf(w.Args.ID) == "" {
 		return finding.List{{Place: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
 	}
-	return w.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return w.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		x, err := n.route().Explain(ctx, w.Args.ID)
 		if fault := rpc.AsFault(err); fault != nil && fault.Code == rpc.CodeNotFound {
 			return &exitError{exitFailed, fmt.Errorf("job %s is not known: its id may be wrong, or it ended long ago; see 'ctl jobs'", w.Args.ID)}
@@ -72,7 +72,7 @@
 		if err != nil {
 			return fmt.Errorf("%w; see the zone's owner in 'ctl members'", err)
 		}
-		if w.cell.JSON {
+		if w.opts.JSON {
 			return printJSON(x)
 		}
 		printJobExplanation(x)
--- a/cmd/ctl/list.go
+++ b/cmd/ctl/list.go
@@ -11,7 +11,7 @@
 )
 
 type workers struct {
-	cell *commonOptions
+	opts *commonOptions
 	Zone string `long:"zone" description:"only this zone"`
 }
 
@@ -23,10 +23,10 @@
 
 // Execute lists the workers.
 func (w *workers) Execute([]string) error {
-	return w.cell.withScheduler(func(ctx context.Context, n *schedulerConn) error {
+	return w.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		cell := operate.Collect(ctx, n.pool, n.view, nil)
 		rows := w.rows(&cell)
-		if w.cell.JSON {
+		if w.opts.JSON {
 			return printJSON(rows)
 		}
 		t := newTable("WORKER", "ZONE", "RACK", "ADDRESS", "HAS", "TASKS", "PACKING", "STATE")
@@ -70,20 +70,20 @@
 }
 
 type targets struct {
-	cell *commonOptions
+	opts *commonOptions
 	Zone string `long:"zone" description:"only this zone"`
 }
 
 // Execute lists the targets.
 func (g *targets) Execute([]string) error {
-	return g.cell.withScheduler(func(_ context.Context, n *schedulerConn) error {
+	return g.opts.withScheduler(func(_ context.Context, n *schedulerConn) error {
 		rows := n.view.Targets[:0:0]
 		for _, t := range n.view.Targets {
 			if g.Zone == "" || t.Zone == g.Zone {
 				rows = append(rows, t)
 			}
 		}
-		if g.cell.JSON {
+		if g.opts.JSON {
 			return printJSON(rows)
 		}
 		t := newTable("TARGET", "SERVICE", "ZONE", "ADDRESS", "SLOTS", "LEAVING")
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -23,13 +23,13 @@
 
 func rulesCommands(c *commonOptions) []command {
 	return []command{
-		{"get", "print the rules in force", "Prints the rule document that the store holds, ready to be edited; its version is what 'rules set' takes as --base.", &rulesGet{cell: c}},
-		{"check", "check a rule document", "Reports every finding of a document with its place. Asks no cell.", &rulesCheck{cell: c}},
-		{"set", "put rules in force", "Writes a document unless another edit came since --base; then nothing is written and both documents are shown.", &rulesSet{cell: c}},
-		{"diff", "compare a document with the rules in force", "Shows the rules that were added, removed, changed or moved.", &rulesDiff{cell: c}},
-		{"history", "list the versions that are kept", "Lists the last 16 versions with editor and time, the newest first.", &rulesHistory{cell: c}},
-		{"rollback", "put an earlier version in force again", "Writes the rules of a kept version as a new version.", &rulesRollback{cell: c}},
-		{"explain", "say which rule decides a submission", "Judges a hypothetical submission now: which rule holds, and why those before it do not. Nothing is submitted.", &rulesExplain{cell: c}},
+		{"get", "print the rules in force", "Prints the rule document that the store holds, ready to be edited; its version is what 'rules set' takes as --base.", &rulesGet{opts: c}},
+		{"check", "check a rule document", "Reports every finding of a document with its place. Asks no cell.", &rulesCheck{opts: c}},
+		{"set", "put rules in force", "Writes a document unless another edit came since --base; then nothing is written and both documents are shown.", &rulesSet{opts: c}},
+		{"diff", "compare a document with the rules in force", "Shows the rules that were added, removed, changed or moved.", &rulesDiff{opts: c}},
+		{"history", "list the versions that are kept", "Lists the last 16 versions with editor and time, the newest first.", &rulesHistory{opts: c}},
+		{"rollback", "put an earlier version in force again", "Writes the rules of a kept version as a new version.", &rulesRollback{opts: c}},
+		{"explain", "say which rule decides a submission", "Judges a hypothetical submission now: which rule holds, and why those before it do not. Nothing is submitted.", &rulesExplain{opts: c}},
 	}
 }
 
@@ -88,24 +88,24 @@
 }
 
 type rulesGet struct {
-	cell    *commonOptions
+	opts    *commonOptions
 	Version int64 `long:"version" description:"a kept version instead of the one in force"`
 }
 
 // Execute prints the rule document.
 func (g *rulesGet) Execute([]string) error {
-	ctx, cancel := g.cell.context()
+	ctx, cancel := g.opts.context()
 	defer cancel()
-	s, e, err := g.cell.current(ctx)
+	s, e, err := g.opts.current(ctx)
 	if err != nil {
 		return err
 	}
 	if g.Version > 0 {
-		if e, err = g.cell.findEdition(ctx, s, g.Version); err != nil {
+		if e, err = g.opts.findEdition(ctx, s, g.Version); err != nil {
 			return err
 		}
 	}
-	if g.cell.JSON {
+	if g.opts.JSON {
 		return printJSON(&e)
 	}
 	fmt.Fprintf(os.Stderr, "ctl: version %d, by %s\n", e.Version, e.Editor)
@@ -126,7 +126,7 @@
 }
 
 type rulesCheck struct {
-	cell *commonOptions
+	opts *commonOptions
 	Args fileArgument `positional-args:"yes" required:"yes"`
 }
 
@@ -137,7 +137,7 @@
 		return err
 	}
 	l := operate.Check(raw)
-	if k.cell.JSON {
+	if k.opts.JSON {
 		if l == nil {
 			l = finding.List{}
 		}
@@ -148,14 +148,14 @@
 	if err := l.Err(); err != nil {
 		return err
 	}
-	if !k.cell.JSON {
+	if !k.opts.JSON {
 		fmt.Println("rules: no findings")
 	}
 	return nil
 }
 
 type rulesSet struct {
-	cell   *commonOptions
+	opts   *commonOptions
 	Base   int64        `long:"base" required:"yes" description:"the version that was edited, 0 where none was set yet"`
 	Editor string       `long:"editor" env:"USER" required:"yes" description:"who edits"`
 	Args   fileArgument `positional-args:"yes" required:"yes"`
@@ -170,9 +170,9 @@
 	if l := operate.Check(raw); len(l) > 0 {
 		return l
 	}
-	ctx, cancel := r.cell.context()
+	ctx, cancel := r.opts.context()
 	defer cancel()
-	s, now, err := r.cell.current(ctx)
+	s, now, err := r.opts.current(ctx)
 	if err != nil {
 		return err
 	}
@@ -180,12 +180,12 @@
 	case r.Base < 0 || r.Base > now.Version:
 		return finding.List{{Place: "base", Reason: fmt.Sprintf("must be at most %d, the version in force; see 'ctl rules get'", now.Version)}}
 	case r.Base < now.Version:
-		return r.cell.printConflict(&view.Conflict{
+		return r.opts.printConflict(&view.Conflict{
 			Yours:  view.Rules{Version: r.Base, Raw: raw},
 			Theirs: view.Rules{Version: now.Version, Raw: now.Rules}, Editor: now.Editor,
 		})
 	}
-	return r.cell.writeRules(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
+	return r.opts.writeRules(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
 }
 
 // writeOutput is the JSON output of a successful write of rules.
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -119,13 +119,13 @@
 func sinceBoot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		return time.Duration(math.MaxInt64) // Without a clock, every order counts as stale.
+		return time.Duration(math.MaxInt64) // Every order then counts as stale.
 	}
 	return time.Duration(now.Nano())
 }
 
-// unconstrainedLinkMbps is a link that does not limit an owner: the calls to 350 workers at 500 starts per second take
-// about a tenth of it.
+// unconstrainedLinkMbps is a link that does not limit an owner: held calls and orders to 350 workers at 500 starts per
+// second take about a tenth of it.
 const unconstrainedLinkMbps = 100
 
 // capacityScore returns the VM's CPU in millicores, scaled down if its network link is slow.
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// logAnswer logs the answer to a caller, except for successful reads of a state, which would flood the log.
+// logAnswer logs the answer to a caller. Successful reads of a state are not logged, only counted in the metrics.
 func (p *program) logAnswer(r *http.Request, id string, status int, took time.Duration, err error) {
 	if r.Method == http.MethodGet && err == nil {
 		return
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -21,8 +21,7 @@
 	exitFindings = 2
 )
 
-// maxWorthDrop is the tolerated drop of a site's worth since the last landing, which is the usual difference between
-// two scores of the same code.
+// maxWorthDrop is the tolerated drop of a site's worth since the last landing. Scores vary by as much from run to run.
 const maxWorthDrop = 0.03
 
 type options struct {
--- a/day/work.go
+++ b/day/work.go
@@ -99,7 +99,7 @@
 // millis converts a duration to milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// lostAfterObjectives is the multiple of its objective after which a work has expired.
+// lostAfterObjectives is the age, in multiples of its objective, at which a work has expired.
 const lostAfterObjectives = 3
 
 // classify returns the outcome of the work. A cancellation or failure takes precedence over a loss, since a cancelled
