--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// logAnswer logs the answer to a caller. Successful reads of a state are not logged, only counted in the metrics.
+// logAnswer logs the answer to a caller. Successful reads of a state are not logged.
 func (p *program) logAnswer(r *http.Request, id string, status int, took time.Duration, err error) {
 	if r.Method == http.MethodGet && err == nil {
 		return
