--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -62,7 +62,7 @@
 // Execute prints the job's state and what it waits for.
 func (w *why) Execute([]string) error {
 	if route.ZoneOf(w.Args.ID) == "" {
-		return finding.List{{Place: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
+		return finding.List{{Path: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
 	}
 	return w.opts.withScheduler(func(ctx context.Context, n *schedulerConn) error {
 		x, err := n.route().Explain(ctx, w.Args.ID)
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -50,10 +50,10 @@
 // A store restored from a backup holds older rules than the processes. An edit based on those would be accepted but
 // never come into force, because no process accepts an older version than it has. The scheduler is read before the
 // store, so its version can be higher only after a restore.
-func (c *commonOptions) current(ctx context.Context) (*store.Store, operate.Edition, error) {
+func (c *commonOptions) current(ctx context.Context) (*store.Store, operate.RulesVersion, error) {
 	s, err := c.openStore()
 	if err != nil {
-		return nil, operate.Edition{}, err
+		return nil, operate.RulesVersion{}, err
 	}
 	known := c.schedulerRules(ctx)
 	e, err := operate.Current(ctx, s)
@@ -62,7 +62,7 @@
 	}
 	if known.Version > e.Version {
 		fmt.Fprintf(os.Stderr, "ctl: the store holds version %d, the cell has %d: the store was restored; edits continue from %d\n", e.Version, known.Version, known.Version)
-		return s, operate.Edition{Version: known.Version, Editor: "an editor unknown to the restored store", Rules: known.Raw}, nil
+		return s, operate.RulesVersion{Version: known.Version, Editor: "an editor unknown to the restored store", Rules: known.Raw}, nil
 	}
 	if e.Version == 0 {
 		e.Rules, e.Editor = standard.Document(), "the standard rules"
@@ -72,7 +72,7 @@
 
 // schedulerRules returns the rules of the chosen scheduler, or none if it does not answer in time.
 func (c *commonOptions) schedulerRules(ctx context.Context) view.Rules {
-	ctx, cancel := context.WithTimeout(ctx, operate.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operate.StateTimeout)
 	defer cancel()
 	n, err := c.connect(ctx)
 	if err != nil {
@@ -112,17 +112,17 @@
 	return printJSON(e.Rules)
 }
 
-func (c *commonOptions) findEdition(ctx context.Context, s *store.Store, version int64) (operate.Edition, error) {
+func (c *commonOptions) findEdition(ctx context.Context, s *store.Store, version int64) (operate.RulesVersion, error) {
 	l, err := operate.History(ctx, s)
 	if err != nil {
-		return operate.Edition{}, c.storeError(err)
+		return operate.RulesVersion{}, c.storeError(err)
 	}
 	for _, e := range l {
 		if e.Version == version {
 			return e, nil
 		}
 	}
-	return operate.Edition{}, &exitError{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
+	return operate.RulesVersion{}, &exitError{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
 }
 
 type rulesCheck struct {
@@ -178,14 +178,14 @@
 	}
 	switch {
 	case r.Base < 0 || r.Base > now.Version:
-		return finding.List{{Place: "base", Reason: fmt.Sprintf("must be at most %d, the version in force; see 'ctl rules get'", now.Version)}}
+		return finding.List{{Path: "base", Reason: fmt.Sprintf("must be at most %d, the version in force; see 'ctl rules get'", now.Version)}}
 	case r.Base < now.Version:
 		return r.opts.printConflict(&view.Conflict{
 			Yours:  view.Rules{Version: r.Base, Raw: raw},
 			Theirs: view.Rules{Version: now.Version, Raw: now.Rules}, Editor: now.Editor,
 		})
 	}
-	return r.opts.writeRules(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
+	return r.opts.writeRules(ctx, s, view.Edit{BaseVersion: r.Base, Raw: raw, Editor: r.Editor})
 }
 
 // writeOutput is the JSON output of a successful write of rules.
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -61,7 +61,7 @@
 	logger.Level.SetLevel(common.Level())
 	service := turmericgap.New(turmericgap.Name(name), turmericgap.OpsAddress(common.OpsAddress),
 		turmericgap.Trace(common.Trace.Exporter, common.Trace.Address),
-		turmericgap.ShutdownWithin(setting.Millis(common.ShutdownMillis)))
+		turmericgap.ShutdownTimeout(setting.Millis(common.ShutdownMillis)))
 	err := wire(service)
 	if err == nil {
 		err = service.Run()
@@ -92,7 +92,7 @@
 	self := member.Member{ID: p.ID, Role: role, Zone: p.Zone, Address: p.RPCAddress, VM: p.VM}
 	base := []member.Option{
 		member.Logger(logger.Part(s.Logger(), "member")), member.Metrics(s.Metrics()),
-		member.ListedVMs(func() (map[string]bool, bool) { return v.View().Listed() }),
+		member.ListedVMs(func() (map[string]bool, bool) { return v.View().ListedVMs() }),
 		member.Rules(func() int64 { return v.View().Rules.Version }, v.OnRulesVersion),
 	}
 	return member.New(kv, self, append(base, opts...)...)
@@ -107,14 +107,14 @@
 }
 
 // VMListReader returns a function that reads the platform's VM list.
-func VMListReader(calls *webcall.Pool, address string) func(context.Context) (view.Listing, error) {
+func VMListReader(calls *webcall.Pool, address string) func(context.Context) (view.VMList, error) {
 	source := web.New(calls, address)
-	return func(ctx context.Context) (view.Listing, error) {
+	return func(ctx context.Context) (view.VMList, error) {
 		l, err := source.Read(ctx)
 		if err != nil {
-			return view.Listing{}, err
+			return view.VMList{}, err
 		}
-		out := view.Listing{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
+		out := view.VMList{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
 		for _, e := range l.Entries {
 			out.Entries[e.ID] = true
 		}
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -52,7 +52,7 @@
 	var keeper *view.Keeper
 	group := process.NewGroup(service, kv, p, member.RoleScheduler, process.ViewHooks{
 		View:           func() *view.View { return keeper.View() },
-		OnRulesVersion: func(m member.Member, v int64) { keeper.Heard(m, v) },
+		OnRulesVersion: func(m member.Member, v int64) { keeper.NotifyNewerRules(m, v) },
 	})
 	log := service.Logger()
 	keeper = view.New(kv, view.Self(group.Self()), view.Groups(group), view.Logger(logger.Part(log, "view")),
@@ -73,7 +73,7 @@
 	sched.Register(server)
 	keeper.Register(server)
 	rpc.Handle(server, member.HeartbeatMethod, group.HandleHeartbeat)
-	operators := &operate.Source{Members: group.Status, InForce: keeper.InForce, Zone: sched.State, View: keeper.View}
+	operators := &operate.Source{Members: group.Status, InForce: keeper.RulesByProcess, Zone: sched.State, View: keeper.View}
 	operators.Register(server)
 	pool := rpc.NewPool()
 	service.Init(
--- a/day/day.go
+++ b/day/day.go
@@ -150,7 +150,7 @@
 // Findings returns the unreadable lines: the first ones with their place, the others as a count.
 func (d *Analyzer) Findings() finding.List {
 	if more := d.unreadable - len(d.findings); more > 0 {
-		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Place: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
+		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Path: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
 	}
 	return d.findings
 }
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -79,8 +79,8 @@
 	is.Equal(r.Lines, 2)
 	is.Equal(r.Unreadable, maxFindings+2)
 	is.Equal(len(r.Findings), maxFindings+1)
-	is.Equal(r.Findings[0].Place, "log:2")
-	is.Equal(r.Findings[1].Place, "log:3")
+	is.Equal(r.Findings[0].Path, "log:2")
+	is.Equal(r.Findings[1].Path, "log:3")
 	is.Equal(r.Findings[maxFindings].Reason, "2 cannot be read either")
 }
 
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -42,7 +42,7 @@
 		time.Sleep(4 * time.Second)
 		var begun time.Duration
 		for _, r := range c.floor.History() {
-			begun += r.Begun.Sub(handed[r.Task.Work])
+			begun += r.Started.Sub(handed[r.Task.Work])
 		}
 		mean := begun / time.Duration(len(c.floor.History()))
 		t.Logf("started %v after they were handed in", mean)
@@ -72,7 +72,7 @@
 		}
 		info := worker.Info{ID: "w09", Address: "w09", Zone: "kochi-hall", Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
 		c.floor.Add(info)
-		c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
+		c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
 		time.Sleep(time.Second)
 		c.submit(first, c.work("now", step))
 		c.waitForState(first, "now", job.WorkCompleted, 5*time.Second)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -68,9 +68,9 @@
 		is := is.New(t)
 		c := newCell(t, runsFor(2*time.Second), "vm1", "vm2")
 		c.config.Queues = []job.Queue{
-			{Name: "sweep", Pool: pool, Priority: 1, Attempts: 2, Slack: 9, Target: time.Minute},
-			{Name: "check", Pool: pool, Attempts: 2, Slack: 9, Target: time.Minute},
-			{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 9, Target: time.Minute},
+			{Name: "sweep", Pool: pool, Priority: 1, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
+			{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
+			{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
 		}
 		c.workers(2, 4)
 		v := c.owner()
@@ -93,7 +93,7 @@
 		}
 		first := make(map[string]time.Time)
 		for _, r := range c.floor.History() {
-			first[r.Task.Work] = laterOf(first[r.Task.Work], r.Begun)
+			first[r.Task.Work] = laterOf(first[r.Task.Work], r.Started)
 		}
 		is.True(first["batch"].Before(first["check"])) // its last task began before the last check
 		is.True(maxConcurrent(c, "sweep") <= 3)
@@ -114,7 +114,7 @@
 	for _, at := range c.floor.History() {
 		n := 0
 		for _, r := range c.floor.History() {
-			if r.Task.Work == id && !r.Begun.After(at.Begun) && r.Ended.After(at.Begun) {
+			if r.Task.Work == id && !r.Started.After(at.Started) && r.Ended.After(at.Started) {
 				n++
 			}
 		}
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -52,7 +52,7 @@
 	c := &cell{t: t, kv: memory.New(), reported: make(map[string]bool)}
 	parent := func(s string) string { return s[:strings.LastIndexByte(s, '/')] }
 	c.checker = history.New(history.Names(parent, func(task string) string { return parent(task) }))
-	opts = append([]standin.Option{standin.Record(c.checker.Record), standin.Tasks(parent), standin.Run(2 * time.Second)}, opts...)
+	opts = append([]standin.Option{standin.Record(c.checker.Record), standin.TaskOf(parent), standin.RunTime(2 * time.Second)}, opts...)
 	for i := range workers {
 		info := worker.Info{
 			ID: fmt.Sprintf("worker-%d", i), Address: fmt.Sprint(i), Zone: testZone, Rack: fmt.Sprint("rack-", i%2),
@@ -152,7 +152,7 @@
 func spec(key string, tasks int, change ...func(*job.Submission)) *job.Submission {
 	s := &job.Submission{
 		Key: key, Team: "team", Class: "roster", Kind: job.Batch, Tasks: tasks, Repeatable: true,
-		Each: job.Resources{Millicores: 1000, MemoryMB: 1000},
+		TaskResources: job.Resources{Millicores: 1000, MemoryMB: 1000},
 	}
 	for _, f := range change {
 		f(s)
@@ -237,9 +237,9 @@
 	}
 	whole := true
 	for _, k := range st.Tasks {
-		whole = whole && (k.Answer == nil || k.Answer.Whole())
+		whole = whole && (k.Answer == nil || k.Answer.IsIntact())
 	}
-	c.checker.Record(history.Event{At: time.Now(), Kind: history.Told, Job: st.ID, Outcome: st.Outcome, Whole: whole})
+	c.checker.Record(history.Event{At: time.Now(), Kind: history.Reported, Job: st.ID, Outcome: st.Outcome, Intact: whole})
 }
 
 // stop stops everything and returns the violations found by the checker and the workers.
--- a/standin/floor/hold.go
+++ b/standin/floor/hold.go
@@ -7,7 +7,7 @@
 	"turmericgap/worker"
 )
 
-func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 	if err := w.reach(ctx); err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 func (w *Worker) observe(number int64) {
 	for len(w.ended) > 0 && w.ended[0].Number <= number {
 		if r := w.records[0]; r != nil {
-			r.Noted = true
+			r.Acknowledged = true
 		}
 		w.ended, w.records = w.ended[1:], w.records[1:]
 	}
@@ -60,23 +60,23 @@
 	}
 }
 
-func (w *Worker) held() *worker.Held {
+func (w *Worker) held() *worker.HoldReply {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
-	h := &worker.Held{Clock: w.clock(), Ended: append([]worker.End(nil), w.ended[:min(len(w.ended), mostEnds)]...)}
+	h := &worker.HoldReply{Clock: w.clock(), Ended: append([]worker.EndedRun(nil), w.ended[:min(len(w.ended), mostEnds)]...)}
 	for key, r := range w.runs {
-		h.Active = append(h.Active, worker.Active{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
+		h.Active = append(h.Active, worker.ActiveRun{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
 	}
 	return h
 }
 
 // percent tells how far a run is.
 func (r *running) percent() int {
-	if r.does.Lasts {
+	if r.does.FullProgress {
 		return 100
 	}
-	if !r.working || r.does.Runs == 0 {
+	if !r.working || r.does.Duration == 0 {
 		return 0
 	}
-	return int(100 * time.Since(r.record.Begun) / r.does.Runs)
+	return int(100 * time.Since(r.record.Started) / r.does.Duration)
 }
--- a/standin/worker/attempt.go
+++ b/standin/worker/attempt.go
@@ -28,7 +28,7 @@
 	a := &attempt{start: *s, state: worker.Running, began: now, checkpoint: s.Checkpoint}
 	a.start.Payload = nil
 	w.attempts[s.Attempt] = a
-	w.used = w.used.Plus(s.Each)
+	w.used = w.used.Plus(s.Resources)
 	w.record(history.Started, s.Attempt, a, now)
 	w.touch(a)
 	w.schedule(s, a, now)
@@ -79,11 +79,11 @@
 
 func (w *Worker) guard(s *worker.Start) error {
 	switch {
-	case !w.opts.Guards:
+	case !w.opts.RejectInvalid:
 		return nil
 	case s.Epoch < w.epoch:
 		return fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, s.Epoch, w.epoch)
-	case !w.used.Plus(s.Each).Fits(w.opts.Info.Has):
+	case !w.used.Plus(s.Resources).FitsIn(w.opts.Info.Has):
 		return fmt.Errorf("%w: attempt %s does not fit", worker.ErrRefused, s.Attempt)
 	}
 	return nil
@@ -91,36 +91,36 @@
 
 // judge records what a start breaks.
 func (w *Worker) judge(s *worker.Start) {
-	if used := w.used.Plus(s.Each); !used.Fits(w.opts.Info.Has) {
+	if used := w.used.Plus(s.Resources); !used.FitsIn(w.opts.Info.Has) {
 		w.violate(fmt.Sprintf("overfilled by %s: %+v of %+v", s.Attempt, used, w.opts.Info.Has))
 	}
 	if _, ok := w.ever.state[s.Attempt]; ok {
 		w.violate("attempt ran twice: " + s.Attempt)
 	}
-	if w.opts.Task == nil {
+	if w.opts.TaskOf == nil {
 		return
 	}
-	task := w.opts.Task(s.Attempt)
+	task := w.opts.TaskOf(s.Attempt)
 	for id, a := range w.attempts {
-		if a.state == worker.Running && w.opts.Task(id) == task {
+		if a.state == worker.Running && w.opts.TaskOf(id) == task {
 			w.violate("two attempts of one task at a time: " + id + " and " + s.Attempt)
 		}
 	}
 }
 
 func (w *Worker) runTime(s *worker.Start) time.Duration {
-	if d, ok := w.opts.Classes[s.Class]; ok {
+	if d, ok := w.opts.ClassRunTimes[s.Class]; ok {
 		return d
 	}
 	if s.RunSeconds > 0 {
 		return time.Duration(s.RunSeconds) * time.Second
 	}
-	return w.opts.Run
+	return w.opts.RunTime
 }
 
 // usage is what the attempt truly uses, under its throttle.
 func (w *Worker) usage(a *attempt) job.Resources {
-	u := w.opts.Use(&a.start)
+	u := w.opts.Usage(&a.start)
 	if a.millicores > 0 {
 		u.Millicores = min(u.Millicores, a.millicores)
 	}
@@ -144,7 +144,7 @@
 func (w *Worker) finish(id string, a *attempt, state worker.State, exit int, at time.Time) {
 	w.stopTimers(a)
 	a.state = state
-	w.used = w.used.Minus(a.start.Each)
+	w.used = w.used.Minus(a.start.Resources)
 	if state == worker.Ended {
 		answer := job.NewAnswer(exit, w.opts.Answer(&a.start, exit))
 		a.answer = &answer
@@ -154,7 +154,7 @@
 }
 
 func (w *Worker) doAct(act *worker.Act, now time.Time) (*worker.Report, error) {
-	if w.opts.Guards && act.Epoch < w.epoch {
+	if w.opts.RejectInvalid && act.Epoch < w.epoch {
 		return nil, fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, act.Epoch, w.epoch)
 	}
 	r := w.known(act.Attempt)
@@ -234,9 +234,9 @@
 	if w.fault.Frozen {
 		return nil, nil, w.thawed
 	}
-	reply = &worker.HeartbeatReply{Boot: w.boot, Cursor: w.seq, Whole: cursor < w.firstSeq || cursor > w.seq}
+	reply = &worker.HeartbeatReply{Boot: w.boot, Cursor: w.seq, Full: cursor < w.firstSeq || cursor > w.seq}
 	told := 0
-	for _, id := range w.changedAfter(cursor, reply.Whole) {
+	for _, id := range w.changedAfter(cursor, reply.Full) {
 		a := w.attempts[id]
 		if a.answer != nil && told >= MaxReplyBytes {
 			w.putOff(reply, id, a)
@@ -258,7 +258,7 @@
 // Symptom: a reply beyond the owner's bound, for ever, while each heartbeat renews all leases.
 func (w *Worker) putOff(reply *worker.HeartbeatReply, id string, a *attempt) {
 	reply.Cursor = min(reply.Cursor, a.seq-1)
-	if reply.Whole {
+	if reply.Full {
 		reply.Reports = append(reply.Reports, worker.Report{Attempt: id, State: worker.Running, Usage: a.usage})
 	}
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -12,13 +12,13 @@
 
 // Defaults.
 const (
-	// DefaultRun is how long a batch task runs when its start does not say.
-	DefaultRun = 50 * time.Millisecond
+	// DefaultRunTime is how long a batch task runs when its start does not say.
+	DefaultRunTime = 50 * time.Millisecond
 	// DefaultUsageLag is how late usage is reported.
 	DefaultUsageLag = time.Second
 	// MaxForgotten and ForgottenFor bound the memory of forgotten attempts.
-	MaxForgotten = 4096
-	ForgottenFor = 10 * time.Minute
+	MaxForgotten       = 4096
+	ForgottenRetention = 10 * time.Minute
 	// MaxReplyBytes is about how many bytes of answers one heartbeat's reply holds.
 	MaxReplyBytes = 1 << 20
 
@@ -33,7 +33,7 @@
 type Worker struct {
 	opts Options
 	// cuts is that of the client within the process.
-	cuts worker.CutReplies
+	cuts worker.TruncatedReplies
 
 	mu   sync.Mutex
 	boot string
@@ -77,7 +77,7 @@
 // New returns a worker that has what info says and guards nothing.
 func New(info worker.Info, opts ...Option) *Worker {
 	o := Options{
-		Info: info, Run: DefaultRun, UsageLag: DefaultUsageLag, Use: useAll, Answer: say,
+		Info: info, RunTime: DefaultRunTime, UsageLag: DefaultUsageLag, Usage: useAll, Answer: say,
 		Record: func(history.Event) {},
 	}
 	for _, f := range opts {
@@ -87,11 +87,11 @@
 	close(w.thawed)
 	w.ever = newMemory(maxEverStarted, 0)
 	w.begin()
-	o.Record(history.Event{At: time.Now(), Kind: history.WorkerHas, Worker: info.ID, Resources: info.Has})
+	o.Record(history.Event{At: time.Now(), Kind: history.WorkerCapacity, Worker: info.ID, Resources: info.Has})
 	return w
 }
 
-func useAll(s *worker.Start) job.Resources { return s.Each }
+func useAll(s *worker.Start) job.Resources { return s.Resources }
 
 // say is the default answer.
 func say(s *worker.Start, exit int) []byte {
@@ -107,7 +107,7 @@
 	w.seq = max(w.seq+1, time.Now().UnixNano())
 	w.firstSeq = w.seq
 	w.attempts = make(map[string]*attempt)
-	w.forgotten = newMemory(MaxForgotten, ForgottenFor)
+	w.forgotten = newMemory(MaxForgotten, ForgottenRetention)
 	w.used = job.Resources{}
 	w.epoch = 0
 }
@@ -165,7 +165,7 @@
 
 func (w *Worker) record(kind history.Kind, id string, a *attempt, at time.Time) {
 	w.opts.Record(history.Event{
-		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Each,
+		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Resources,
 	})
 }
 
