--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands matter to a newcomer: `make demo` and `make test`.
+# Start with `make demo` and `make test`.
 BIN := bin
 TOOLS := $(or $(XDG_CACHE_HOME),$(HOME)/.cache)/turmericgap-tools
 LINT_VERSION := v2.15.0
@@ -12,26 +12,26 @@
 demo: build
 	./script/demo.sh
 
-# The program for the users' platform, as four processes beside stand-ins, under kills, freezes and cuts.
+# Runs four entry processes against stand-ins of the users' platform, and kills, freezes and disconnects them.
 platform-demo:
 	go test -count=1 -v -run TestSoak ./soak -args -seeds 1 -seconds 20 -seed 7
 
-# Fresh seeds, by hand; a seed that fails is kept as a case of soak/soak_test.go.
+# Runs the soak test with new seeds. Add a failing seed as a case to soak/soak_test.go.
 SOAK_SEEDS := 10
 soak:
 	go test -count=1 -v -timeout 30m -run TestSoak ./soak -args -seed $$(date +%s) -seeds $(SOAK_SEEDS) -logs $(CURDIR)/run/soak
 
 test: check build
 	go test -race -count=1 $$(go list ./... | grep -v -e /policy$$ -e /dispatch$$)
-	@# The race detector may crash in synctest bubbles on several processors (docs/incidents/0010). So dispatch is tested
-	@# with it on one, and without it on all, with the test that has the build constraint !race.
+	@# The race detector may crash in synctest bubbles on several processors (docs/incidents/0010). dispatch is therefore
+	@# tested with the race detector on one processor, and without it on all, including the tests with the constraint !race.
 	go test -race -count=1 -cpu 1 ./dispatch
 	go test -count=1 ./dispatch
-	@# One goroutine decides in policy, so the race detector would only make its long replays longer.
+	@# policy runs in a single goroutine, so the race detector would only slow down its long replays.
 	go test -count=1 ./policy
 	./script/knownred.sh
 
-# Each target of the whole tree in turn, for a fixed count of inputs; not a part of test.
+# Runs every fuzz target in turn with a fixed number of inputs. Not part of test.
 FUZZ_COUNT := 2000x
 fuzz:
 	@grep -rl --include=*_test.go '^func Fuzz' . | while read -r file; do \
--- a/script/cell.sh
+++ b/script/cell.sh
@@ -1,8 +1,13 @@
 #!/usr/bin/env bash
-# Starts a cell on stand-ins of the platform: three availability zones, four entry VMs, each with a
-# gate and a scheduler. Settings, logs and process ids go below run/. Stop it with script/stop.sh.
-# PORTS is the first two digits of all ports but the callers' (70, so that these are 7000 to 7499),
-# ENTRIES is the number of entry VMs, 1 to 8. CALLERS that of the callers' ports, RUN the directory; set all three to run a second cell.
+# Starts a cell on stand-ins for the platform: three availability zones and four entry VMs, each with a gate and a
+# scheduler. Settings, logs and process ids are written to run/. Stop the cell with script/stop.sh.
+# Environment variables:
+#   PORTS    first two digits of the lowest port (default 70, for ports 7000 to 7499; callers' ports are separate)
+#   CALLERS  first two digits of the callers' ports (default 78)
+#   RUN      directory of settings, logs and process ids (default run)
+#   ENTRIES  number of entry VMs, 1 to 8 (default 4)
+#   TRACE    exporter of traces (default none)
+# To run a second cell, set PORTS, CALLERS and RUN.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run=${RUN:-run}
--- a/script/comments.sh
+++ b/script/comments.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Finds comments that tell of trials and tuning: their figures belong in commits and in docs/WORTH.md, since nobody
-# who reads the code can tell whether they still hold. A part of make check.
+# Finds code comments with results of trials or tuning. Readers of the code cannot tell whether such figures are still
+# valid, so they belong in commit messages and docs/WORTH.md. Part of make check.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 # "387 of 598 gangs", "in 12 pairs", "mean of twenty days", "0.72 to 0.79 of all were", "was measured", "tuned".
--- a/script/demo.sh
+++ b/script/demo.sh
@@ -1,6 +1,5 @@
 #!/usr/bin/env bash
-# Starts a cell on stand-ins, sends it the six kinds of requests of its first users, prints the
-# answers, and stops the cell.
+# Starts a cell on stand-ins, sends it requests of all six kinds, prints the answers, and stops the cell.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 rm -rf "${RUN:-run}"
--- a/script/idle.sh
+++ b/script/idle.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures an idle cell of ENTRIES entry VMs: after 20 s, for 30 s, what each of our processes holds
-# and spends. Bytes are read and written together, files among them.
+# Measures memory, CPU and I/O of each process of an idle cell with ENTRIES entry VMs, for 30 s after a warm-up of 20 s.
+# Bytes are the sum of reads and writes, including files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ./script/cell.sh
--- a/script/knownred.sh
+++ b/script/knownred.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Prints the tests of KNOWN-RED.txt; each of them sits behind the build tag knownred, so that
-# only these are passed over, and each is run here so that its present verdict is seen.
+# Runs the tests listed in KNOWN-RED.txt and prints whether they pass. These tests have the build tag knownred, so the
+# regular test run skips them and no others.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 rows=$(grep -vE '^(#|$)' KNOWN-RED.txt || true)
--- a/script/measure.sh
+++ b/script/measure.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures control cost on one zone of six, which share the journals' writes: WORKERS workers, RATE starts a second of tasks that run RUN
-# seconds, for SECONDS seconds after a warm-up. Prints for scheduler and gate: resident and anonymous
-# memory, share of a core, bytes read and written a second (all sockets and files), store calls a second.
+# Measures the overhead of scheduler and gate in one of six zones, which share the journals' write limit. The zone has
+# WORKERS workers and starts RATE tasks per second that run RUN seconds each. The measurement lasts SECONDS_ seconds
+# after a warm-up. Prints resident and anonymous memory, CPU share of a core, bytes read and written per second (all
+# sockets and files), and store calls per second. BASE is the first two digits of all ports.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 workers=${WORKERS:-32} rate=${RATE:-10} run_s=${RUN:-10} seconds=${SECONDS_:-20} base=${BASE:-62}
--- a/script/paired.sh
+++ b/script/paired.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays days of a site with two checkouts of the code on the same seeds; cmd/trial reads the reports.
+# Runs days of a site with two checkouts of the code on the same seeds. cmd/trial compares the reports.
 #
 #   script/paired.sh BENCH SITE "DAY ..." "SEED ..." OLD NEW OUT [more flags of the bench's run]
 #
-# OLD and NEW are checkouts, each with its own journal; reports go to OUT/old and OUT/new. A play that is
-# there already is not repeated, so that seeds can be added. JOBS plays run at a time, 4 at most.
+# OLD and NEW are checkouts, each with its own journal; reports are written to OUT/old and OUT/new. Runs that already
+# have a report are skipped, so seeds can be added later. JOBS limits the parallel runs, 4 at most.
 set -euo pipefail
 bench=$1 site=$2 days=$3 seeds=$4 old=$5 new=$6 out=$7
 shift 7
--- a/script/regress.sh
+++ b/script/regress.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Scores sites one after the other and compares them with the last landing (cmd/regress).
+# Scores sites one after the other and compares the scores with those of the last landing (cmd/regress).
 #
 #   script/regress.sh [--jobs N] [--against FILE] [--keep FILE] [--why TEXT] BENCH SITE...
 #
-# Ends with 1 where a rule broke, a gate failed or a site's mean fell by more than 0.03, with 2 and all findings
-# where the bench, a site or a flag is missing or wrong. Run it in the checkout to be measured.
+# Exits with 1 if a rule was broken, a gate failed or a site's mean fell by more than 0.03, and with 2 and all findings
+# if the bench, a site or a flag is missing or wrong. Run it in the checkout to be measured.
 set -uo pipefail
 jobs=4 against=script/landing.json keep="" why="regression run" findings=()
 find() { findings+=("$1"); }
--- a/script/stop.sh
+++ b/script/stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Stops the cell that script/cell.sh started, by the process ids that it noted: our own processes
-# first, so that they leave in order while the platform is there.
+# Stops the processes that script/cell.sh has recorded: first the cell's own processes, so that they can shut down
+# cleanly while the platform's stand-ins still run.
 cd "$(dirname "$0")/.."
 end() { # file of process ids
   [ -f "$1" ] || return 0
