--- a/cmd/ctl/main_test.go
+++ b/cmd/ctl/main_test.go
@@ -44,7 +44,7 @@
 	rpc.Handle(server, view.NextMethod, func(context.Context, *view.NextCall) (*view.NextReply, error) {
 		return &view.NextReply{View: view.View{Rules: view.Rules{Version: c.known, Raw: []byte(`{"rules":[]}`)}}}, nil
 	})
-	rpc.Handle(server, operate.CallState, func(context.Context, *operate.Ask) (*operate.State, error) {
+	rpc.Handle(server, operate.CallState, func(context.Context, *operate.StateRequest) (*operate.State, error) {
 		return &operate.State{InForce: []view.Process{{ID: "gate-1", Rules: c.known}}}, nil
 	})
 	go func() { _ = server.Serve(l) }()
@@ -122,6 +122,6 @@
 	c.NoErr(err)
 	c.Equal(len(res.Pairs), 1)
 	rules := configuration.NewRules(zap.NewNop())
-	rules.Take(res.Pairs[0].Value)
+	rules.Apply(res.Pairs[0].Value)
 	c.Equal(rules.Decide(&job.Work{}).Refuse, "month end")
 }
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -61,7 +61,7 @@
 	logger.Level.SetLevel(common.Level())
 	service := turmericgap.New(turmericgap.Name(name), turmericgap.OpsAddress(common.OpsAddress),
 		turmericgap.Trace(common.Trace.Exporter, common.Trace.Address),
-		turmericgap.ShutdownWithin(setting.Millis(common.ShutdownMillis)))
+		turmericgap.ShutdownTimeout(setting.Millis(common.ShutdownMillis)))
 	err := wire(service)
 	if err == nil {
 		err = service.Run()
--- a/day/day.go
+++ b/day/day.go
@@ -149,7 +149,7 @@
 // Findings gives the lines that could not be read, the first of them by their place.
 func (d *Day) Findings() finding.List {
 	if more := d.bad - len(d.findings); more > 0 {
-		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Place: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
+		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Path: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
 	}
 	return d.findings
 }
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -79,8 +79,8 @@
 	is.Equal(r.Lines, 2)
 	is.Equal(r.Unreadable, mostFindings+2)
 	is.Equal(len(r.Findings), mostFindings+1)
-	is.Equal(r.Findings[0].Place, "log:2")
-	is.Equal(r.Findings[1].Place, "log:3")
+	is.Equal(r.Findings[0].Path, "log:2")
+	is.Equal(r.Findings[1].Path, "log:3")
 	is.Equal(r.Findings[mostFindings].Reason, "2 cannot be read either")
 }
 
--- a/gate/send.go
+++ b/gate/send.go
@@ -148,7 +148,7 @@
 		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer to another request"}
 	case resp.Busy:
 		return &attempt{ending: notStarted, verdict: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
-	case !resp.Answer.Whole():
+	case !resp.Answer.IsIntact():
 		g.meters.dropped.Inc(1)
 		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
 	}
--- a/gate/session_test.go
+++ b/gate/session_test.go
@@ -260,7 +260,7 @@
 				got = append(got, string(b.Answer.Body[len(b.Answer.Body)-1:]))
 				continue
 			}
-			got = append(got, b.Findings[0].Place)
+			got = append(got, b.Findings[0].Path)
 		}
 		is.Equal(got, []string{"1", "methd", "2", "stream"})
 	})
--- a/operate/rules_test.go
+++ b/operate/rules_test.go
@@ -28,16 +28,16 @@
 func TestSetRulesKeepsEditions(t *testing.T) {
 	is := is.New(t)
 	ctx, s := context.Background(), memory.New().Store()
-	for base := range int64(HistoryMost + 3) {
+	for base := range int64(MaxHistory + 3) {
 		version, err := SetRules(ctx, s, view.Edit{Base: base, Raw: doc("a"), Editor: "asha"})
 		is.NoErr(err)
 		is.Equal(version, base+1)
 	}
 	l, err := History(ctx, s)
 	is.NoErr(err)
-	is.Equal(len(l), HistoryMost)
-	is.Equal(l[0].Version, int64(HistoryMost+3))
-	is.Equal(l[HistoryMost-1].Version, int64(4))
+	is.Equal(len(l), MaxHistory)
+	is.Equal(l[0].Version, int64(MaxHistory+3))
+	is.Equal(l[MaxHistory-1].Version, int64(4))
 	now, err := Current(ctx, s)
 	is.NoErr(err)
 	parsed, err := rule.Parse(now.Rules)
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -37,7 +37,7 @@
 func FirstFit() Policy {
 	return newBaseline("first fit", func(nodes []*node, each job.Resources) *node {
 		for _, n := range nodes {
-			if each.Fits(n.free) {
+			if each.FitsIn(n.free) {
 				return n
 			}
 		}
@@ -55,7 +55,7 @@
 			a, b = b, a
 		}
 		for _, n := range append([]*node{a, b}, nodes...) {
-			if each.Fits(n.free) {
+			if each.FitsIn(n.free) {
 				return n
 			}
 		}
@@ -102,7 +102,7 @@
 	failed := map[need]bool{}
 	kept := b.order[:0]
 	for _, w := range b.order {
-		k := need{w.Spec.Each, 1}
+		k := need{w.Spec.TaskResources, 1}
 		if w.Spec.Gang {
 			k.tasks = len(w.pending)
 		}
@@ -133,16 +133,16 @@
 func (b *baseline) start(now time.Time, w *waiting, nodes []*node, count int, plan *planner.Plan) bool {
 	var taken []*node
 	for range count {
-		n := b.pick(nodes, w.Spec.Each)
+		n := b.pick(nodes, w.Spec.TaskResources)
 		if n == nil {
 			break
 		}
-		n.free = n.free.Minus(w.Spec.Each)
+		n.free = n.free.Minus(w.Spec.TaskResources)
 		taken = append(taken, n)
 	}
 	if len(taken) < count {
 		for _, n := range taken {
-			n.free = n.free.Plus(w.Spec.Each)
+			n.free = n.free.Plus(w.Spec.TaskResources)
 		}
 		return false
 	}
@@ -159,7 +159,7 @@
 func (b *baseline) release(_ time.Time, jobID string, task int, _ planner.AttemptResult) {
 	w := b.jobs[jobID]
 	n := w.on[task]
-	n.free = n.free.Plus(w.Spec.Each)
+	n.free = n.free.Plus(w.Spec.TaskResources)
 	delete(w.on, task)
 	if b.running--; len(w.on) == 0 && len(w.pending) == 0 {
 		delete(b.jobs, jobID)
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -133,7 +133,7 @@
 		r.index[j.ID] = i
 		r.jobs[i] = progress{left: a.Spec.Tasks, attempts: map[int]int{}, started: map[int]time.Time{}, done: map[int]bool{}}
 		r.pending += a.Spec.Tasks
-		r.demand = r.demand.Plus(a.Spec.Each.Times(a.Spec.Tasks))
+		r.demand = r.demand.Plus(a.Spec.TaskResources.Times(a.Spec.Tasks))
 	}
 }
 
@@ -149,12 +149,12 @@
 		if e.stopped {
 			j.attempts[e.task]++
 			r.pending++
-			r.report.LostCoreSeconds += int64(ran.Seconds()) * a.Spec.Each.Millicores / 1000
+			r.report.LostCoreSeconds += int64(ran.Seconds()) * a.Spec.TaskResources.Millicores / 1000
 			r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Requeue: true, RunTime: ran})
 			continue
 		}
 		j.done[e.task] = true
-		r.demand = r.demand.Minus(a.Spec.Each)
+		r.demand = r.demand.Minus(a.Spec.TaskResources)
 		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.Peak})
 		if j.left--; j.left == 0 {
 			r.report.finished(a, now)
@@ -197,7 +197,7 @@
 // than there is of some part: then no policy can use more than all of that part.
 func (r *replay) sample(now time.Time) {
 	has := r.report.has
-	if now.After(r.load.To) || r.demand.Fits(has) {
+	if now.After(r.load.To) || r.demand.FitsIn(has) {
 		return
 	}
 	used := r.policy.Stats(now).Used
--- a/standin/floor/floor.go
+++ b/standin/floor/floor.go
@@ -12,7 +12,7 @@
 type Behaviour struct {
 	// Runs is how long it works, How how it ends then.
 	Runs time.Duration
-	How  worker.Ending
+	How  worker.RunOutcome
 	// Needs is charged to its worker.
 	Needs job.Resources
 	// Gang is how many tasks must be present together; zero stands for none.
@@ -43,7 +43,7 @@
 	Worker  string
 	Begun   time.Time
 	Ended   time.Time
-	How     worker.Ending
+	How     worker.RunOutcome
 	Noted   bool
 	gang    int
 	attempt int
@@ -97,10 +97,10 @@
 			if before.Ended.IsZero() || before.Ended.After(r.Begun) {
 				out = append(out, "twice at once: "+r.name()+" beside "+before.name())
 			}
-			if before.How == worker.EndingDone && before.Noted {
+			if before.How == worker.OutcomeDone && before.Noted {
 				out = append(out, "started again after it was done: "+r.name()+" after "+before.name())
 			}
-			if before.How == worker.EndingFailed && before.Noted {
+			if before.How == worker.OutcomeFailed && before.Noted {
 				fails++
 			}
 		}
--- a/standin/floor/floor_test.go
+++ b/standin/floor/floor_test.go
@@ -43,7 +43,7 @@
 		}},
 		"too many attempts": {"last attempt", func(f *Floor, a, b *worker.Agent, _ *Worker) {
 			f.Behave = func(worker.Task, int64) Behaviour {
-				return Behaviour{Runs: time.Second, How: worker.EndingFailed, Attempts: 1}
+				return Behaviour{Runs: time.Second, How: worker.OutcomeFailed, Attempts: 1}
 			}
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
@@ -52,7 +52,7 @@
 		}},
 		"too much": {"too much on worker", func(f *Floor, a, _ *worker.Agent, _ *Worker) {
 			f.Behave = func(worker.Task, int64) Behaviour {
-				return Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 3000}}
+				return Behaviour{Runs: time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 3000}}
 			}
 			launch(a, "x", 1)
 			launch(a, "y", 1)
@@ -61,7 +61,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := New(func(worker.Task, int64) Behaviour { return Behaviour{Runs: time.Second, How: worker.EndingDone} })
+				f := New(func(worker.Task, int64) Behaviour { return Behaviour{Runs: time.Second, How: worker.OutcomeDone} })
 				info := worker.Info{ID: "a", Has: job.Resources{Millicores: 4000}}
 				wa := f.Add(info)
 				other := info
--- a/standin/floor/gang.go
+++ b/standin/floor/gang.go
@@ -29,10 +29,10 @@
 }
 
 // endGang ends the other members: as done beside one that is done, else as broken.
-func (f *Floor) endGang(key runKey, how worker.Ending) {
-	rest := worker.EndingBroken
-	if how == worker.EndingDone {
-		rest = worker.EndingDone
+func (f *Floor) endGang(key runKey, how worker.RunOutcome) {
+	rest := worker.OutcomeGangBroken
+	if how == worker.OutcomeDone {
+		rest = worker.OutcomeDone
 	}
 	for r, w := range f.members(key) {
 		if w.runs[r.key] == r {
--- a/standin/floor/hold.go
+++ b/standin/floor/hold.go
@@ -7,7 +7,7 @@
 	"turmericgap/worker"
 )
 
-func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 	if err := w.reach(ctx); err != nil {
 		return nil, err
 	}
@@ -60,12 +60,12 @@
 	}
 }
 
-func (w *Worker) held() *worker.Held {
+func (w *Worker) held() *worker.HoldReply {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
-	h := &worker.Held{Clock: w.clock(), Ended: append([]worker.End(nil), w.ended[:min(len(w.ended), mostEnds)]...)}
+	h := &worker.HoldReply{Clock: w.clock(), Ended: append([]worker.EndedRun(nil), w.ended[:min(len(w.ended), mostEnds)]...)}
 	for key, r := range w.runs {
-		h.Active = append(h.Active, worker.Active{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
+		h.Active = append(h.Active, worker.ActiveRun{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
 	}
 	return h
 }
--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -56,7 +56,7 @@
 	fence    int64
 	runs     map[runKey]*running
 	highest  map[worker.Task]int64
-	ended    []worker.End
+	ended    []worker.EndedRun
 	records  []*Run // of ended, in the same order
 	last     int64
 	until    time.Duration
@@ -88,7 +88,7 @@
 	defer w.floor.mu.Unlock()
 	w.dead, w.replaced = true, replaced
 	for _, r := range w.runs {
-		w.end(r, worker.EndingLapsed)
+		w.end(r, worker.OutcomeLeaseExpired)
 	}
 	w.ended = nil
 }
@@ -104,7 +104,7 @@
 	return &worker.Agent{
 		Launch: func(context.Context, *worker.Launch) (time.Duration, error) { return 0, worker.ErrNotSent },
 		Halt:   func(context.Context, *worker.Halt) (time.Duration, error) { return 0, worker.ErrNotSent },
-		Hold:   func(context.Context, *worker.Hold) (*worker.Held, error) { return nil, worker.ErrNotSent },
+		Hold:   func(context.Context, *worker.Hold) (*worker.HoldReply, error) { return nil, worker.ErrNotSent },
 	}
 }
 
@@ -181,7 +181,7 @@
 		<-ctx.Done()
 		return errNoAnswer
 	case unwell:
-		return worker.ErrUnwell
+		return worker.ErrUnhealthy
 	}
 	return nil
 }
@@ -203,10 +203,10 @@
 		return nil
 	}
 	if l.Run <= w.highest[l.Task] {
-		return &worker.Refusal{Reason: worker.ReasonOld}
+		return &worker.Refusal{Reason: worker.ReasonStaleRun}
 	}
 	if l.Until < w.clock() {
-		return &worker.Refusal{Reason: worker.ReasonLate}
+		return &worker.Refusal{Reason: worker.ReasonExpired}
 	}
 	w.extend(l.Until)
 	does := w.floor.Behave(l.Task, l.Run)
@@ -219,7 +219,7 @@
 		return nil
 	}
 	if w.faults.Fails {
-		r.does.Runs, r.does.How = failsAfter, worker.EndingFailed
+		r.does.Runs, r.does.How = failsAfter, worker.OutcomeFailed
 		w.work(r)
 		return nil
 	}
@@ -227,7 +227,7 @@
 		w.work(r)
 		return nil
 	}
-	r.timer = time.AfterFunc(w.floor.GangWithin, func() { w.finish(r, worker.EndingAlone) })
+	r.timer = time.AfterFunc(w.floor.GangWithin, func() { w.finish(r, worker.OutcomeGangIncomplete) })
 	w.floor.gather(r.key, does.Gang)
 	return nil
 }
@@ -238,7 +238,7 @@
 	for _, r := range w.runs {
 		sum = sum.Plus(r.does.Needs)
 	}
-	if !sum.Fits(w.info.Has) {
+	if !sum.FitsIn(w.info.Has) {
 		w.floor.faults = append(w.floor.faults, fmt.Sprintf("too much on worker %s: %v of %v", w.info.ID, sum, w.info.Has))
 	}
 }
@@ -251,7 +251,7 @@
 	r.timer = time.AfterFunc(r.does.Runs, func() { w.finish(r, r.does.How) })
 }
 
-func (w *Worker) finish(r *running, how worker.Ending) {
+func (w *Worker) finish(r *running, how worker.RunOutcome) {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
 	if w.runs[r.key] == r {
@@ -260,7 +260,7 @@
 }
 
 // end lists the end of a run; those of its gang end with it.
-func (w *Worker) end(r *running, how worker.Ending) {
+func (w *Worker) end(r *running, how worker.RunOutcome) {
 	delete(w.runs, r.key)
 	if r.timer != nil {
 		r.timer.Stop()
@@ -268,7 +268,7 @@
 	r.record.Ended, r.record.How = time.Now(), how
 	w.highest[r.key.task] = max(w.highest[r.key.task], r.key.run)
 	w.last++
-	w.ended = append(w.ended, worker.End{Number: w.last, Task: r.key.task, Run: r.key.run, How: how, Checkpoint: r.checkpoint})
+	w.ended = append(w.ended, worker.EndedRun{Number: w.last, Task: r.key.task, Run: r.key.run, Outcome: how, Checkpoint: r.checkpoint})
 	w.records = append(w.records, r.record)
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -283,7 +283,7 @@
 	}
 	w.highest[h.Task] = max(w.highest[h.Task], h.Run)
 	if r := w.runs[runKey{h.Task, h.Run}]; r != nil {
-		w.end(r, worker.EndingStopped)
+		w.end(r, worker.OutcomeStopped)
 	}
 	return nil
 }
@@ -306,7 +306,7 @@
 		return
 	}
 	for _, r := range w.runs {
-		w.end(r, worker.EndingLapsed)
+		w.end(r, worker.OutcomeLeaseExpired)
 	}
 	// What was not taken note of before the lapse is not held against a later start.
 	w.records = make([]*Run, len(w.records))
--- a/standin/worker/call.go
+++ b/standin/worker/call.go
@@ -54,7 +54,7 @@
 	defer timer.Stop()
 	for waited := wait <= 0; ; {
 		reply, changed, thawed := w.changes(h.Cursor)
-		if reply != nil && (waited || reply.Whole || len(reply.Reports) > 0) {
+		if reply != nil && (waited || reply.Full || len(reply.Reports) > 0) {
 			return reply, nil
 		}
 		select {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -33,7 +33,7 @@
 type Worker struct {
 	opts Options
 	// cuts is that of the client within the process.
-	cuts worker.CutReplies
+	cuts worker.TruncatedReplies
 
 	mu   sync.Mutex
 	boot string
@@ -87,11 +87,11 @@
 	close(w.thawed)
 	w.ever = newMemory(maxEverStarted, 0)
 	w.begin()
-	o.Record(history.Event{At: time.Now(), Kind: history.WorkerHas, Worker: info.ID, Resources: info.Has})
+	o.Record(history.Event{At: time.Now(), Kind: history.WorkerCapacity, Worker: info.ID, Resources: info.Has})
 	return w
 }
 
-func useAll(s *worker.Start) job.Resources { return s.Each }
+func useAll(s *worker.Start) job.Resources { return s.Resources }
 
 // say is the default answer.
 func say(s *worker.Start, exit int) []byte {
@@ -165,7 +165,7 @@
 
 func (w *Worker) record(kind history.Kind, id string, a *attempt, at time.Time) {
 	w.opts.Record(history.Event{
-		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Each,
+		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Resources,
 	})
 }
 
--- a/view/spread.go
+++ b/view/spread.go
@@ -94,7 +94,7 @@
 	defer s.wg.Wait()
 	for ctx.Err() == nil {
 		addresses := s.addresses()
-		pool.Keep(addresses)
+		pool.Retain(addresses)
 		for _, address := range s.due(addresses) {
 			select {
 			case s.slots <- struct{}{}:
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -143,7 +143,7 @@
 }
 
 func TestSetRules(t *testing.T) {
-	refuse := func([]byte) finding.List { return finding.List{{Place: "rules[0]", Reason: "has no condition"}} }
+	refuse := func([]byte) finding.List { return finding.List{{Path: "rules[0]", Reason: "has no condition"}} }
 	cases := []struct {
 		name string
 		edit Edit
