--- a/vmlist/contract_test.go
+++ b/vmlist/contract_test.go
@@ -17,12 +17,12 @@
 	"turmericgap/worker"
 )
 
-var both = vmlist.List{
+var full = vmlist.List{
 	Workers: []worker.Info{{ID: "w"}}, Targets: []target.Info{{ID: "t"}}, Entries: []vmlist.EntryVM{{ID: "e"}},
 }
 
-// kinds makes a source of the stand-in in each way that the project has.
-var kinds = map[string]func(*list.List) (*vmlist.Source, func()){
+// sourceKinds builds a source of the stand-in over each transport.
+var sourceKinds = map[string]func(*list.List) (*vmlist.Source, func()){
 	"in process": func(l *list.List) (*vmlist.Source, func()) { return l.Source(), func() {} },
 	"over HTTP": func(l *list.List) (*vmlist.Source, func()) {
 		pipe := endpoint.NewPipe(l.Handler())
@@ -39,34 +39,34 @@
 	}{
 		{"empty", nil, func(is *is.I, _ *list.List, read func() vmlist.List) { is.Equal(len(read().Workers), 0) }},
 		{"registered, leaving, gone", nil, func(is *is.I, l *list.List, read func() vmlist.List) {
-			l.Register(both)
+			l.Register(full)
 			first := read()
-			is.Equal(first.Workers, both.Workers)
-			is.Equal(first.Targets, both.Targets)
-			is.Equal(first.Entries, both.Entries)
+			is.Equal(first.Workers, full.Workers)
+			is.Equal(first.Targets, full.Targets)
+			is.Equal(first.Entries, full.Entries)
 			l.SetLeaving(true, "w", "t", "e")
-			l.Register(both) // A VM that says that it lives does not take its leaving back.
-			now := read()
-			is.True(now.Version > first.Version)
-			is.True(now.Workers[0].Leaving && now.Targets[0].Leaving && now.Entries[0].Leaving)
+			l.Register(full) // Registering again does not clear the leaving flag.
+			second := read()
+			is.True(second.Version > first.Version)
+			is.True(second.Workers[0].Leaving && second.Targets[0].Leaving && second.Entries[0].Leaving)
 			l.SetLeaving(false, "w")
 			is.True(!read().Workers[0].Leaving)
 			l.Deregister("w")
-			l.Register(both) // Its program does not know of it.
+			l.Register(full) // The VM's program does not know that it was deregistered.
 			is.Equal(len(read().Workers), 0)
 			is.Equal(len(read().Targets), 1)
 			l.Readmit("w")
-			l.Register(both)
-			is.Equal(read().Workers, both.Workers)
+			l.Register(full)
+			is.Equal(read().Workers, full.Workers)
 		}},
 		{"an unchanged list keeps its version", nil, func(is *is.I, l *list.List, read func() vmlist.List) {
-			l.Register(both)
+			l.Register(full)
 			first := read()
-			l.Register(both)
+			l.Register(full)
 			is.Equal(read(), first)
 		}},
-		{"it lags", []list.Option{list.Lag(10 * time.Second)}, func(is *is.I, l *list.List, read func() vmlist.List) {
-			l.Register(both)
+		{"changes are shown after the lag", []list.Option{list.Lag(10 * time.Second)}, func(is *is.I, l *list.List, read func() vmlist.List) {
+			l.Register(full)
 			is.Equal(len(read().Workers), 0)
 			time.Sleep(5 * time.Second)
 			l.SetLeaving(true, "w")
@@ -76,23 +76,23 @@
 			is.True(read().Workers[0].Leaving)
 		}},
 		{"a silent VM expires", []list.Option{list.Expiry(10 * time.Second)}, func(is *is.I, l *list.List, read func() vmlist.List) {
-			l.Register(both)
+			l.Register(full)
 			time.Sleep(8 * time.Second)
-			l.Register(vmlist.List{Workers: both.Workers})
+			l.Register(vmlist.List{Workers: full.Workers})
 			time.Sleep(8 * time.Second)
 			is.Equal(len(read().Workers), 1)
 			is.Equal(len(read().Targets), 0)
 		}},
 		{"many changes within the lag", []list.Option{list.Lag(time.Hour)}, func(is *is.I, l *list.List, read func() vmlist.List) {
 			for i := range 1000 {
-				l.Register(both)
+				l.Register(full)
 				l.SetLeaving(i%2 == 0, "w")
 			}
 			time.Sleep(2 * time.Hour)
 			is.True(!read().Workers[0].Leaving)
 		}},
 	}
-	for kind, build := range kinds {
+	for kind, build := range sourceKinds {
 		for _, c := range cases {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -111,15 +111,15 @@
 	}
 }
 
-// The list's service is down, and its reader gets an error, never an empty list: an empty list
-// would say that all VMs are gone. The next reading after the outage is whole again.
+// While the list service is down, a read must fail and not return an empty list, which would mean that
+// all VMs are gone. The first read after the outage returns the complete list.
 func TestDown(t *testing.T) {
-	for kind, build := range kinds {
+	for kind, build := range sourceKinds {
 		t.Run(kind, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				l := list.New()
-				l.Register(both)
+				l.Register(full)
 				source, stop := build(l)
 				defer stop()
 				first, err := source.Read(t.Context())
--- a/vmlist/doc.go
+++ b/vmlist/doc.go
@@ -1,2 +1,2 @@
-// Package vmlist reads the platform's lagging list of live and leaving VMs.
+// Package vmlist reads the platform's list of live and leaving VMs, which is shown with a delay.
 package vmlist
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -7,25 +7,25 @@
 	"turmericgap/worker"
 )
 
-// EntryVM is an entry VM, on which processes of the system run.
+// EntryVM is a VM that runs processes of the scheduler itself.
 type EntryVM struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Leaving says that the VM will stop.
+	// Leaving is set when the VM is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// List is one reading; its slices are shared and must not be changed.
+// List is a snapshot of the list. Its slices are shared and must not be modified.
 type List struct {
-	// Version grows with each change of the list.
+	// Version increases with each change of the list.
 	Version int64         `json:"version"`
 	Workers []worker.Info `json:"workers"`
 	Targets []target.Info `json:"targets"`
 	Entries []EntryVM     `json:"entries"`
 }
 
-// Source gives the list as the platform shows it, some time late.
+// Source reads the list as the platform shows it, with some delay.
 type Source struct {
 	Read func(ctx context.Context) (List, error)
 }
--- a/vmlist/web/web.go
+++ b/vmlist/web/web.go
@@ -11,15 +11,15 @@
 	"turmericgap/webcall"
 )
 
-// Names of the call.
+// Path and query of the request.
 const (
 	ListPath = "/list"
-	// AfterQuery names the version that the reader has; the answer is 304 when it is the newest.
+	// AfterQuery holds the version that the reader has; the reply is 304 if the list has not changed since.
 	AfterQuery = "after"
 )
 
-// New returns the source of the list at address; it keeps the last reading, so that a list that did
-// not change costs an empty answer.
+// New returns a source of the list at address. It caches the last list, so that an unchanged list takes
+// only an empty reply.
 func New(pool *webcall.Pool, address string) *vmlist.Source {
 	r := &reader{pool: pool, address: address}
 	return &vmlist.Source{Read: r.read}
--- a/worker/agent.go
+++ b/worker/agent.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Errors of an Agent's calls with a definite meaning.
+// Errors of an Agent's calls with a known outcome.
 var (
-	// ErrReplaced means that the worker's lifetime is over: all that ran in it has ended.
+	// ErrReplaced means that another worker instance has taken this one's place; all its runs have ended.
 	ErrReplaced = errors.New("worker was replaced")
-	// ErrUnhealthy means that the worker declined the call and did nothing.
-	ErrUnhealthy = errors.New("worker is unwell and did nothing")
+	// ErrUnhealthy means that the worker declined the call because it is unhealthy; nothing was done.
+	ErrUnhealthy = errors.New("worker is unhealthy and declined the call")
 )
 
-// RefusalReason tells why a worker refused an order.
+// RefusalReason is why a worker refused an order.
 type RefusalReason string
 
-// The reasons of refusals; nothing was done.
+// The reasons for a refusal. In each case the worker did nothing.
 const (
-	// ReasonFenced means that a later owner has called the worker.
+	// ReasonFenced means that the worker has seen a higher fencing token.
 	ReasonFenced RefusalReason = "fenced"
-	// ReasonStaleRun means that no higher run is wanted: this or a higher one has ended there.
+	// ReasonStaleRun means that this run of the task, or a later one, has already ended on the worker.
 	ReasonStaleRun RefusalReason = "old"
 	// ReasonExpired means that the order's deadline had passed.
 	ReasonExpired RefusalReason = "late"
-	// ReasonNoCapacity means that the worker lacks capacity.
+	// ReasonNoCapacity means that the worker lacks free resources.
 	ReasonNoCapacity RefusalReason = "room"
 	// ReasonPermit means that the permit is missing or has expired.
 	ReasonPermit RefusalReason = "permit"
@@ -33,13 +33,13 @@
 	ReasonInvalid RefusalReason = "invalid"
 )
 
-// Refusal is a worker's definite no.
+// Refusal is the error of an order that the worker refused without doing anything.
 type Refusal struct{ Reason RefusalReason }
 
-// Error gives the reason.
+// Error implements error.
 func (r *Refusal) Error() string { return "worker refused: " + string(r.Reason) }
 
-// Task names one task: work, occurrence, step and index.
+// Task identifies a task by its work, occurrence, step and index.
 type Task struct {
 	Work       string `msgpack:"w"`
 	Occurrence int    `msgpack:"o,omitempty"`
@@ -47,36 +47,37 @@
 	Index      int    `msgpack:"i,omitempty"`
 }
 
-// Launch orders a run of a task; a repeat of the same run changes nothing.
+// Launch orders a run of a task. It is idempotent: repeating the same run has no effect.
 type Launch struct {
 	Task Task `msgpack:"t"`
-	// Run numbers the starts of the task and rises.
+	// Run increases with each start of the task.
 	Run  int64  `msgpack:"r"`
 	Spec string `msgpack:"p"`
-	// Until is when the order is void, on the worker's clock.
+	// Until is when the order expires, on the worker's clock.
 	Until time.Duration `msgpack:"u"`
-	// Fence is the owner's fencing token; a worker ignores a lower one than it has seen.
+	// Fence is the owner's fencing token; the worker refuses orders with a lower one than it has seen.
 	Fence  int64  `msgpack:"f"`
 	Permit string `msgpack:"k,omitempty"`
-	// Checkpoint is where to resume; empty starts anew.
+	// Checkpoint is where to resume; if empty, the task starts from the beginning.
 	Checkpoint string `msgpack:"c,omitempty"`
 }
 
-// Halt orders the end of a run; one that is not there can never start afterwards.
+// Halt orders a run to stop. A run that has not started yet can never start afterwards.
 type Halt struct {
 	Task  Task  `msgpack:"t"`
 	Run   int64 `msgpack:"r"`
 	Fence int64 `msgpack:"f"`
 }
 
-// Hold extends the lease of all that runs on the worker and asks what became of it.
+// Hold renews the lease of all runs on the worker and asks for their state.
 type Hold struct {
 	Fence int64 `msgpack:"f"`
-	// Observed is the last end that is durable here; the worker forgets it and those before.
+	// Observed is the number of the last ended run that the owner has stored durably. The worker may
+	// forget it and all before it.
 	Observed int64 `msgpack:"o"`
-	// Until is the end of the lease on the worker's clock; zero leaves it as it is.
+	// Until is the new end of the lease on the worker's clock; zero leaves the lease unchanged.
 	Until time.Duration `msgpack:"u"`
-	// Wait is how long the worker may wait for an end.
+	// Wait is how long the worker may wait for a run to end before it replies.
 	Wait time.Duration `msgpack:"w"`
 }
 
@@ -85,27 +86,27 @@
 	Task       Task   `msgpack:"t"`
 	Run        int64  `msgpack:"r"`
 	Checkpoint string `msgpack:"c,omitempty"`
-	// Percent is how far it is.
+	// Percent is the progress of the run.
 	Percent int `msgpack:"p,omitempty"`
 }
 
-// RunOutcome tells how a run ended.
+// RunOutcome is how a run ended.
 type RunOutcome string
 
-// The endings of runs.
+// The outcomes of runs.
 const (
 	OutcomeDone    RunOutcome = "done"
 	OutcomeFailed  RunOutcome = "failed"
 	OutcomeStopped RunOutcome = "stopped"
-	// OutcomeLeaseExpired means that the lease ran out.
+	// OutcomeLeaseExpired means that the worker's lease expired.
 	OutcomeLeaseExpired RunOutcome = "lapsed"
-	// OutcomeGangBroken means that another member of the gang ended.
+	// OutcomeGangBroken means that another task of the gang ended first.
 	OutcomeGangBroken RunOutcome = "broken"
-	// OutcomeGangIncomplete means that the other members of the gang did not come in time.
+	// OutcomeGangIncomplete means that the other tasks of the gang did not start in time.
 	OutcomeGangIncomplete RunOutcome = "alone"
 )
 
-// EndedRun is a run that ended; Number rises within the worker's lifetime.
+// EndedRun is a run that ended. Number increases within one worker instance.
 type EndedRun struct {
 	Number     int64      `msgpack:"n"`
 	Task       Task       `msgpack:"t"`
@@ -114,37 +115,37 @@
 	Checkpoint string     `msgpack:"c,omitempty"`
 }
 
-// HoldReply is the answer to a Hold.
+// HoldReply is the reply to a Hold.
 type HoldReply struct {
-	// Clock is the worker's steady clock.
+	// Clock is the reading of the worker's monotonic clock.
 	Clock  time.Duration `msgpack:"c"`
 	Active []ActiveRun   `msgpack:"a,omitempty"`
 	Ended  []EndedRun    `msgpack:"e,omitempty"`
 }
 
-// Agent calls the program that runs tasks on one worker. An error other than ErrNotSent, ErrReplaced,
-// ErrUnwell and a Refusal leaves open whether the order was or will be carried out.
+// Agent calls the program that runs tasks on one worker. After an error other than ErrNotSent,
+// ErrReplaced, ErrUnhealthy or a Refusal, the order may or may not take effect, possibly later.
 type Agent struct {
 	Launch func(ctx context.Context, l *Launch) (clock time.Duration, err error)
 	Halt   func(ctx context.Context, h *Halt) (clock time.Duration, err error)
 	Hold   func(ctx context.Context, h *Hold) (*HoldReply, error)
-	// Relayed reports whether calls go by way of another VM, which makes them; nil stands for no.
+	// Relayed reports whether another VM makes the calls on behalf of this one; nil means no.
 	Relayed func() bool
-	// Close ends the use of the agent; nil does nothing.
+	// Close releases the agent's resources; it may be nil.
 	Close func()
 }
 
-// IsRelayed reports whether another VM makes the calls.
+// IsRelayed reports whether another VM makes the calls on behalf of this one.
 func (a *Agent) IsRelayed() bool { return a.Relayed != nil && a.Relayed() }
 
-// Release gives back what the agent holds.
+// Release calls Close if it is set. It accepts a nil agent.
 func (a *Agent) Release() {
 	if a != nil && a.Close != nil {
 		a.Close()
 	}
 }
 
-// ListedWorker is a worker in the cell's list.
+// ListedWorker is the entry of a worker in the cell's list.
 type ListedWorker struct {
 	Info
 	// Pool is the service that the worker runs.
@@ -152,6 +153,6 @@
 	Labels []string
 	// Clock is the worker's clock when it wrote its entry.
 	Clock time.Duration
-	// TimeLeft is how much time the worker has before it leaves, if it tells.
+	// TimeLeft is the time until the worker leaves, if it has announced one.
 	TimeLeft time.Duration
 }
--- a/worker/check.go
+++ b/worker/check.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 )
 
-// ErrTruncated means that an answer is not whole: it is asked for again, never shown.
+// ErrTruncated means that an answer is incomplete. The caller asks for it again and never passes it on.
 var ErrTruncated = errors.New("worker answer truncated")
 
-// Check gives ErrTruncated unless the report's answer is whole.
+// Check returns ErrTruncated if the report has an incomplete answer.
 func (r *Report) Check() error {
 	if r.Answer != nil && !r.Answer.IsIntact() {
 		return fmt.Errorf("attempt %s: %w", r.Attempt, ErrTruncated)
@@ -17,28 +17,29 @@
 	return nil
 }
 
-// MaxTruncatedReplies is how many replies in a row with a cut answer are turned into errors.
+// MaxTruncatedReplies is how many consecutive replies with a truncated answer are rejected.
 const MaxTruncatedReplies = 3
 
-// TruncatedReplies counts a client's replies in a row that hold a cut answer.
-type TruncatedReplies struct{ inRow atomic.Int32 }
+// TruncatedReplies counts a client's consecutive replies that contain a truncated answer.
+type TruncatedReplies struct{ consecutive atomic.Int32 }
 
-// Check gives ErrTruncated unless all answers are whole. The cursor of such a reply must not be kept,
-// so that the next heartbeat asks for the same changes.
+// Check returns ErrTruncated if an answer is incomplete. The caller must not keep the cursor of such a
+// reply, so that the next heartbeat asks for the same changes again.
 //
-// Failure: a worker cuts one answer for ever. Symptom: no report of that worker ever arrives, while
-// each heartbeat renews its leases. After MaxCutReplies the reply is let through with the answer as it
-// is, and its owner, who checks each answer, settles that attempt alone.
+// If a worker truncates the same answer every time, rejecting all its replies would withhold the
+// reports of its other attempts while each heartbeat still renews their leases. After
+// MaxTruncatedReplies the reply is therefore accepted as it is. The owner checks each answer and
+// handles the truncated one by itself.
 func (c *TruncatedReplies) Check(h *HeartbeatReply) error {
 	for i := range h.Reports {
 		err := h.Reports[i].Check()
-		if err != nil && c.inRow.Add(1) <= MaxTruncatedReplies {
+		if err != nil && c.consecutive.Add(1) <= MaxTruncatedReplies {
 			return err
 		}
 		if err != nil {
 			break
 		}
 	}
-	c.inRow.Store(0)
+	c.consecutive.Store(0)
 	return nil
 }
--- a/worker/web/web.go
+++ b/worker/web/web.go
@@ -18,10 +18,10 @@
 	ActPath       = "/act"
 )
 
-// DefaultCalls is how many calls may be on their way to one worker at once, the heartbeat aside.
+// DefaultCalls limits the concurrent calls to one worker, not counting heartbeats.
 const DefaultCalls = 4
 
-// New returns the dialler of workers; all its clients share one pool of connections.
+// New returns a worker.Dial whose clients share the connection pool.
 func New(pool *webcall.Pool) worker.Dial {
 	return func(info worker.Info, valid func() bool) *worker.Client {
 		c := &client{pool: pool, info: info, valid: valid, calls: make(chan struct{}, DefaultCalls)}
@@ -33,20 +33,21 @@
 	pool  *webcall.Pool
 	info  worker.Info
 	valid func() bool
-	// calls holds one token for each Start or Act in progress.
-	calls chan struct{}
-	cuts  worker.TruncatedReplies
+	// calls is a semaphore for Start and Act calls in progress.
+	calls     chan struct{}
+	truncated worker.TruncatedReplies
 }
 
 func (c *client) start(ctx context.Context, s *worker.Start) (*worker.Report, error) {
-	return c.guarded(ctx, &webcall.Call{Path: StartPath, In: s, TraceParent: s.TraceParent})
+	return c.callIfValid(ctx, &webcall.Call{Path: StartPath, In: s, TraceParent: s.TraceParent})
 }
 
 func (c *client) act(ctx context.Context, a *worker.Act) (*worker.Report, error) {
-	return c.guarded(ctx, &webcall.Call{Path: ActPath, In: a})
+	return c.callIfValid(ctx, &webcall.Call{Path: ActPath, In: a})
 }
 
-func (c *client) guarded(ctx context.Context, call *webcall.Call) (*worker.Report, error) {
+// callIfValid sends a Start or Act unless the sender's ownership is no longer valid.
+func (c *client) callIfValid(ctx context.Context, call *webcall.Call) (*worker.Report, error) {
 	select {
 	case c.calls <- struct{}{}:
 		defer func() { <-c.calls }()
@@ -79,13 +80,13 @@
 	if err := c.pool.Do(ctx, call); err != nil {
 		return nil, c.wrap(HeartbeatPath, err)
 	}
-	if err := c.cuts.Check(out); err != nil {
+	if err := c.truncated.Check(out); err != nil {
 		return nil, c.wrap(HeartbeatPath, err)
 	}
 	return out, nil
 }
 
-// wrap gives a transport's error its meaning for workers.
+// wrap translates a transport error to an error of package worker.
 func (c *client) wrap(path string, err error) error {
 	switch {
 	case errors.Is(err, webcall.ErrNotSent):
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -8,10 +8,10 @@
 	"turmericgap/job"
 )
 
-// ErrNotSent means that no byte of the call left this process: it surely had no effect.
+// ErrNotSent means that no byte of the call left this process, so it had no effect.
 var ErrNotSent = errors.New("worker call not sent")
 
-// ErrRefused means that the worker answered that it did nothing.
+// ErrRefused means that the worker rejected the call and did nothing.
 var ErrRefused = errors.New("worker refused")
 
 // Info describes a worker in the VM list.
@@ -21,36 +21,36 @@
 	Zone    string        `json:"zone"`
 	Rack    string        `json:"rack"`
 	Has     job.Resources `json:"has"`
-	// Leaving says that the VM will stop: it gets nothing new.
+	// Leaving is set when the VM is about to stop; the worker gets no new tasks.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// State is where an attempt stands on its worker.
+// State is the state of an attempt on its worker.
 type State string
 
 // The states of an attempt.
 const (
 	Running State = "running"
-	// Ended means that the task gave its answer.
+	// Ended means that the task finished with an answer.
 	Ended State = "ended"
-	// Stopped means that the worker ended the task without an answer: it was told to, or the
-	// lease lapsed.
+	// Stopped means that the worker ended the task without an answer, because it was told to or
+	// because the lease expired.
 	Stopped State = "stopped"
-	// Forbidden means that a stop came before any start: the attempt never ran and never will.
+	// Forbidden means that a stop arrived before any start, so the attempt never ran and never will.
 	Forbidden State = "forbidden"
 )
 
-// Start asks a worker to run an attempt. It is idempotent by Attempt: a repeat changes nothing,
-// whether the attempt runs, has ended, was stopped or was forbidden.
+// Start asks a worker to run an attempt. It is idempotent by Attempt: a repeat has no effect, whether
+// the attempt is running, ended, stopped or forbidden.
 type Start struct {
-	// Attempt is unique for ever: job, task index and attempt number.
+	// Attempt consists of job, task index and attempt number, and is never reused.
 	Attempt   string        `json:"attempt"`
 	Resources job.Resources `json:"each"`
-	// Epoch is the sender's ownership epoch; a worker with guards refuses an older one.
+	// Epoch is the sender's ownership epoch; a worker that checks epochs refuses an older one.
 	Epoch int64 `json:"epoch"`
-	// LeaseMillis is how long the attempt may run without being renewed.
+	// LeaseMillis is how long the attempt may run without a renewal.
 	LeaseMillis int64 `json:"leaseMillis"`
-	// RunSeconds hints how long a stand-in runs it; zero leaves that to the worker.
+	// RunSeconds is the run time for stand-in workers; zero leaves it to the worker.
 	RunSeconds int64  `json:"runSeconds,omitempty"`
 	Class      string `json:"class"`
 	// Service marks an attempt that does not end by itself.
@@ -60,69 +60,70 @@
 	TraceParent string `json:"parent,omitempty"`
 }
 
-// Heartbeat renews the leases of all attempts that the sender owns on the worker and asks for what
-// has changed since Cursor. It may wait at the worker for a change.
+// Heartbeat renews the leases of all attempts that the sender owns on the worker and asks for changes
+// since Cursor. The worker may hold the reply until there is a change.
 type Heartbeat struct {
 	Epoch       int64 `json:"epoch"`
 	LeaseMillis int64 `json:"leaseMillis"`
-	// Cursor is that of the last reply; zero, or one of another boot, asks for everything.
+	// Cursor is taken from the last reply; zero, or a cursor from before a restart, asks for all attempts.
 	Cursor     int64 `json:"cursor"`
 	WaitMillis int64 `json:"waitMillis,omitempty"`
-	// Forget names finished attempts whose end is durable here: the worker may drop them.
+	// Forget lists finished attempts whose result the sender has stored durably; the worker may drop them.
 	Forget []string `json:"forget,omitempty"`
 }
 
-// Report is one attempt as its worker sees it.
+// Report is the state of one attempt as reported by its worker.
 type Report struct {
 	Attempt string      `json:"attempt"`
 	State   State       `json:"state"`
 	Answer  *job.Answer `json:"answer,omitempty"`
-	// Usage is what the attempt lately used; it lags.
+	// Usage is the attempt's recent resource usage, reported with a delay.
 	Usage      job.Resources `json:"usage"`
 	Checkpoint []byte        `json:"checkpoint,omitempty"`
 }
 
-// HeartbeatReply holds the attempts that changed after the request's cursor. Ends whose answers do not
-// fit may be left to later replies: Cursor then stands before them, and a whole reply names them as
-// running.
+// HeartbeatReply holds the attempts that changed after the request's cursor. Ended attempts whose
+// answers do not fit may be left for later replies: Cursor then stays before them, and a full reply
+// reports them as running.
 type HeartbeatReply struct {
-	// Boot changes whenever the worker has lost its memory of attempts.
+	// Boot changes whenever the worker has lost its record of attempts.
 	Boot    string   `json:"boot"`
 	Cursor  int64    `json:"cursor"`
 	Reports []Report `json:"reports,omitempty"`
-	// Full says that Reports lists every attempt, not just changes.
+	// Full is set when Reports lists every attempt, not only changes.
 	Full bool `json:"whole,omitempty"`
 }
 
-// Act asks for something to be done to a running attempt. A stop of an unknown attempt forbids it.
+// Act applies a verb to a running attempt. Stopping an unknown attempt forbids it.
 type Act struct {
 	Attempt string `json:"attempt"`
 	Verb    Verb   `json:"verb"`
 	Epoch   int64  `json:"epoch"`
-	// Millicores is the new share for a throttle.
+	// Millicores is the new CPU limit for Throttle.
 	Millicores int64 `json:"millicores,omitempty"`
 }
 
-// Verb names an Act.
+// Verb is the action of an Act.
 type Verb string
 
-// The verbs that workers know.
+// The verbs that workers support.
 const (
 	Stop       Verb = "stop"
 	Throttle   Verb = "throttle"
 	Checkpoint Verb = "checkpoint"
 )
 
-// Client calls one worker. An error that is neither ErrNotSent nor ErrRefused leaves open whether
-// the call took effect.
+// Client calls one worker. After an error other than ErrNotSent and ErrRefused, the call may have
+// taken effect.
 type Client struct {
 	Start     func(ctx context.Context, s *Start) (*Report, error)
 	Heartbeat func(ctx context.Context, h *Heartbeat) (*HeartbeatReply, error)
 	Act       func(ctx context.Context, a *Act) (*Report, error)
 }
 
-// Dial makes the client of a worker; valid is asked directly before each send of a Start or Act.
+// Dial returns a client for a worker. The client calls valid right before it sends a Start or Act, and
+// sends nothing if valid returns false.
 type Dial func(info Info, valid func() bool) *Client
 
-// LeaseMillis turns a lease into the field's unit.
+// LeaseMillis converts a lease duration to milliseconds.
 func LeaseMillis(d time.Duration) int64 { return d.Milliseconds() }
