--- a/rpc/client.go
+++ b/rpc/client.go
@@ -8,32 +8,32 @@
 	"sync/atomic"
 )
 
-// Client calls one peer over one connection, which it opens when needed and again after a failure.
+// Client calls one peer over one connection, which it opens on demand and reopens after a failure.
 type Client struct {
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
 	mu      sync.Mutex
-	conn    *link
+	conn    *connection
 	dialing *dialing
 }
 
-// link is one connection.
-type link struct {
+// connection is an open connection to the peer.
+type connection struct {
 	*netrpc.Client
 	conn net.Conn
-	// heard is when the last answer came, in nanoseconds of the process.
-	heard atomic.Int64
+	// lastReply is when the last reply arrived, in Unix nanoseconds.
+	lastReply atomic.Int64
 }
 
-// dialing is a connection being opened, for which any number of calls may wait.
+// dialing is a connection being opened, shared by all calls that wait for it.
 type dialing struct {
-	done chan struct{}
-	stop context.CancelFunc
-	conn *link
-	err  error
+	done   chan struct{}
+	cancel context.CancelFunc
+	conn   *connection
+	err    error
 }
 
-// NewClient returns a client of the peer at address, an IP number and port; it dials on the first call.
+// NewClient returns a client of the peer at address, an IP address and port. It dials on the first call.
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{address: address, dial: dialTCP}
 	for _, o := range opts {
@@ -42,17 +42,17 @@
 	return c
 }
 
-// Address gives the peer's address.
+// Address returns the peer's address.
 func (c *Client) Address() string { return c.address }
 
-// Connect opens the connection unless it is open. An error means that the peer could not be reached within ctx.
+// Connect opens the connection if needed. It fails if the peer cannot be reached before ctx is done.
 func (c *Client) Connect(ctx context.Context) error {
 	_, err := c.get(ctx)
 	return err
 }
 
-// get gives the connection, and waits for one to be opened no longer than ctx.
-func (c *Client) get(ctx context.Context) (*link, error) {
+// get returns the connection and opens one if needed. It waits no longer than ctx.
+func (c *Client) get(ctx context.Context) (*connection, error) {
 	c.mu.Lock()
 	if c.conn != nil {
 		defer c.mu.Unlock()
@@ -61,7 +61,7 @@
 	d := c.dialing
 	if d == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-		d = &dialing{done: make(chan struct{}), stop: cancel}
+		d = &dialing{done: make(chan struct{}), cancel: cancel}
 		c.dialing = d
 		go c.open(ctx, d)
 	}
@@ -74,19 +74,19 @@
 	}
 }
 
-// open dials on behalf of all calls that wait.
+// open dials for all waiting calls.
 func (c *Client) open(ctx context.Context, d *dialing) {
-	defer d.stop()
+	defer d.cancel()
 	conn, err := c.dial(ctx, c.address)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer close(d.done)
 	d.err = err
 	if err == nil {
-		d.conn = &link{Client: netrpc.NewClientWithCodec(newClientCodec(conn)), conn: conn}
+		d.conn = &connection{Client: netrpc.NewClientWithCodec(newClientCodec(conn)), conn: conn}
 	}
 	if c.dialing != d {
-		// The client was closed meanwhile.
+		// The client was closed in the meantime.
 		if d.conn != nil {
 			d.conn.Close()
 		}
@@ -96,8 +96,8 @@
 	c.dialing, c.conn = nil, d.conn
 }
 
-// drop forgets a connection that failed, unless a newer one has taken its place.
-func (c *Client) drop(failed *link) {
+// drop closes a failed connection and removes it, unless a newer one has replaced it.
+func (c *Client) drop(failed *connection) {
 	c.mu.Lock()
 	if c.conn == failed {
 		c.conn = nil
@@ -107,23 +107,23 @@
 	failed.Close()
 }
 
-// reset makes the close of a connection discard what was not delivered. A request that a cut holds up
-// would otherwise be carried out when the cut heals, long after its caller was told something else.
-func (l *link) reset() {
+// reset makes the close of the connection discard undelivered data. Otherwise a request delayed by a
+// network partition would be executed when the partition heals, long after its caller has given up.
+func (l *connection) reset() {
 	if tcp, ok := l.conn.(*net.TCPConn); ok {
-		// The connection may be closed already, and then holds nothing.
+		// An error means that the connection is already closed and has no data left.
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// Close ends the connection, and the opening of one.
+// Close closes the connection and cancels a dial in progress.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conn, d := c.conn, c.dialing
 	c.conn, c.dialing = nil, nil
 	c.mu.Unlock()
 	if d != nil {
-		d.stop()
+		d.cancel()
 	}
 	if conn != nil {
 		conn.Close()
@@ -137,12 +137,12 @@
 	clients map[string]*Client
 }
 
-// NewPool returns an empty pool whose clients are made with opts.
+// NewPool returns an empty pool that creates its clients with opts.
 func NewPool(opts ...Option) *Pool {
 	return &Pool{opts: opts, clients: make(map[string]*Client)}
 }
 
-// Get gives the client of an address.
+// Get returns the client of an address and creates it if needed.
 func (p *Pool) Get(address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,7 +154,7 @@
 	return c
 }
 
-// Retain closes and forgets the clients of all addresses but these.
+// Retain closes and removes the clients of all addresses except these.
 func (p *Pool) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/rpc/codec.go
+++ b/rpc/codec.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// codec writes and reads msgpack values; it serves both ends of net/rpc.
+// codec encodes and decodes msgpack values for both the client and the server codec of net/rpc.
 type codec struct {
 	conn  net.Conn
 	buf   *bufio.Writer
@@ -37,8 +37,8 @@
 	return c.buf.Flush()
 }
 
-// readHeader starts a new message. Without a limit a peer could make this process hold any amount
-// of memory; a longer message ends its connection.
+// readHeader starts a new message and limits its size, so that a peer cannot exhaust this process's
+// memory. A longer message closes the connection.
 func (c *codec) readHeader(header any) error {
 	c.limit.N = MaxMessageBytes
 	return c.dec.Decode(header)
--- a/rpc/doc.go
+++ b/rpc/doc.go
@@ -1,6 +1,7 @@
-// Package rpc carries typed calls between the cell's own processes over net/rpc.
+// Package rpc provides typed calls between the cell's own processes over net/rpc.
 //
-// net/rpc knows neither deadlines nor traces. Both travel in an Envelope around each request: the
-// time that is left, which needs no common clock, and the W3C trace parent. Faults travel as data
-// in a Reply, so that a caller can tell a refusal, which surely did nothing, from a lost answer.
+// net/rpc supports neither deadlines nor traces. An Envelope around each request carries both: the time
+// left until the deadline, which needs no synchronized clocks, and the W3C trace parent. Faults are
+// returned as data in a Reply, so that a caller can distinguish a refusal, which had no effect, from a
+// lost reply.
 package rpc
--- a/rpc/fuzz_test.go
+++ b/rpc/fuzz_test.go
@@ -11,7 +11,7 @@
 	"turmericgap/finding"
 )
 
-// wireBytes is a connection that holds what a peer has sent.
+// wireBytes is a connection that returns fixed input.
 type wireBytes struct {
 	net.Conn
 	*bytes.Reader
@@ -19,7 +19,8 @@
 
 func (w wireBytes) Read(p []byte) (int, error) { return w.Reader.Read(p) }
 
-// Whatever a peer sends, this process neither panics nor holds the memory that a length only claims.
+// Arbitrary input from a peer must neither cause a panic nor allocate memory for a length that the input
+// only claims.
 func FuzzServerCodec(f *testing.F) {
 	type body struct {
 		Name  string
--- a/rpc/options.go
+++ b/rpc/options.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// dialTimeout is many times the way between zones; a longer silence means that the peer is gone.
+// dialTimeout is many times the round trip between zones; without an answer by then, the peer is down.
 const dialTimeout = 500 * time.Millisecond
 
-// Option sets up a Client.
+// Option configures a Client.
 type Option func(*Client)
 
 // Dial sets how connections are opened; the default is TCP.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -20,27 +20,27 @@
 
 // Defaults.
 const (
-	// DefaultTimeout bounds a call whose context has no deadline.
+	// DefaultTimeout limits a call whose context has no deadline.
 	DefaultTimeout = 5 * time.Second
-	// MaxMessageBytes bounds one message in either direction.
+	// MaxMessageBytes limits the size of a message in either direction.
 	MaxMessageBytes = 4 << 20
 	tracerName      = "turmericgap/rpc"
 )
 
-// Code classes a fault by what its caller may conclude.
+// Code classifies a fault by what its caller may conclude.
 type Code string
 
-// The codes of faults; every one of them is a definite answer of the callee.
+// The codes of faults. Each is an answer from the server.
 const (
-	// CodeRefused means that nothing was done, nor will be.
+	// CodeRefused means that nothing was done and nothing will be.
 	CodeRefused Code = "refused"
-	// CodeInvalid means that the request has findings and nothing was done.
+	// CodeInvalid means that the request is invalid, as Findings says, and nothing was done.
 	CodeInvalid Code = "invalid"
 	// CodeConflict means that another change came first and nothing was done.
 	CodeConflict Code = "conflict"
-	// CodeNotFound means that the named thing is not there.
+	// CodeNotFound means that the requested object does not exist.
 	CodeNotFound Code = "notFound"
-	// CodeNotOwner means that another process owns the thing; nothing was done here.
+	// CodeNotOwner means that another process owns the object; nothing was done here.
 	CodeNotOwner Code = "notOwner"
 	// CodeMoved means that the request belongs to the zone in Fault.Zone; nothing was started here.
 	CodeMoved Code = "moved"
@@ -48,26 +48,26 @@
 	CodeUnknown Code = "unknown"
 )
 
-// Fault is a callee's typed error.
+// Fault is a typed error returned by the server.
 type Fault struct {
 	Code     Code         `msgpack:"c"`
 	Reason   string       `msgpack:"r"`
 	Findings finding.List `msgpack:"f,omitempty"`
-	// RetryAfter is when a caller may try again; zero means that trying again is no use.
+	// RetryAfter is how long the caller should wait before a retry; zero means that a retry is useless.
 	RetryAfter time.Duration `msgpack:"a,omitempty"`
 	// Zone is set with CodeMoved.
 	Zone string `msgpack:"z,omitempty"`
 }
 
-// Error gives the code and the reason.
+// Error implements error.
 func (f *Fault) Error() string { return string(f.Code) + ": " + f.Reason }
 
-// Refused builds a fault with CodeRefused.
+// Refused returns a fault with CodeRefused.
 func Refused(retryAfter time.Duration, format string, args ...any) *Fault {
 	return &Fault{Code: CodeRefused, Reason: fmt.Sprintf(format, args...), RetryAfter: retryAfter}
 }
 
-// AsFault gives the fault within err, or nil where the outcome of the call is not known.
+// AsFault returns the fault in err, or nil if there is none and the outcome of the call is unknown.
 func AsFault(err error) *Fault {
 	var f *Fault
 	if errors.As(err, &f) {
@@ -76,43 +76,43 @@
 	return nil
 }
 
-// ErrNotSent marks a call of which no byte left this process.
+// ErrNotSent means that no byte of the call left this process.
 var ErrNotSent = errors.New("not sent")
 
-// Envelope is a request with what net/rpc does not carry.
+// Envelope is a request with the deadline and trace that net/rpc does not carry.
 type Envelope[Req any] struct {
-	// TimeLeft is the time until the caller's deadline, measured when the request was sent.
+	// TimeLeft is the time from the sending of the request until the caller's deadline.
 	TimeLeft    time.Duration `msgpack:"l"`
 	TraceParent string        `msgpack:"t,omitempty"`
 	Body        Req           `msgpack:"b"`
 }
 
-// Reply is an answer or a fault.
+// Reply is a response or a fault.
 type Reply[Resp any] struct {
 	Fault *Fault `msgpack:"f,omitempty"`
 	Body  Resp   `msgpack:"b"`
 }
 
-// endpoint is the receiver that net/rpc calls; its one method is Call.
+// endpoint is the receiver registered with net/rpc; its only method is Call.
 type endpoint[Req, Resp any] struct {
-	name string
-	do   func(context.Context, *Req) (*Resp, error)
+	name   string
+	handle func(context.Context, *Req) (*Resp, error)
 }
 
-// Call runs the handler within the deadline and the trace of the envelope.
+// Call runs the handler with the deadline and the trace of the envelope.
 func (e *endpoint[Req, Resp]) Call(in *Envelope[Req], out *Reply[Resp]) error {
 	ctx, cancel := context.WithTimeout(trace.WithParent(context.Background(), in.TraceParent), in.TimeLeft)
 	defer cancel()
 	ctx, span := otel.Tracer(tracerName).Start(ctx, "serve "+e.name, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 	defer span.End()
-	body, err := e.do(ctx, &in.Body)
+	body, err := e.handle(ctx, &in.Body)
 	if err == nil {
 		out.Body = *body
 		return nil
 	}
 	span.SetStatus(codes.Error, err.Error())
 	if out.Fault = AsFault(err); out.Fault == nil {
-		// An untyped error tells nothing of what was done.
+		// With an untyped error it is unknown what was done.
 		out.Fault = &Fault{Code: CodeUnknown, Reason: err.Error()}
 	}
 	return nil
@@ -120,11 +120,11 @@
 
 // Server serves typed calls.
 type Server struct {
-	inner *netrpc.Server
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	ended bool
-	wg    sync.WaitGroup
+	inner  *netrpc.Server
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
+	wg     sync.WaitGroup
 }
 
 // NewServer returns a server without handlers.
@@ -132,9 +132,9 @@
 	return &Server{inner: netrpc.NewServer(), conns: make(map[net.Conn]struct{})}
 }
 
-// Handle registers do under name; it panics when the name is taken, which is a fault of the program.
-func Handle[Req, Resp any](s *Server, name string, do func(context.Context, *Req) (*Resp, error)) {
-	if err := s.inner.RegisterName(name, &endpoint[Req, Resp]{name: name, do: do}); err != nil {
+// Handle registers a handler under name. It panics if the name is taken, which is a programming error.
+func Handle[Req, Resp any](s *Server, name string, handle func(context.Context, *Req) (*Resp, error)) {
+	if err := s.inner.RegisterName(name, &endpoint[Req, Resp]{name: name, handle: handle}); err != nil {
 		panic(err)
 	}
 }
@@ -156,7 +156,7 @@
 // ServeConn serves one connection until it ends.
 func (s *Server) ServeConn(conn net.Conn) {
 	s.mu.Lock()
-	if s.ended {
+	if s.closed {
 		s.mu.Unlock()
 		conn.Close()
 		return
@@ -169,10 +169,10 @@
 	s.mu.Unlock()
 }
 
-// Close cuts all connections; calls in progress lose their answers.
+// Close closes all connections; calls in progress get no reply.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.ended = true
+	s.closed = true
 	for conn := range s.conns {
 		conn.Close()
 	}
@@ -180,8 +180,8 @@
 	s.wg.Wait()
 }
 
-// Call sends one request to the callee and waits for its answer, its fault or the deadline.
-// An error that is neither a Fault nor ErrNotSent leaves open whether the request took effect.
+// Call sends one request to the server and waits for a response, a fault or the deadline.
+// After an error that is neither a Fault nor ErrNotSent, the request may have taken effect.
 func Call[Req, Resp any](ctx context.Context, c *Client, name string, req *Req) (*Resp, error) {
 	ctx, cancel := withDeadline(ctx)
 	defer cancel()
@@ -204,13 +204,13 @@
 		err = ctx.Err()
 	}
 	if err != nil {
-		if !inTime(err) || conn.silentSince(sent) {
+		if !isCallerDone(err) || conn.silentSince(sent) {
 			c.drop(conn)
 		}
 		span.SetStatus(codes.Error, err.Error())
 		return nil, fmt.Errorf("%s to %s: %w", name, c.address, err)
 	}
-	conn.heard.Store(time.Now().UnixNano())
+	conn.lastReply.Store(time.Now().UnixNano())
 	if out.Fault != nil {
 		span.SetStatus(codes.Error, out.Fault.Reason)
 		return nil, out.Fault
@@ -218,21 +218,21 @@
 	return &out.Body, nil
 }
 
-// inTime reports whether a call ended because its caller no longer waits, not because the connection
-// has failed.
-func inTime(err error) bool {
+// isCallerDone reports whether a call ended because its caller stopped waiting, not because the
+// connection failed.
+func isCallerDone(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// silentAfter is how long a connection must have been silent beside a call without an answer to be
-// given up. It is many times the way between zones.
+// silentAfter is how long a call must have waited, with no reply on its connection, before the connection
+// is dropped. It is many times the round trip between zones.
 const silentAfter = 250 * time.Millisecond
 
-// silentSince reports whether nothing came over the connection since a call was sent on it. After a cut
-// a connection may stay open and silent for good: without this every later call over it would wait in
-// vain, though a new connection would work.
-func (l *link) silentSince(sent time.Time) bool {
-	return time.Since(sent) > silentAfter && l.heard.Load() < sent.UnixNano()
+// silentSince reports whether no reply arrived on the connection since a call was sent on it. After a
+// network partition a connection may stay open and silent for good. Without this check every later call
+// on it would time out, although a new connection would work.
+func (l *connection) silentSince(sent time.Time) bool {
+	return time.Since(sent) > silentAfter && l.lastReply.Load() < sent.UnixNano()
 }
 
 func withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-type question struct{ N int }
+type request struct{ N int }
 
-type answer struct{ N int }
+type response struct{ N int }
 
 // pipe returns a client whose connections are pipes to the server.
 func pipe(s *Server) *Client {
@@ -29,27 +29,27 @@
 func TestCall(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(context.Context, *question) (*answer, error)
-		want func(is *is.I, a *answer, err error)
+		do   func(context.Context, *request) (*response, error)
+		want func(is *is.I, a *response, err error)
 	}{
 		{
-			"answer", func(_ context.Context, q *question) (*answer, error) { return &answer{q.N + 1}, nil },
-			func(is *is.I, a *answer, err error) { is.NoErr(err); is.Equal(a.N, 8) },
+			"response", func(_ context.Context, q *request) (*response, error) { return &response{q.N + 1}, nil },
+			func(is *is.I, a *response, err error) { is.NoErr(err); is.Equal(a.N, 8) },
 		},
 		{
-			"typed fault keeps its code", func(context.Context, *question) (*answer, error) { return nil, Refused(time.Second, "full") },
-			func(is *is.I, _ *answer, err error) {
+			"typed fault keeps its code", func(context.Context, *request) (*response, error) { return nil, Refused(time.Second, "full") },
+			func(is *is.I, _ *response, err error) {
 				is.Equal(AsFault(err).Code, CodeRefused)
 				is.Equal(AsFault(err).RetryAfter, time.Second)
 			},
 		},
 		{
-			"untyped error is of unknown outcome", func(context.Context, *question) (*answer, error) { return nil, errors.New("disk") },
-			func(is *is.I, _ *answer, err error) { is.Equal(AsFault(err).Code, CodeUnknown) },
+			"untyped error has an unknown outcome", func(context.Context, *request) (*response, error) { return nil, errors.New("disk") },
+			func(is *is.I, _ *response, err error) { is.Equal(AsFault(err).Code, CodeUnknown) },
 		},
 		{
-			"deadline travels", func(ctx context.Context, _ *question) (*answer, error) { <-ctx.Done(); return nil, ctx.Err() },
-			func(is *is.I, _ *answer, err error) {
+			"deadline is passed on", func(ctx context.Context, _ *request) (*response, error) { <-ctx.Done(); return nil, ctx.Err() },
+			func(is *is.I, _ *response, err error) {
 				is.True(errors.Is(err, context.DeadlineExceeded) || AsFault(err) != nil)
 			},
 		},
@@ -60,7 +60,7 @@
 				s := NewServer()
 				Handle(s, "test", c.do)
 				client := pipe(s)
-				a, err := Call[question, answer](context.Background(), client, "test", &question{7})
+				a, err := Call[request, response](context.Background(), client, "test", &request{7})
 				c.want(is.New(t), a, err)
 				client.Close()
 				s.Close()
@@ -69,16 +69,15 @@
 	}
 }
 
-// The caller sees an error that is neither a fault nor ErrNotSent.
-// The peer takes the request, does it, and the connection is cut before its answer.
-// The request may have run, so the error must not claim otherwise; the next call dials anew.
+// The peer handles a request and the connection is closed before its reply. The request has run, so the
+// error must be neither a fault nor ErrNotSent. The next call must open a new connection.
 func TestCallCutBeforeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var ran atomic.Int32
 		s := NewServer()
 		client := pipe(s)
-		Handle(s, "test", func(context.Context, *question) (*answer, error) {
+		Handle(s, "test", func(context.Context, *request) (*response, error) {
 			if ran.Add(1) == 1 {
 				s.mu.Lock()
 				for conn := range s.conns {
@@ -86,13 +85,13 @@
 				}
 				s.mu.Unlock()
 			}
-			return &answer{1}, nil
+			return &response{1}, nil
 		})
-		_, err := Call[question, answer](context.Background(), client, "test", &question{})
+		_, err := Call[request, response](context.Background(), client, "test", &request{})
 		is.True(err != nil)
 		is.True(AsFault(err) == nil)
 		is.True(!errors.Is(err, ErrNotSent))
-		_, err = Call[question, answer](context.Background(), client, "test", &question{})
+		_, err = Call[request, response](context.Background(), client, "test", &request{})
 		is.NoErr(err)
 		client.Close()
 		s.Close()
@@ -102,18 +101,17 @@
 func TestCallNotSent(t *testing.T) {
 	is := is.New(t)
 	client := NewClient("10.0.0.1:1", Dial(func(context.Context, string) (net.Conn, error) { return nil, errors.New("refused") }))
-	_, err := Call[question, answer](context.Background(), client, "test", &question{})
+	_, err := Call[request, response](context.Background(), client, "test", &request{})
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-// A caller's calls to a peer get no answer, and go on getting none.
-// The connection went silent without a reset, as after a cut, and the call's time runs out on it.
-// The next call must not wait on the same connection: a new one works.
+// A connection goes silent without a reset, as in a network partition, and a call on it times out. The
+// next call must not wait on the same connection, but open a new one.
 func TestSilentConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := NewServer()
-		Handle(s, "test", func(context.Context, *question) (*answer, error) { return &answer{1}, nil })
+		Handle(s, "test", func(context.Context, *request) (*response, error) { return &response{1}, nil })
 		dials := 0
 		client := NewClient("10.0.0.1:1", Dial(func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -126,9 +124,9 @@
 		}))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := Call[question, answer](ctx, client, "test", &question{})
+		_, err := Call[request, response](ctx, client, "test", &request{})
 		is.True(errors.Is(err, context.DeadlineExceeded))
-		_, err = Call[question, answer](context.Background(), client, "test", &question{})
+		_, err = Call[request, response](context.Background(), client, "test", &request{})
 		is.NoErr(err)
 		is.Equal(dials, 2)
 		client.Close()
--- a/webcall/conn.go
+++ b/webcall/conn.go
@@ -10,33 +10,33 @@
 )
 
 var (
-	errNotValid = errors.New("the sender may no longer send")
-	errGivenUp  = errors.New("the call was given up")
+	errNotValid  = errors.New("the sender is no longer allowed to send")
+	errAbandoned = errors.New("the call was abandoned")
 )
 
-// sending is one call on its way out.
-type sending struct {
-	valid   func() bool
-	mu      sync.Mutex
-	wrote   bool
-	givenUp bool
+// outgoing is the send state of one call.
+type outgoing struct {
+	valid     func() bool
+	mu        sync.Mutex
+	wrote     bool
+	abandoned bool
 }
 
-// trace binds the call to the connection that the transport picks for it.
-func (s *sending) trace() *httptrace.ClientTrace {
+// trace attaches the call to the connection that the transport selects for it.
+func (s *outgoing) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
 		if c, ok := got.Conn.(*conn); ok {
-			c.sending.Store(s)
+			c.call.Store(s)
 		}
 	}}
 }
 
-// mayWrite is asked directly before each write.
-func (s *sending) mayWrite() error {
+// beforeWrite is called right before each write and returns an error if the write must not happen.
+func (s *outgoing) beforeWrite() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.givenUp {
-		return errGivenUp
+	if s.abandoned {
+		return errAbandoned
 	}
 	if s.valid != nil && !s.valid() {
 		return errNotValid
@@ -45,32 +45,31 @@
 	return nil
 }
 
-// giveUp ends the call and reports whether no byte of it has left.
+// abandon ends the call and reports whether no byte of it was sent.
 //
-// Failure: the caller's deadline passes while the transport's writer is about to write.
-// Symptom: "not sent" is said of a call whose bytes leave a moment later.
-// After giveUp no write of the call begins, so that its verdict stays true.
-func (s *sending) giveUp() (notSent bool) {
+// The caller's deadline may pass while the transport is about to write. No write of the call starts
+// after abandon, so a call reported as not sent cannot leave a moment later.
+func (s *outgoing) abandon() (notSent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.givenUp = true
+	s.abandoned = true
 	return !s.wrote
 }
 
-// conn asks the call that it carries before each write. It carries one call at a time.
+// conn checks before each write that its current call may still be sent. It carries one call at a time.
 type conn struct {
 	net.Conn
-	sending atomic.Pointer[sending]
+	call atomic.Pointer[outgoing]
 }
 
 // Write sends p, unless the call may no longer be sent.
 //
-// Failure: the process is paused between the caller's check and the send, and its lease lapses.
-// Symptom: a start of a replaced owner reaches a worker that does not guard.
-// The check stands in the goroutine that makes the system call, after all waits for a connection.
+// If the process is paused between the caller's check and the send, its lease may expire, and a start
+// from a replaced owner could reach a worker that does not check epochs. The check therefore runs in
+// the goroutine that makes the system call, after all waits for a connection.
 func (c *conn) Write(p []byte) (int, error) {
-	if s := c.sending.Load(); s != nil {
-		if err := s.mayWrite(); err != nil {
+	if s := c.call.Load(); s != nil {
+		if err := s.beforeWrite(); err != nil {
 			return 0, err
 		}
 	}
--- a/webcall/doc.go
+++ b/webcall/doc.go
@@ -1,3 +1,3 @@
-// Package webcall sends JSON over HTTP to the platform's VMs, and tells a call that surely had no
-// effect from one that may have had one.
+// Package webcall sends JSON over HTTP to the platform's VMs. Its errors distinguish calls that had no
+// effect from calls whose outcome is unknown.
 package webcall
--- a/webcall/options.go
+++ b/webcall/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Options are what a Pool is made of.
+// Options configure a Pool.
 type Options struct {
 	Dial           func(ctx context.Context, address string) (net.Conn, error)
 	Timeout        time.Duration
@@ -14,10 +14,10 @@
 	MaxIdlePerHost int
 	MaxIdle        int
 
-	connections int
+	maxConnections int
 }
 
-// Option sets up a Pool.
+// Option configures a Pool.
 type Option func(*Options)
 
 // Dial sets how connections are opened.
@@ -25,13 +25,13 @@
 	return func(o *Options) { o.Dial = dial }
 }
 
-// Timeout bounds a call whose context has no deadline.
+// Timeout limits a call whose context has no deadline.
 func Timeout(d time.Duration) Option { return func(o *Options) { o.Timeout = d } }
 
-// MaxReplyBytes bounds one reply.
+// MaxReplyBytes limits the size of a reply.
 func MaxReplyBytes(n int64) Option { return func(o *Options) { o.MaxReplyBytes = n } }
 
-// MaxIdle bounds the idle connections to one address and to all.
+// MaxIdle limits the idle connections per address and in total.
 func MaxIdle(perHost, all int) Option {
 	return func(o *Options) { o.MaxIdlePerHost, o.MaxIdle = perHost, all }
 }
--- a/webcall/webcall.go
+++ b/webcall/webcall.go
@@ -17,37 +17,37 @@
 
 // Defaults.
 const (
-	// DefaultTimeout bounds a call whose context has no deadline.
+	// DefaultTimeout limits a call whose context has no deadline.
 	DefaultTimeout = 5 * time.Second
-	// DefaultMaxReplyBytes bounds one reply.
+	// DefaultMaxReplyBytes limits the size of a reply.
 	DefaultMaxReplyBytes = 4 << 20
-	// DefaultMaxIdlePerHost bounds the idle connections to one address.
+	// DefaultMaxIdlePerHost limits the idle connections to one address.
 	DefaultMaxIdlePerHost = 16
-	// DefaultMaxIdle bounds the idle connections to all addresses.
+	// DefaultMaxIdle limits the idle connections to all addresses.
 	DefaultMaxIdle = 512
 
 	dialTimeout     = time.Second
 	idleTimeout     = time.Minute
 	readBufferBytes = 2 << 10
 	maxReasonBytes  = 512
-	// limitedKeep is how long an unused pool of a single callee is remembered.
-	limitedKeep = 10 * time.Minute
+	// limitedTTL is how long an unused pool of a single address is kept.
+	limitedTTL  = 10 * time.Minute
 	traceHeader = "Traceparent"
 )
 
 // ErrNotSent means that no byte of the call left this process.
 var ErrNotSent = errors.New("not sent")
 
-// StatusError is a reply other than 200: a definite answer of the callee.
+// StatusError is a reply with a status other than 200.
 type StatusError struct {
 	Code   int
 	Reason string
 }
 
-// Error gives the code and the reason.
+// Error implements error.
 func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Reason) }
 
-// StatusCode gives the code of the Status within err, or zero.
+// StatusCode returns the code of the StatusError in err, or zero.
 func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
@@ -56,21 +56,21 @@
 	return 0
 }
 
-// Pool holds the connections to all callees.
+// Pool holds the connections to all addresses.
 type Pool struct {
 	opts      Options
 	transport *http.Transport
-	// used is when the pool last sent a call, in nanoseconds.
-	used atomic.Int64
+	// lastUsed is when the pool last sent a call, in nanoseconds.
+	lastUsed atomic.Int64
 
 	mu      sync.Mutex
-	limited map[limit]*Pool
+	limited map[limitedKey]*Pool
 }
 
-// limit names a pool of a single callee.
-type limit struct {
-	address     string
-	connections int
+// limitedKey identifies a pool of a single address.
+type limitedKey struct {
+	address        string
+	maxConnections int
 }
 
 // New returns a pool that dials TCP.
@@ -82,17 +82,17 @@
 	for _, f := range opts {
 		f(&o)
 	}
-	return build(o)
+	return newPool(o)
 }
 
-func build(o Options) *Pool {
-	p := &Pool{opts: o, limited: make(map[limit]*Pool)}
+func newPool(o Options) *Pool {
+	p := &Pool{opts: o, limited: make(map[limitedKey]*Pool)}
 	p.transport = &http.Transport{
 		DialContext:         p.dial,
 		DisableCompression:  true,
 		MaxIdleConns:        o.MaxIdle,
 		MaxIdleConnsPerHost: o.MaxIdlePerHost,
-		MaxConnsPerHost:     o.connections,
+		MaxConnsPerHost:     o.maxConnections,
 		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      readBufferBytes,
 		Protocols:           new(http.Protocols),
@@ -101,35 +101,34 @@
 	return p
 }
 
-// Limited gives the pool of one callee, to which at most that many connections are open or opened at
-// once.
+// Limited returns the pool of one address with at most that many connections open or being opened.
 //
-// Failure: a callee is slow to accept, and each call that is given up leaves its dial behind.
-// Symptom: more connections than the callee can hold. net/http counts the dials left behind too.
+// When a server is slow to accept, each abandoned call leaves its dial in progress, which could open
+// more connections than the server can hold. net/http counts these dials towards the limit.
 func (p *Pool) Limited(address string, connections int) *Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for key, l := range p.limited {
-		if now.Sub(time.Unix(0, l.used.Load())) > limitedKeep {
+		if now.Sub(time.Unix(0, l.lastUsed.Load())) > limitedTTL {
 			l.Close()
 			delete(p.limited, key)
 		}
 	}
-	key := limit{address, max(1, connections)}
+	key := limitedKey{address, max(1, connections)}
 	l, ok := p.limited[key]
 	if !ok {
 		o := p.opts
-		o.connections = key.connections
-		o.MaxIdlePerHost = min(o.MaxIdlePerHost, key.connections)
-		l = build(o)
-		l.used.Store(now.UnixNano())
+		o.maxConnections = key.maxConnections
+		o.MaxIdlePerHost = min(o.MaxIdlePerHost, key.maxConnections)
+		l = newPool(o)
+		l.lastUsed.Store(now.UnixNano())
 		p.limited[key] = l
 	}
 	return l
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	p.transport.CloseIdleConnections()
 	p.mu.Lock()
@@ -141,46 +140,46 @@
 
 // Call is one request.
 type Call struct {
-	// Address is an IP number and port, with a path below it if the callee has one.
+	// Address is an IP address and port, followed by a base path if the server has one.
 	Address string
 	Path    string
-	// In is sent as JSON by POST; nil makes the call a GET.
+	// In is sent as JSON by POST; if nil, the call is a GET.
 	In any
-	// Out receives the reply's JSON.
+	// Out receives the decoded JSON reply.
 	Out any
-	// Valid, if set, is asked before every write to the connection; once it says no, nothing more
-	// of the call leaves.
+	// Valid, if set, is called before every write to the connection. Once it returns false, nothing
+	// more of the call is sent.
 	Valid func() bool
-	// TraceParent is the trace context that travels with the call.
+	// TraceParent is the W3C trace parent sent with the call.
 	TraceParent string
 }
 
-// Do sends a call and waits for its reply. ErrNotSent and a Status are definite; any other error
-// leaves open whether the call took effect.
+// Do sends a call and waits for its reply. After an error other than ErrNotSent or a StatusError, the
+// call may have taken effect.
 func (p *Pool) Do(ctx context.Context, c *Call) error {
-	p.used.Store(time.Now().UnixNano())
+	p.lastUsed.Store(time.Now().UnixNano())
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, p.opts.Timeout)
 		defer cancel()
 	}
-	s := &sending{valid: c.Valid}
-	req, err := request(httptrace.WithClientTrace(ctx, s.trace()), c)
+	s := &outgoing{valid: c.Valid}
+	req, err := newRequest(httptrace.WithClientTrace(ctx, s.trace()), c)
 	if err != nil {
 		return errors.Join(ErrNotSent, err)
 	}
 	resp, err := p.transport.RoundTrip(req)
 	if err != nil {
-		if s.giveUp() {
+		if s.abandon() {
 			return errors.Join(ErrNotSent, err)
 		}
 		return err
 	}
 	defer resp.Body.Close()
-	return p.read(resp, c.Out)
+	return p.readReply(resp, c.Out)
 }
 
-func request(ctx context.Context, c *Call) (*http.Request, error) {
+func newRequest(ctx context.Context, c *Call) (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
 	if c.In != nil {
@@ -200,12 +199,12 @@
 	return req, nil
 }
 
-func (p *Pool) read(resp *http.Response, out any) error {
+func (p *Pool) readReply(resp *http.Response, out any) error {
 	if resp.StatusCode != http.StatusOK {
 		reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 		return &StatusError{Code: resp.StatusCode, Reason: strings.TrimSpace(string(reason))}
 	}
-	// The body is read to its end even if nobody wants it, or the connection could not be used again.
+	// The body is read to its end even without Out, since the connection could not be reused otherwise.
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxReplyBytes+1))
 	if err != nil {
 		return err
--- a/webcall/webcall_test.go
+++ b/webcall/webcall_test.go
@@ -21,8 +21,8 @@
 	Text string `json:"text"`
 }
 
-// callee counts the calls whose whole body arrived, and answers as do says.
-func callee(do http.HandlerFunc) (*endpoint.Pipe, *atomic.Int32) {
+// newServer counts the calls whose complete body arrived, and answers them with do.
+func newServer(do http.HandlerFunc) (*endpoint.Pipe, *atomic.Int32) {
 	var arrived atomic.Int32
 	return endpoint.NewPipe(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
@@ -34,7 +34,7 @@
 
 func answer(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"text":"yes"}`) }
 
-func never() bool { return false }
+func notValid() bool { return false }
 
 func TestDo(t *testing.T) {
 	long := `{"text":"` + strings.Repeat("x", 200) + `"}`
@@ -49,10 +49,10 @@
 	}{
 		{"answer", answer, nil, false, 0, false, 1},
 		{"status", func(rw http.ResponseWriter, _ *http.Request) { http.Error(rw, "no", http.StatusConflict) }, nil, false, http.StatusConflict, true, 1},
-		{"not valid", answer, never, true, 0, true, 0},
-		{"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, nil, false, 0, true, 1},
-		{"too long", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, long) }, nil, false, 0, true, 1},
-		{"half an answer", func(rw http.ResponseWriter, _ *http.Request) {
+		{"not valid", answer, notValid, true, 0, true, 0},
+		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, nil, false, 0, true, 1},
+		{"reply too long", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, long) }, nil, false, 0, true, 1},
+		{"truncated answer", func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header().Set("Content-Length", "14")
 			_, _ = io.WriteString(rw, `{"text"`)
 		}, nil, false, 0, true, 1},
@@ -62,7 +62,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				server, arrived := callee(c.do)
+				server, arrived := newServer(c.do)
 				pool := New(Dial(server.Dial), MaxReplyBytes(100))
 				defer server.Close()
 				defer pool.Close()
@@ -77,15 +77,15 @@
 	}
 }
 
-// The owner of a worker is paused while its start waits for a connection, and its lease lapses.
-// The check before the wait had said yes; the successor may have acted by the time of the write.
-// No byte of the start may leave, and the caller may say so.
+// The owner is paused while its start waits for a connection, and its lease expires after the check
+// before that wait. Its successor may already act, so no byte of the start may be sent, and the caller
+// gets ErrNotSent.
 func TestPauseBetweenCheckAndWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server, arrived := callee(answer)
-		lapses := time.Now().Add(time.Second)
-		valid := func() bool { return time.Now().Before(lapses) }
+		server, arrived := newServer(answer)
+		expiry := time.Now().Add(time.Second)
+		valid := func() bool { return time.Now().Before(expiry) }
 		pool := New(Dial(func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(2 * time.Second)
 			return server.Dial(ctx, address)
@@ -99,35 +99,35 @@
 	})
 }
 
-// The owner is paused in the midst of a long start: its first bytes have left, the lease lapses.
-// The rest stays here, so that the worker never has the whole start.
-// As bytes did leave, the caller hears an open outcome and asks the worker.
+// The owner is paused in the middle of sending a long start, and its lease expires. The rest must not
+// be sent, so that the worker never gets the complete start. The error must not be ErrNotSent, because
+// some bytes were sent.
 func TestPauseWithinWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		server, arrived := callee(answer)
+		server, arrived := newServer(answer)
 		pool := New(Dial(server.Dial))
 		defer server.Close()
 		defer pool.Close()
-		asked := 0
-		valid := func() bool { asked++; return asked < 2 }
+		checks := 0
+		valid := func() bool { checks++; return checks < 2 }
 		in := body{strings.Repeat("x", 100<<10)}
 		err := pool.Do(t.Context(), &Call{Address: "10.0.0.1:1", Path: "/", In: in, Valid: valid})
 		is.True(err != nil)
 		is.True(!errors.Is(err, ErrNotSent))
-		is.True(asked >= 2)
+		is.True(checks >= 2)
 		is.Equal(arrived.Load(), int32(0))
 	})
 }
 
-// A check that must not be repeated is sent on a connection that carried a call before, and the callee
-// dies after it took the check. net/http sends some calls again on a new connection by itself.
-// This call must not be one of them: it arrives once, and its outcome is open.
+// A check that must not be repeated is sent on a reused connection, and the server dies after receiving
+// it. net/http resends some calls on a new connection by itself; it must not resend this one, and the
+// error must leave the outcome unknown.
 func TestCutIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		calls := 0
-		server, arrived := callee(func(rw http.ResponseWriter, r *http.Request) {
+		server, arrived := newServer(func(rw http.ResponseWriter, r *http.Request) {
 			if calls++; calls > 1 {
 				panic(http.ErrAbortHandler)
 			}
@@ -144,20 +144,19 @@
 	})
 }
 
-// The caller's deadline passes while the transport's writer stands just before its write.
-// The caller is told "not sent" and places the task elsewhere; then the writer goes on.
-// Its write must fail, or the task would run twice.
-func TestNothingLeavesAfterGivingUp(t *testing.T) {
+// The caller's deadline passes right before the transport's write. The caller gets ErrNotSent and places
+// the task elsewhere, so the pending write must fail, or the task would run twice.
+func TestNoWriteAfterAbandon(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	c := &conn{Conn: near}
-	s := &sending{}
-	c.sending.Store(s)
-	is.True(s.giveUp())
+	s := &outgoing{}
+	c.call.Store(s)
+	is.True(s.abandon())
 	_, err := c.Write([]byte("start"))
-	is.True(errors.Is(err, errGivenUp))
+	is.True(errors.Is(err, errAbandoned))
 }
 
 func TestDialFails(t *testing.T) {
@@ -167,7 +166,7 @@
 	is.True(errors.Is(err, ErrNotSent))
 }
 
-func TestPoolsOfGoneCalleesAreForgotten(t *testing.T) {
+func TestUnusedLimitedPoolsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		pool := New()
@@ -176,9 +175,9 @@
 		}
 		kept := pool.Limited("a", 1)
 		is.Equal(len(pool.limited), 100)
-		time.Sleep(limitedKeep / 2)
+		time.Sleep(limitedTTL / 2)
 		_ = kept.Do(t.Context(), &Call{Address: "not valid", Path: "/"})
-		time.Sleep(limitedKeep/2 + time.Second)
+		time.Sleep(limitedTTL/2 + time.Second)
 		is.True(pool.Limited("a", 1) == kept)
 		is.Equal(len(pool.limited), 1)
 	})
