--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// askAfter is how long the store may be silent before other VMs are asked; its watches answer
-	// every two seconds.
-	askAfter = 2300 * time.Millisecond
-	askEvery = 300 * time.Millisecond
-	askWait  = 300 * time.Millisecond
+	// peerPollAfter is how long the store may be silent before other VMs are asked. Its watches
+	// report at least every two seconds.
+	peerPollAfter    = 2300 * time.Millisecond
+	peerPollInterval = 300 * time.Millisecond
+	peerTimeout      = 300 * time.Millisecond
 )
 
-// Document is a configuration as the operators wrote it.
+// Document is a configuration in the form written by the operators.
 type Document struct {
 	Version int64  `msgpack:"v"`
 	Raw     []byte `msgpack:"r"`
@@ -29,112 +29,113 @@
 
 // Watcher holds the newest configuration that this process has seen.
 type Watcher struct {
-	key    string
-	decode func(raw []byte) (*job.Config, error)
-	ask    func(ctx context.Context, known int64) (*Document, error)
-	log    *zap.Logger
-	follow *follow.Follower
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	heard  atomic.Int64
-	now    atomic.Pointer[job.Config]
+	key        string
+	decode     func(raw []byte) (*job.Config, error)
+	askPeer    func(ctx context.Context, known int64) (*Document, error)
+	log        *zap.Logger
+	follower   *follow.Follower
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
+	lastAnswer atomic.Int64
+	current    atomic.Pointer[job.Config]
 
 	mu  sync.Mutex
 	doc Document
 }
 
-// New returns a Keeper of the document under key. ask gets a newer one from another VM, or nil.
+// New returns a Watcher of the document under key. askPeer gets a document that is newer than the known
+// version from another VM, or nil if there is none.
 func New(kv *store.Store, key string, decode func([]byte) (*job.Config, error),
-	ask func(ctx context.Context, known int64) (*Document, error), log *zap.Logger,
+	askPeer func(ctx context.Context, known int64) (*Document, error), log *zap.Logger,
 ) *Watcher {
-	k := &Watcher{key: key, decode: decode, ask: ask, log: log, cancel: func() {}}
-	k.heard.Store(time.Now().UnixNano())
-	k.follow = &follow.Follower{
+	w := &Watcher{key: key, decode: decode, askPeer: askPeer, log: log, cancel: func() {}}
+	w.lastAnswer.Store(time.Now().UnixNano())
+	w.follower = &follow.Follower{
 		Store: kv, Prefix: key, Logger: log,
-		OnReset:   func(pairs []store.Pair, _ int64) { k.takePairs(pairs) },
-		OnChange:  func(events []store.Event, _ int64) { k.takePairs(follow.Puts(events)) },
-		OnContact: k.alive,
+		OnReset:   func(pairs []store.Pair, _ int64) { w.applyPairs(pairs) },
+		OnChange:  func(events []store.Event, _ int64) { w.applyPairs(follow.Puts(events)) },
+		OnContact: w.onContact,
 	}
-	return k
+	return w
 }
 
-// Start begins to follow the store.
-func (k *Watcher) Start() {
+// Start starts to follow the store.
+func (w *Watcher) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	k.cancel = cancel
-	k.wg.Go(func() { k.follow.Run(ctx) })
-	k.wg.Go(func() { k.askOthers(ctx) })
+	w.cancel = cancel
+	w.wg.Go(func() { w.follower.Run(ctx) })
+	w.wg.Go(func() { w.pollPeers(ctx) })
 }
 
-// Current gives the configuration in force, or nil.
-func (k *Watcher) Current() *job.Config { return k.now.Load() }
+// Current returns the configuration in force, or nil.
+func (w *Watcher) Current() *job.Config { return w.current.Load() }
 
-// LastAnswer gives when the store last answered this VM.
-func (k *Watcher) LastAnswer() time.Time { return time.Unix(0, k.heard.Load()) }
+// LastAnswer returns when the store last answered this VM.
+func (w *Watcher) LastAnswer() time.Time { return time.Unix(0, w.lastAnswer.Load()) }
 
-// Document gives the configuration in force as it was written.
-func (k *Watcher) Document() Document {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.doc
+// Document returns the configuration in force in the form written by the operators.
+func (w *Watcher) Document() Document {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.doc
 }
 
 // Close stops following.
-func (k *Watcher) Close() {
-	k.cancel()
-	k.wg.Wait()
+func (w *Watcher) Close() {
+	w.cancel()
+	w.wg.Wait()
 }
 
-func (k *Watcher) alive(err error) {
+func (w *Watcher) onContact(err error) {
 	if err == nil {
-		k.heard.Store(time.Now().UnixNano())
+		w.lastAnswer.Store(time.Now().UnixNano())
 	}
 }
 
-func (k *Watcher) takePairs(pairs []store.Pair) {
+func (w *Watcher) applyPairs(pairs []store.Pair) {
 	for i := range pairs {
-		if pairs[i].Key == k.key && len(pairs[i].Value) > 0 {
-			k.Apply(pairs[i].Value, "store")
+		if pairs[i].Key == w.key && len(pairs[i].Value) > 0 {
+			w.Apply(pairs[i].Value, "store")
 		}
 	}
 }
 
-// Apply puts a document in force if it is newer than the present one. One that cannot be read leaves
-// the present one in force.
-func (k *Watcher) Apply(raw []byte, from string) {
-	c, err := k.decode(raw)
+// Apply puts a document in force if it is newer than the current one. A document that cannot be
+// decoded is ignored.
+func (w *Watcher) Apply(raw []byte, from string) {
+	c, err := w.decode(raw)
 	if err != nil {
-		k.log.Error("configuration: a document cannot be read", zap.String("from", from), zap.Error(err))
+		w.log.Error("configuration: document cannot be decoded", zap.String("from", from), zap.Error(err))
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if now := k.now.Load(); now != nil && c.Version <= now.Version {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if current := w.current.Load(); current != nil && c.Version <= current.Version {
 		return
 	}
-	k.doc = Document{Version: c.Version, Raw: raw}
-	k.now.Store(c)
-	k.log.Info("configuration: in force", zap.Int64("version", c.Version), zap.String("from", from), zap.Int("queues", len(c.Queues)))
+	w.doc = Document{Version: c.Version, Raw: raw}
+	w.current.Store(c)
+	w.log.Info("configuration: in force", zap.Int64("version", c.Version), zap.String("from", from), zap.Int("queues", len(c.Queues)))
 }
 
-// askOthers asks other VMs while the store is silent towards this one.
-func (k *Watcher) askOthers(ctx context.Context) {
-	tick := time.NewTicker(askEvery)
-	defer tick.Stop()
+// pollPeers asks other VMs for a newer document while the store does not answer this VM.
+func (w *Watcher) pollPeers(ctx context.Context) {
+	ticker := time.NewTicker(peerPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if time.Since(k.LastAnswer()) < askAfter {
+		if time.Since(w.LastAnswer()) < peerPollAfter {
 			continue
 		}
-		within, cancel := context.WithTimeout(ctx, askWait)
-		doc, err := k.ask(within, k.Document().Version)
+		callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		doc, err := w.askPeer(callCtx, w.Document().Version)
 		cancel()
 		if err == nil && doc != nil && len(doc.Raw) > 0 {
-			k.Apply(doc.Raw, "another VM")
+			w.Apply(doc.Raw, "another VM")
 		}
 	}
 }
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -30,51 +30,51 @@
 	}
 }
 
-func nobody(context.Context, int64) (*Document, error) { return nil, errors.New("no peer") }
+func noPeer(context.Context, int64) (*Document, error) { return nil, errors.New("no peer") }
 
-// A version that is in force stays so when an older one comes later, from the store or from a peer, and
-// when one cannot be read.
+// A version must stay in force when an older or unreadable one arrives later, from the store or a peer.
 func TestNeverBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := memory.New()
-		k := New(s.Store(), key, decode, nobody, zap.NewNop())
-		is.True(k.Current() == nil)
+		w := New(s.Store(), key, decode, noPeer, zap.NewNop())
+		is.True(w.Current() == nil)
 		write(t, s, "7")
-		k.Start()
-		defer k.Close()
+		w.Start()
+		defer w.Close()
 		synctest.Wait()
-		is.Equal(k.Current().Version, int64(7))
+		is.Equal(w.Current().Version, int64(7))
 		for _, text := range []string{"6", "not a version", "7"} {
 			write(t, s, text)
-			k.Apply([]byte("5"), "peer")
+			w.Apply([]byte("5"), "peer")
 			synctest.Wait()
-			is.Equal(k.Current().Version, int64(7))
+			is.Equal(w.Current().Version, int64(7))
 		}
 		write(t, s, "9")
 		synctest.Wait()
-		is.Equal(k.Current().Version, int64(9))
-		is.Equal(k.Document(), Document{Version: 9, Raw: []byte("9")})
+		is.Equal(w.Current().Version, int64(9))
+		is.Equal(w.Document(), Document{Version: 9, Raw: []byte("9")})
 	})
 }
 
-// The store turns this VM away and serves the others. A new version comes from a peer within seconds.
+// The store does not answer this VM but serves the others. A new version must arrive from a peer within
+// seconds.
 func TestFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := memory.New()
 		var faults memory.Faults
 		write(t, s, "7")
-		k := New(s.Client(&faults), key, decode, func(_ context.Context, known int64) (*Document, error) {
+		w := New(s.Client(&faults), key, decode, func(_ context.Context, known int64) (*Document, error) {
 			is.True(known >= 7)
 			return &Document{Version: 8, Raw: []byte("8")}, nil
 		}, zap.NewNop())
-		k.Start()
-		defer k.Close()
+		w.Start()
+		defer w.Close()
 		synctest.Wait()
 		faults.Down(true)
 		write(t, s, "8")
-		time.Sleep(askAfter + 2*askEvery)
-		is.Equal(k.Current().Version, int64(8))
+		time.Sleep(peerPollAfter + 2*peerPollInterval)
+		is.Equal(w.Current().Version, int64(8))
 	})
 }
--- a/configuration/rules.go
+++ b/configuration/rules.go
@@ -11,8 +11,8 @@
 	"turmericgap/rule"
 )
 
-// Rules holds the newest rules of the operators that this process has seen. Without any, each work is
-// decided by its queue alone.
+// Rules holds the operators' newest rules that this process has seen. Without rules, each work is
+// handled by its queue's configuration alone.
 type Rules struct {
 	log *zap.Logger
 
@@ -21,25 +21,25 @@
 	list    *rule.List
 }
 
-// withoutEffect names the actions that works of steps do not know: their attempts and pool are those of their
-// queue, nothing is preempted, and there are no teams to charge.
-var withoutEffect = []string{"preempt", "quota", "retry", "route"}
+// unsupportedActions lists the actions that have no effect on a Work: its attempts and pool come from
+// its queue, it preempts nothing, and there are no teams to charge.
+var unsupportedActions = []string{"preempt", "quota", "retry", "route"}
 
-// NewRules returns a Rules that holds none.
+// NewRules returns an empty Rules.
 func NewRules(log *zap.Logger) *Rules { return &Rules{log: log} }
 
-// storedRules is the stored form; editors and past edits stand beside.
+// storedRules is the part of the stored document that is needed here; editors and past edits are ignored.
 type storedRules struct {
 	Version int64           `json:"version"`
 	Rules   json.RawMessage `json:"rules"`
 }
 
-// Apply puts a stored document in force if it is newer. A store that was restored may tell of an older one;
-// rules that were accepted never come back.
+// Apply puts a stored document in force if it is newer than the current rules. A restored store may hold
+// an older document, and replaced rules must not come back.
 func (r *Rules) Apply(raw []byte) {
 	var s storedRules
 	if err := json.Unmarshal(raw, &s); err != nil {
-		r.log.Error("configuration: stored rules cannot be read, the last ones stay in force", zap.Error(err))
+		r.log.Error("configuration: stored rules cannot be decoded, keeping the current rules", zap.Error(err))
 		return
 	}
 	r.mu.Lock()
@@ -49,26 +49,26 @@
 	}
 	list, err := rule.Parse(s.Rules)
 	if err != nil {
-		r.log.Error("configuration: stored rules have findings, the last ones stay in force", zap.Int64("version", s.Version), zap.Error(err))
+		r.log.Error("configuration: stored rules are invalid, keeping the current rules", zap.Int64("version", s.Version), zap.Error(err))
 		return
 	}
 	r.version, r.list = s.Version, list
-	for _, one := range list.Document().Rules {
-		for _, a := range one.Then {
-			if slices.Contains(withoutEffect, a.Kind) {
-				r.log.Warn("configuration: an action has no effect on works of steps", zap.String("rule", one.ID), zap.String("action", a.Kind))
+	for _, ru := range list.Document().Rules {
+		for _, a := range ru.Then {
+			if slices.Contains(unsupportedActions, a.Kind) {
+				r.log.Warn("configuration: action has no effect on works with steps", zap.String("rule", ru.ID), zap.String("action", a.Kind))
 			}
 		}
 	}
 	r.log.Info("configuration: rules in force", zap.Int64("version", s.Version), zap.Int("rules", len(list.Document().Rules)))
 }
 
-// Current gives the rules in force, or nil.
+// Current returns the rules in force, or nil.
 func (r *Rules) Current() *rule.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list
 }
 
-// Decide gives what the rules in force decide for a work.
+// Decide returns the effect of the rules in force on a work.
 func (r *Rules) Decide(w *job.Work) rule.Effect { return r.Current().DecideWork(w) }
--- a/job/doc.go
+++ b/job/doc.go
@@ -1,3 +1,3 @@
-// Package job holds the plain data of jobs and their tasks: what a caller submits, what the cell
-// remembers of it, and the final states that an answer can have.
+// Package job defines the data types of jobs and tasks: what a caller submits, the status that the cell
+// reports, and the possible outcomes.
 package job
--- a/job/job.go
+++ b/job/job.go
@@ -12,24 +12,24 @@
 	MaxPayloadBytes = 16 << 10
 	MaxTasks        = 1000
 	MaxNameBytes    = 64
-	// MaxQuantity bounds each resource of one task, so that sums over a cell cannot overflow.
+	// MaxQuantity limits each resource of one task, so that sums over a cell cannot overflow.
 	MaxQuantity = 1 << 40
 )
 
-// Outcome is the final state of a request; it is empty until the state is final.
+// Outcome is the final result of a request; it is empty until the request has ended.
 type Outcome string
 
-// The three final states, which are never mixed.
+// The three outcomes. A request has exactly one of them.
 const (
-	// Done means that the whole answer is there, its length and checksum verified.
+	// Done means that the complete answer is available, with its length and checksum verified.
 	Done Outcome = "done"
-	// NotRun means that nothing of the request was ever started.
+	// NotRun means that no part of the request was ever started.
 	NotRun Outcome = "notRun"
-	// Unknown means that the request may have run, in part or whole.
+	// Unknown means that the request may have run, partly or completely.
 	Unknown Outcome = "unknown"
 )
 
-// Kind tells how long a job's tasks live.
+// Kind is whether a job's tasks end by themselves.
 type Kind string
 
 // The kinds of jobs.
@@ -40,9 +40,9 @@
 	Service Kind = "service"
 )
 
-// Resources is what one task needs or a worker has.
+// Resources is what one task needs or a worker offers.
 type Resources struct {
-	// Millicores is processor time, in thousandths of a core.
+	// Millicores is CPU in thousandths of a core.
 	Millicores int64 `json:"millicores" msgpack:"c"`
 	// MemoryMB is memory in units of 1,000,000 bytes.
 	MemoryMB int64 `json:"memoryMB" msgpack:"m"`
@@ -50,28 +50,28 @@
 	Accelerators int64 `json:"accelerators" msgpack:"a"`
 }
 
-// Plus gives the sum of both.
+// Plus returns the sum of r and o.
 func (r Resources) Plus(o Resources) Resources {
 	return Resources{r.Millicores + o.Millicores, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Minus gives r less o; parts may become negative.
+// Minus returns r minus o; the result may be negative.
 func (r Resources) Minus(o Resources) Resources {
 	return Resources{r.Millicores - o.Millicores, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Times gives n times r.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	k := int64(n)
 	return Resources{r.Millicores * k, r.MemoryMB * k, r.Accelerators * k}
 }
 
-// FitsIn reports whether r is at most o in every part.
+// FitsIn reports whether no resource in r exceeds that in o.
 func (r Resources) FitsIn(o Resources) bool {
 	return r.Millicores <= o.Millicores && r.MemoryMB <= o.MemoryMB && r.Accelerators <= o.Accelerators
 }
 
-// Max gives the larger of each part.
+// Max returns the maximum of r and o for each resource.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.Millicores, o.Millicores), max(r.MemoryMB, o.MemoryMB), max(r.Accelerators, o.Accelerators)}
 }
@@ -82,30 +82,30 @@
 	Key string `json:"key" msgpack:"k"`
 	// Team is charged for the job.
 	Team string `json:"team" msgpack:"t"`
-	// Class names a kind of work whose jobs resemble each other, such as "roster".
+	// Class names a group of similar jobs, such as "roster".
 	Class string `json:"class" msgpack:"c"`
 	Kind  Kind   `json:"kind" msgpack:"n"`
-	// Tasks is how many equal tasks the job has.
+	// Tasks is the number of identical tasks in the job.
 	Tasks int `json:"tasks" msgpack:"q"`
-	// Gang asks that all tasks start together or none does.
+	// Gang requires that all tasks start together or none does.
 	Gang bool `json:"gang" msgpack:"g,omitempty"`
 	// TaskResources is what one task needs.
 	TaskResources Resources `json:"each" msgpack:"e"`
-	// Repeatable says that a task may be run again after its earlier attempt has surely ended.
+	// Repeatable allows a task to run again once its earlier attempt is known to have ended.
 	Repeatable bool `json:"repeatable" msgpack:"r,omitempty"`
-	// Urgent marks work that may preempt.
+	// Urgent marks a job that may preempt others.
 	Urgent bool `json:"urgent" msgpack:"u,omitempty"`
 	// RunSeconds is the declared run time of one task; zero means not declared.
 	RunSeconds int64 `json:"runSeconds,omitempty" msgpack:"s,omitempty"`
-	// Deadline is when the answer is needed; the zero time means never.
+	// Deadline is when the answer is needed; the zero time means no deadline.
 	Deadline time.Time `json:"deadline,omitzero" msgpack:"d,omitempty"`
 	// Zone pins the job to an availability zone; empty means any.
 	Zone string `json:"zone,omitempty" msgpack:"z,omitempty"`
-	// Payload is handed to each task as it is, MaxPayloadBytes at most.
+	// Payload is passed to each task unchanged; it has at most MaxPayloadBytes.
 	Payload []byte `json:"payload,omitempty" msgpack:"p,omitempty"`
 }
 
-// Check gives all findings of a submission; an empty list means that it may be accepted.
+// Check returns all findings of a submission; an empty list means that it is valid.
 func (s *Submission) Check() finding.List {
 	var l finding.List
 	checkName(&l, "key", s.Key, MaxKeyBytes)
@@ -130,17 +130,17 @@
 	return l
 }
 
-func checkName(l *finding.List, place, value string, most int) {
+func checkName(l *finding.List, path, value string, maxBytes int) {
 	switch {
 	case value == "":
-		l.Add(place, "must not be empty")
-	case len(value) > most:
-		l.Add(place, "must be at most %d bytes", most)
+		l.Add(path, "must not be empty")
+	case len(value) > maxBytes:
+		l.Add(path, "must be at most %d bytes", maxBytes)
 	}
 }
 
-func checkQuantity(l *finding.List, place string, value, least int64) {
-	if value < least || value > MaxQuantity {
-		l.Add(place, "must be from %d to %d", least, int64(MaxQuantity))
+func checkQuantity(l *finding.List, path string, value, minValue int64) {
+	if value < minValue || value > MaxQuantity {
+		l.Add(path, "must be from %d to %d", minValue, int64(MaxQuantity))
 	}
 }
--- a/job/status.go
+++ b/job/status.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// State is where a job stands until it has an Outcome.
+// State is the state of a job or task.
 type State string
 
 // The states of a job or task.
 const (
-	// Queued means that nothing of it has been started.
+	// Queued means that nothing has been started.
 	Queued State = "queued"
-	// Starting means that a worker was chosen and may have the task already.
+	// Starting means that a worker was chosen and may already have received the task.
 	Starting State = "starting"
-	// Active means that its worker reported it running.
+	// Active means that the worker reported the task as running.
 	Active State = "running"
-	// Stopping means that a stop was asked for and its worker has not yet said how it ended.
+	// Stopping means that a stop was requested and the worker has not yet reported the end.
 	Stopping State = "stopping"
-	// Final means that the outcome is set and stays.
+	// Final means that the outcome is set and does not change.
 	Final State = "final"
 )
 
-// Status is what a caller is told of a job.
+// Status is the status of a job as reported to its caller.
 type Status struct {
 	ID    string `json:"id" msgpack:"i"`
 	State State  `json:"state" msgpack:"s"`
-	// Outcome is empty until State is Final. A job is done when all of its tasks are, notRun when
-	// none was started, and unknown otherwise.
+	// Outcome is empty until State is Final. A job is done if all of its tasks are done, notRun if none
+	// was started, and unknown otherwise.
 	Outcome  Outcome      `json:"outcome,omitempty" msgpack:"o,omitempty"`
 	Reason   string       `json:"reason,omitempty" msgpack:"r,omitempty"`
 	Rule     string       `json:"rule,omitempty" msgpack:"u,omitempty"`
@@ -34,14 +34,14 @@
 	Tasks    []TaskStatus `json:"tasks,omitempty" msgpack:"t,omitempty"`
 }
 
-// TaskStatus is what a caller is told of one task.
+// TaskStatus is the status of one task as reported to its caller.
 type TaskStatus struct {
 	Index   int     `json:"index" msgpack:"i"`
 	State   State   `json:"state" msgpack:"s"`
 	Outcome Outcome `json:"outcome,omitempty" msgpack:"o,omitempty"`
 	Reason  string  `json:"reason,omitempty" msgpack:"r,omitempty"`
 	Worker  string  `json:"worker,omitempty" msgpack:"w,omitempty"`
-	// Attempt counts from one; zero means that none was made.
+	// Attempt is the number of the latest attempt, from one; zero means that there was none.
 	Attempt int     `json:"attempt,omitempty" msgpack:"n,omitempty"`
 	Answer  *Answer `json:"answer,omitempty" msgpack:"a,omitempty"`
 }
--- a/job/work.go
+++ b/job/work.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// Limits of one Work.
+// Limits of a Work.
 const (
 	MaxSpecBytes = 4000
 	MaxSteps     = 64
 	MaxStepTasks = 4096
 )
 
-// Work is a submission of one or more steps, each with equal tasks.
+// Work is a submission of one or more steps, each with identical tasks.
 type Work struct {
-	// ID is chosen by the caller; a repeat with the same ID is the same work.
+	// ID is chosen by the caller; a repeated submission with the same ID is the same work.
 	ID string `msgpack:"i"`
-	// Queue is the queue as it stood when the work was accepted; a newer one of that name governs it.
+	// Queue is the queue's configuration when the work was accepted. A newer version of the queue with
+	// the same name takes precedence.
 	Queue Queue `msgpack:"q"`
-	// Spec is handed to each task as it is.
+	// Spec is passed to each task unchanged.
 	Spec  string `msgpack:"p"`
 	Steps []Step `msgpack:"s"`
-	// Occurrences is how many times the steps run; zero means once, at once.
+	// Occurrences is how many times the steps run; zero means once, without delay.
 	Occurrences int `msgpack:"o,omitempty"`
-	// FirstDue is when occurrence 0 is due, Every the time between two of them.
+	// FirstDue is when occurrence 0 is due, and Interval the time between occurrences.
 	FirstDue time.Time     `msgpack:"f,omitempty"`
 	Interval time.Duration `msgpack:"e,omitempty"`
-	// Accepted is when the entry VM took the work, by its own time of day.
+	// Accepted is when the entry VM accepted the work, by its own wall clock.
 	Accepted time.Time `msgpack:"a"`
-	// Zone is the availability zone of the entry VM that took it, and so that of its caller.
+	// Zone is the availability zone of the entry VM that accepted the work, which is also its caller's.
 	Zone string `msgpack:"z,omitempty"`
 }
 
-// Step is a part of a Work.
+// Step is a set of identical tasks in a Work.
 type Step struct {
 	Tasks         int       `msgpack:"n"`
 	TaskResources Resources `msgpack:"r"`
-	// Estimate is the caller's guess of a task's run time.
+	// Estimate is the caller's estimate of a task's run time.
 	Estimate time.Duration `msgpack:"e,omitempty"`
-	// DependsOn lists earlier steps whose tasks must all be done first.
+	// DependsOn lists earlier steps that must be completed first.
 	DependsOn []int `msgpack:"a,omitempty"`
-	// Gang says that the tasks run together or not at all.
+	// Gang requires that all tasks run together or none does.
 	Gang bool `msgpack:"g,omitempty"`
-	// SameRack says that tasks on more than one rack run slower.
+	// SameRack is set if the tasks run slower on more than one rack.
 	SameRack bool `msgpack:"t,omitempty"`
-	// Label is one that the worker must have; empty means any.
+	// Label is a label that the worker must have; empty means no requirement.
 	Label string `msgpack:"l,omitempty"`
-	// DataRack is the rack near the data; elsewhere tasks run slower. Empty means any.
+	// DataRack is the rack close to the data; tasks run slower elsewhere. Empty means no preference.
 	DataRack string `msgpack:"d,omitempty"`
-	// MaxPerWorker bounds the tasks of one occurrence on one worker; zero means no bound.
+	// MaxPerWorker limits the tasks of one occurrence on one worker; zero means no limit.
 	MaxPerWorker int `msgpack:"m,omitempty"`
-	// Checkpoints says that the tasks save their progress.
+	// Checkpoints is set if the tasks save their progress.
 	Checkpoints bool `msgpack:"c,omitempty"`
-	// Speculative says that a task may run more than once in parallel; the first end counts.
+	// Speculative allows a task to run more than once in parallel; the first run to end counts.
 	Speculative bool `msgpack:"v,omitempty"`
-	// Service says that the tasks run until the work is cancelled.
+	// Service is set if the tasks run until the work is cancelled.
 	Service bool `msgpack:"x,omitempty"`
-	// Image names the program; tasks of one image behave alike.
+	// Image names the program; tasks with the same image behave alike.
 	Image string `msgpack:"b,omitempty"`
-	// TailLatency is the bound for the tail of a service task's response times; zero means none.
+	// TailLatency is the limit for the tail latency of a service task; zero means none.
 	TailLatency time.Duration `msgpack:"u,omitempty"`
-	// BestEffort says that the tasks run on what others leave unused and are not charged for processors.
+	// BestEffort tasks run on resources that others leave unused and are not charged for CPU.
 	BestEffort bool `msgpack:"y,omitempty"`
-	// MaxUnavailable bounds the service tasks that may be unavailable by our own actions at a time.
+	// MaxUnavailable limits the service tasks that the scheduler may make unavailable at a time.
 	MaxUnavailable int `msgpack:"w,omitempty"`
 }
 
-// NumOccurrences gives how many occurrences the work has.
+// NumOccurrences returns how often the work runs, at least once.
 func (w *Work) NumOccurrences() int { return max(w.Occurrences, 1) }
 
-// DueAt gives when an occurrence may start.
+// DueAt returns when an occurrence may start.
 func (w *Work) DueAt(occurrence int) time.Time {
 	if w.Occurrences == 0 {
 		return w.Accepted
@@ -77,28 +78,30 @@
 	return w.FirstDue.Add(time.Duration(occurrence) * w.Interval)
 }
 
-// Queue is what the operators configured for one kind of work.
+// Queue is the operators' configuration for one kind of work.
 type Queue struct {
 	Name string `msgpack:"n"`
-	// Host and Prefix select the queue of a request; the longest prefix wins.
+	// Host and Prefix select the queue of a request; the longest matching prefix wins.
 	Host   string `msgpack:"-"`
 	Prefix string `msgpack:"-"`
 	// Pool names the workers that may run its tasks.
 	Pool string `msgpack:"p"`
-	// Priority orders queues, 0 first.
+	// Priority orders the queues; 0 comes first.
 	Priority int `msgpack:"y,omitempty"`
-	// MaxAttempts is how often a task may fail before its work has failed.
+	// MaxAttempts is how often a task may fail before its work fails.
 	MaxAttempts int `msgpack:"a"`
-	// SlackFactor times the longest chain of work, and Target more, is when the work should be done.
+	// The work should be done within SlackFactor times its longest chain of steps, plus TargetDuration.
 	SlackFactor    float64       `msgpack:"s"`
 	TargetDuration time.Duration `msgpack:"t"`
-	// Permit is how the queue's policy service answers; nil means that any worker may run its steps.
+	// Permit is the cost of requests to the queue's policy service; nil means that any worker may run
+	// its steps without a permit.
 	Permit *PermitCost `msgpack:"c,omitempty"`
 }
 
-// PermitCost is what one question to a queue's policy service takes.
+// PermitCost is the cost of one permit request to a queue's policy service.
 type PermitCost struct {
-	// Base and PerWorker give the time of an answer, Valid how long it may be used.
+	// Base is the fixed part and PerWorker the part per worker of the response time. Valid is how long
+	// the permit may be used.
 	Base, PerWorker, Valid time.Duration
 }
 
@@ -111,13 +114,13 @@
 	Limits       Limits
 }
 
-// Limits bound what callers may send.
+// Limits restrict what callers may send.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// MatchQueue gives the queue of a request by host and the longest prefix of its path, or nil.
+// MatchQueue returns the queue with this host and the longest matching prefix of path, or nil.
 func (c *Config) MatchQueue(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
@@ -132,7 +135,7 @@
 	return best
 }
 
-// QueueByName gives the queue of that name, or nil.
+// QueueByName returns the queue with this name, or nil.
 func (c *Config) QueueByName(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// WorkState is where a Work stands.
+// WorkState is the state of a Work.
 type WorkState string
 
 // The states of a Work; the last three are final.
@@ -154,5 +157,5 @@
 	WorkCancelled WorkState = "cancelled"
 )
 
-// Final reports whether the state cannot change any more.
+// Final reports whether the state can no longer change.
 func (s WorkState) Final() bool { return s == WorkCompleted || s == WorkFailed || s == WorkCancelled }
--- a/setting/doc.go
+++ b/setting/doc.go
@@ -1,2 +1,2 @@
-// Package setting reads a program's settings from a JSON file and reports all faults together.
+// Package setting reads a program's settings from a JSON file and reports all errors together.
 package setting
--- a/setting/fuzz_test.go
+++ b/setting/fuzz_test.go
@@ -7,7 +7,7 @@
 	"turmericgap/finding"
 )
 
-// Whatever a settings file holds, it gives findings with places, or settings that Check passes again.
+// Arbitrary input must give either findings with a path and a reason, or settings that pass Check again.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"s","vm":"v","zone":"z","zones":["z"],"rpcAddress":"127.0.0.1:1","store":{"kind":"etcd","endpoint":"e"},"listAddress":"l"}`,
@@ -24,7 +24,7 @@
 		}
 		for _, x := range l {
 			if x.Path == "" || x.Reason == "" {
-				t.Fatalf("finding without place or reason: %q", x)
+				t.Fatalf("finding without path or reason: %q", x)
 			}
 		}
 		var again finding.List
--- a/setting/process.go
+++ b/setting/process.go
@@ -15,41 +15,41 @@
 	maxShutdownMillis = int64(10 * time.Minute / time.Millisecond)
 )
 
-// Process is what every process of the cell is told.
+// Process holds the settings common to all processes of the cell.
 type Process struct {
-	// ID is unique in the cell; a process that replaces another on its VM may keep it.
+	// ID is unique in the cell; a process that replaces another on the same VM may reuse its ID.
 	ID string `json:"id"`
-	// VM names the VM as the VM list does.
+	// VM is the VM's name in the VM list.
 	VM string `json:"vm"`
-	// Zone is the availability zone of this process, Zones all those of the cell.
+	// Zone is the availability zone of this process, and Zones lists all zones of the cell.
 	Zone  string   `json:"zone"`
 	Zones []string `json:"zones"`
 	// RPCAddress serves the cell's own processes, OpsAddress the operators.
 	RPCAddress string `json:"rpcAddress"`
 	OpsAddress string `json:"opsAddress"`
 	Store      Store  `json:"store"`
-	// ListAddress is where the platform's VM list is read.
+	// ListAddress is the address of the platform's VM list.
 	ListAddress string `json:"listAddress"`
 	Trace       Trace  `json:"trace"`
 	// LogLevel is debug, info, warn or error; info by default.
 	LogLevel string `json:"logLevel"`
-	// ShutdownMillis bounds a graceful shutdown; 30,000 by default.
+	// ShutdownMillis limits a graceful shutdown; 30,000 by default.
 	ShutdownMillis int64 `json:"shutdownMillis"`
 }
 
-// Store chooses the plug-in for the platform's key-value service and its endpoint.
+// Store selects the plug-in for the platform's key-value service and its endpoint.
 type Store struct {
 	Kind     string `json:"kind"`
 	Endpoint string `json:"endpoint"`
 }
 
-// Trace chooses the exporter of spans (none, stdout or otlp) and its address.
+// Trace selects the exporter of spans (none, stdout or otlp) and its address.
 type Trace struct {
 	Exporter string `json:"exporter"`
 	Address  string `json:"address"`
 }
 
-// DefaultProcess gives the values of what may be left out.
+// DefaultProcess returns the defaults of optional settings.
 func DefaultProcess() Process {
 	return Process{
 		Store: Store{Kind: "etcd"}, Trace: Trace{Exporter: "none"}, LogLevel: "info",
@@ -57,7 +57,7 @@
 	}
 }
 
-// Check adds the findings of the common part.
+// Check adds the findings of the common settings to l.
 func (p *Process) Check(l *finding.List) {
 	checkName(l, "id", p.ID)
 	checkName(l, "vm", p.VM)
@@ -87,18 +87,18 @@
 	CheckRange(l, "shutdownMillis", p.ShutdownMillis, 1, maxShutdownMillis)
 }
 
-// Level gives the log level of checked settings.
+// Level returns the log level. The settings must have passed Check.
 func (p *Process) Level() zapcore.Level {
 	var level zapcore.Level
 	_ = level.UnmarshalText([]byte(p.LogLevel))
 	return level
 }
 
-func checkName(l *finding.List, place, value string) {
+func checkName(l *finding.List, path, value string) {
 	switch {
 	case value == "":
-		l.Add(place, "must not be empty")
+		l.Add(path, "must not be empty")
 	case len(value) > maxNameBytes:
-		l.Add(place, "must be at most %d bytes", maxNameBytes)
+		l.Add(path, "must be at most %d bytes", maxNameBytes)
 	}
 }
