--- a/history/doc.go
+++ b/history/doc.go
@@ -1,3 +1,3 @@
-// Package history judges a test run: it collects what callers were told and what workers and
-// targets did, and finds every promise that was broken.
+// Package history verifies a test run. It collects the results that callers got and what workers and
+// targets did, and reports every violated guarantee.
 package history
--- a/history/history.go
+++ b/history/history.go
@@ -13,61 +13,61 @@
 
 // Defaults.
 const (
-	// DefaultLeavingGrace is how long after its leaving was announced a target may still get new work.
+	// DefaultLeavingGrace is how long a target may still get new requests after it was announced as leaving.
 	DefaultLeavingGrace = 5 * time.Second
-	// DefaultMaxEvents bounds one run.
+	// DefaultMaxEvents limits the events of one run.
 	DefaultMaxEvents = 1 << 20
 )
 
-// Checker collects the events of one run; it may be used by several goroutines.
+// Checker collects and checks the events of one run. It is safe for concurrent use.
 type Checker struct {
-	opts   Options
-	mu     sync.Mutex
-	events []Event
-	lost   int
+	opts    Options
+	mu      sync.Mutex
+	events  []Event
+	dropped int
 }
 
-// Options are what a Checker is made of.
+// Options configure a Checker.
 type Options struct {
-	// Task gives the task of an attempt, and Job the job of a task.
+	// Task returns the task of an attempt, and Job the job of a task.
 	Task, Job    func(string) string
 	LeavingGrace time.Duration
-	// MaxEvents bounds the run; a run of more events is judged to be broken.
+	// MaxEvents limits the events of a run; a run with more events fails its check.
 	MaxEvents int
 }
 
-// Option sets up a Checker.
+// Option configures a Checker.
 type Option func(*Options)
 
-// Names sets how the task of an attempt and the job of a task are found; the default cuts the name
-// at its last slash.
+// Names sets how to get the task of an attempt and the job of a task. By default the name is cut at its
+// last slash.
 func Names(task, job func(string) string) Option {
 	return func(o *Options) { o.Task, o.Job = task, job }
 }
 
-// LeavingGrace sets how long after its leaving was announced a target may still get new work.
+// LeavingGrace sets how long a target may still get new requests after it was announced as leaving.
 func LeavingGrace(d time.Duration) Option { return func(o *Options) { o.LeavingGrace = d } }
 
-// MaxEvents bounds the run.
+// MaxEvents limits the events of the run.
 func MaxEvents(n int) Option { return func(o *Options) { o.MaxEvents = n } }
 
 // New returns a checker without events.
 func New(opts ...Option) *Checker {
-	o := Options{Task: cutLast, Job: cutLast, LeavingGrace: DefaultLeavingGrace, MaxEvents: DefaultMaxEvents}
+	o := Options{Task: cutLastSegment, Job: cutLastSegment, LeavingGrace: DefaultLeavingGrace, MaxEvents: DefaultMaxEvents}
 	for _, f := range opts {
 		f(&o)
 	}
 	return &Checker{opts: o}
 }
 
-func cutLast(name string) string {
+func cutLastSegment(name string) string {
 	if i := strings.LastIndexByte(name, '/'); i >= 0 {
 		return name[:i]
 	}
 	return name
 }
 
-// Record adds an event; without a time it happened now.
+// Record adds an event. The time of an event without one is set to now.
 func (c *Checker) Record(e Event) {
 	if e.At.IsZero() {
 		e.At = time.Now()
@@ -75,60 +75,62 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.events) >= c.opts.MaxEvents {
-		c.lost++
+		c.dropped++
 		return
 	}
 	c.events = append(c.events, e)
 }
 
-// Events gives what was recorded so far, so that the judge of several processes can record it too.
+// Events returns the events recorded so far, so that a Checker of several processes can record them too.
 func (c *Checker) Events() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.events)
 }
 
-// Check judges the run so far.
+// Check returns the violations in the events recorded so far.
 func (c *Checker) Check() finding.List {
 	c.mu.Lock()
-	events, lost := slices.Clone(c.events), c.lost
+	events, dropped := slices.Clone(c.events), c.dropped
 	c.mu.Unlock()
-	// Events of one instant keep the order in which they were recorded, facts aside: an attempt may
-	// end as it starts, and its place may be taken in the same instant of a paused clock.
+	// Events with the same time keep the order in which they were recorded, except for facts such as
+	// capacities. With a paused clock, an attempt may start and end and another one may take its place,
+	// all at the same time.
 	slices.SortStableFunc(events, func(a, b Event) int {
-		return cmp.Or(a.At.Compare(b.At), cmp.Compare(rank(a.Kind), rank(b.Kind)))
+		return cmp.Or(a.At.Compare(b.At), cmp.Compare(sortRank(a.Kind), sortRank(b.Kind)))
 	})
-	j := newJudge(&c.opts)
-	j.needsIntent = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == Intent })
+	p := newReplay(&c.opts)
+	p.needsIntent = slices.ContainsFunc(events, func(e Event) bool { return e.Kind == Intent })
 	for i := range events {
-		j.take(&events[i])
+		p.apply(&events[i])
 	}
-	if lost > 0 {
-		j.list.Add("run", "has %d events too many to be judged", lost)
+	if dropped > 0 {
+		p.list.Add("run", "has %d events too many to be judged", dropped)
 	}
-	return j.verdict()
+	return p.finish()
 }
 
-// rank puts the facts of an instant before what happened in it.
-func rank(k Kind) int {
+// sortRank sorts facts before other events of the same time.
+func sortRank(k Kind) int {
 	if k == WorkerCapacity || k == TargetCapacity || k == Accepted {
 		return 0
 	}
 	return 1
 }
 
-// judge replays the events in order.
-type judge struct {
+// replay applies the events in order and collects violations.
+type replay struct {
 	opts    *Options
 	list    finding.List
 	jobs    map[string]*jobRecord
-	workers map[string]*place
-	targets map[string]*place
-	// running holds the attempts of each task that run now.
+	workers map[string]*node
+	targets map[string]*node
+	// running holds the attempts of each task that are running now.
 	running map[string][]run
-	// ran counts the attempts of each task that ever started.
-	ran  map[string]int
-	keys map[string]int
+	// starts counts the attempts of each task that were started.
+	starts map[string]int
+	// requests counts the requests of each idempotency key.
+	requests map[string]int
 	// intents holds the attempts whose start was recorded before it was sent.
 	intents     map[string]bool
 	needsIntent bool
@@ -139,158 +141,160 @@
 type jobRecord struct {
 	accepted, live bool
 	repeatable     bool
-	told           job.Outcome
+	reported       job.Outcome
 	started        bool
-	// tasks is how many the job has, ran how many of them have started, running how many run now.
-	tasks, ran, running int
+	// tasks is the number of tasks of the job, startedTasks of those that ever started, and running of
+	// those running now.
+	tasks, startedTasks, running int
 }
 
-type place struct {
+// node is a worker or target.
+type node struct {
 	has, used    job.Resources
 	slots, inUse int
 	leavingSince time.Time
 }
 
-func newJudge(o *Options) *judge {
-	return &judge{
-		opts: o, jobs: make(map[string]*jobRecord), workers: make(map[string]*place),
-		targets: make(map[string]*place), running: make(map[string][]run), ran: make(map[string]int),
-		keys: make(map[string]int), intents: make(map[string]bool),
+func newReplay(o *Options) *replay {
+	return &replay{
+		opts: o, jobs: make(map[string]*jobRecord), workers: make(map[string]*node),
+		targets: make(map[string]*node), running: make(map[string][]run), starts: make(map[string]int),
+		requests: make(map[string]int), intents: make(map[string]bool),
 	}
 }
 
-func (j *judge) job(id string) *jobRecord { return get(j.jobs, id) }
+func (p *replay) job(id string) *jobRecord { return getOrCreate(p.jobs, id) }
 
-func get[T any](of map[string]*T, name string) *T {
-	v, ok := of[name]
+func getOrCreate[T any](m map[string]*T, name string) *T {
+	v, ok := m[name]
 	if !ok {
 		v = new(T)
-		of[name] = v
+		m[name] = v
 	}
 	return v
 }
 
-func (j *judge) take(e *Event) {
+func (p *replay) apply(e *Event) {
 	switch e.Kind {
 	case Accepted:
-		r := j.job(e.Job)
+		r := p.job(e.Job)
 		r.accepted, r.repeatable, r.tasks = true, e.Repeatable, e.Tasks
 	case Intent:
-		j.intents[e.Attempt] = true
+		p.intents[e.Attempt] = true
 	case Live:
-		j.job(e.Job).live = true
+		p.job(e.Job).live = true
 	case Reported:
-		j.told(e)
+		p.onReported(e)
 	case WorkerCapacity:
-		get(j.workers, e.Worker).has = e.Resources
+		getOrCreate(p.workers, e.Worker).has = e.Resources
 	case Started:
-		j.started(e)
+		p.onStarted(e)
 	case Ended:
-		j.ended(e)
+		p.onEnded(e)
 	case TargetCapacity:
-		get(j.targets, e.Worker).slots = e.Slots
+		getOrCreate(p.targets, e.Worker).slots = e.Slots
 	case RequestStarted:
-		j.requestBegan(e)
+		p.onRequestStarted(e)
 	case RequestEnded:
-		get(j.targets, e.Worker).inUse--
+		getOrCreate(p.targets, e.Worker).inUse--
 	case Leaving:
-		get(j.targets, e.Worker).leavingSince = e.At
+		getOrCreate(p.targets, e.Worker).leavingSince = e.At
 	}
 }
 
-func (j *judge) started(e *Event) {
-	task := j.opts.Task(e.Attempt)
-	r := j.job(j.opts.Job(task))
+func (p *replay) onStarted(e *Event) {
+	task := p.opts.Task(e.Attempt)
+	r := p.job(p.opts.Job(task))
 	r.started = true
-	if j.needsIntent && !j.intents[e.Attempt] {
-		j.list.Add("task "+task, "started as %s without an intent", e.Attempt)
+	if p.needsIntent && !p.intents[e.Attempt] {
+		p.list.Add("task "+task, "started as %s without an intent", e.Attempt)
 	}
-	w := get(j.workers, e.Worker)
+	w := getOrCreate(p.workers, e.Worker)
 	w.used = w.used.Plus(e.Resources)
 	if !w.used.FitsIn(w.has) {
-		j.list.Add("worker "+e.Worker, "overfilled by %s: uses %+v of %+v", e.Attempt, w.used, w.has)
+		p.list.Add("worker "+e.Worker, "overfilled by %s: uses %+v of %+v", e.Attempt, w.used, w.has)
 	}
-	for _, o := range j.running[task] {
-		j.list.Add("task "+task, "runs in two places: %s at %s and %s at %s", o.attempt, o.worker, e.Attempt, e.Worker)
+	for _, o := range p.running[task] {
+		p.list.Add("task "+task, "runs in two places: %s at %s and %s at %s", o.attempt, o.worker, e.Attempt, e.Worker)
 	}
-	j.running[task] = append(j.running[task], run{e.Attempt, e.Worker})
+	p.running[task] = append(p.running[task], run{e.Attempt, e.Worker})
 	r.running++
-	j.ran[task]++
-	if j.ran[task] == 1 {
-		r.ran++
+	p.starts[task]++
+	if p.starts[task] == 1 {
+		r.startedTasks++
 	}
-	if r.accepted && !r.repeatable && j.ran[task] == 2 {
-		j.list.Add("task "+task, "is not repeatable and ran again as %s", e.Attempt)
+	if r.accepted && !r.repeatable && p.starts[task] == 2 {
+		p.list.Add("task "+task, "is not repeatable and ran again as %s", e.Attempt)
 	}
 }
 
-func (j *judge) ended(e *Event) {
-	task := j.opts.Task(e.Attempt)
-	at := slices.Index(j.running[task], run{e.Attempt, e.Worker})
-	if at < 0 {
+func (p *replay) onEnded(e *Event) {
+	task := p.opts.Task(e.Attempt)
+	index := slices.Index(p.running[task], run{e.Attempt, e.Worker})
+	if index < 0 {
 		return
 	}
-	j.running[task] = slices.Delete(j.running[task], at, at+1)
-	j.job(j.opts.Job(task)).running--
-	w := get(j.workers, e.Worker)
+	p.running[task] = slices.Delete(p.running[task], index, index+1)
+	p.job(p.opts.Job(task)).running--
+	w := getOrCreate(p.workers, e.Worker)
 	w.used = w.used.Minus(e.Resources)
 }
 
-func (j *judge) told(e *Event) {
-	r := j.job(e.Job)
-	if r.told != "" && r.told != e.Outcome {
-		j.list.Add("job "+e.Job, "was told %s and then %s", r.told, e.Outcome)
+func (p *replay) onReported(e *Event) {
+	r := p.job(e.Job)
+	if r.reported != "" && r.reported != e.Outcome {
+		p.list.Add("job "+e.Job, "was told %s and then %s", r.reported, e.Outcome)
 	}
-	r.told = e.Outcome
+	r.reported = e.Outcome
 	if e.Outcome != job.Done {
 		return
 	}
 	switch {
 	case !e.Intact:
-		j.list.Add("job "+e.Job, "was told done without its whole answer")
+		p.list.Add("job "+e.Job, "was told done without its whole answer")
 	case r.accepted && !r.started:
-		j.list.Add("job "+e.Job, "was told done and never started")
+		p.list.Add("job "+e.Job, "was told done and never started")
 	case r.running > 0:
-		j.list.Add("job "+e.Job, "was told done while it runs")
-	case r.ran < r.tasks:
-		j.list.Add("job "+e.Job, "was told done after %d of %d tasks", r.ran, r.tasks)
+		p.list.Add("job "+e.Job, "was told done while it runs")
+	case r.startedTasks < r.tasks:
+		p.list.Add("job "+e.Job, "was told done after %d of %d tasks", r.startedTasks, r.tasks)
 	}
 }
 
-func (j *judge) requestBegan(e *Event) {
-	t := get(j.targets, e.Worker)
+func (p *replay) onRequestStarted(e *Event) {
+	t := getOrCreate(p.targets, e.Worker)
 	t.inUse++
 	if t.inUse > t.slots {
-		j.list.Add("target "+e.Worker, "works on %d requests with %d slots", t.inUse, t.slots)
+		p.list.Add("target "+e.Worker, "works on %d requests with %d slots", t.inUse, t.slots)
 	}
-	if !t.leavingSince.IsZero() && !e.Session && e.At.Sub(t.leavingSince) > j.opts.LeavingGrace {
-		j.list.Add("target "+e.Worker, "got %s %s after its leaving", e.Attempt, e.At.Sub(t.leavingSince))
+	if !t.leavingSince.IsZero() && !e.Session && e.At.Sub(t.leavingSince) > p.opts.LeavingGrace {
+		p.list.Add("target "+e.Worker, "got %s %s after its leaving", e.Attempt, e.At.Sub(t.leavingSince))
 	}
-	j.job(j.opts.Task(e.Attempt)).started = true
+	p.job(p.opts.Task(e.Attempt)).started = true
 	if e.Key == "" {
 		return
 	}
-	r := j.job(e.Key)
+	r := p.job(e.Key)
 	r.started = true
-	j.keys[e.Key]++
-	if r.accepted && !r.repeatable && j.keys[e.Key] == 2 {
-		j.list.Add("check "+e.Key, "is not repeatable and ran again as %s", e.Attempt)
+	p.requests[e.Key]++
+	if r.accepted && !r.repeatable && p.requests[e.Key] == 2 {
+		p.list.Add("check "+e.Key, "is not repeatable and ran again as %s", e.Attempt)
 	}
 }
 
-func (j *judge) verdict() finding.List {
-	ids := make([]string, 0, len(j.jobs))
-	for id := range j.jobs {
+func (p *replay) finish() finding.List {
+	ids := make([]string, 0, len(p.jobs))
+	for id := range p.jobs {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		switch r := j.jobs[id]; {
-		case r.told == job.NotRun && r.started:
-			j.list.Add("job "+id, "was told notRun and has started")
-		case r.accepted && r.told == "" && !r.live:
-			j.list.Add("job "+id, "was accepted and is lost")
+		switch r := p.jobs[id]; {
+		case r.reported == job.NotRun && r.started:
+			p.list.Add("job "+id, "was told notRun and has started")
+		case r.accepted && r.reported == "" && !r.live:
+			p.list.Add("job "+id, "was accepted and is lost")
 		}
 	}
-	return j.list
+	return p.list
 }
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -16,8 +16,8 @@
 	one   = job.Resources{Millicores: 1000, MemoryMB: 100}
 )
 
-// good is a run that keeps all promises; event i happens i seconds after the start.
-func good() []Event {
+// validRun returns a run without violations; event i happens i seconds after the start.
+func validRun() []Event {
 	return []Event{
 		0:  {Kind: WorkerCapacity, Worker: "w1", Resources: one},
 		1:  {Kind: WorkerCapacity, Worker: "w2", Resources: one},
@@ -51,8 +51,8 @@
 	}
 }
 
-// judged plays events in an order that is not that of their times.
-func judged(events []Event) []string {
+// check records events in reverse order and returns the violations.
+func check(events []Event) []string {
 	c := New()
 	for i := range slices.Backward(events) {
 		if events[i].Kind != "" {
@@ -62,14 +62,14 @@
 			c.Record(events[i])
 		}
 	}
-	var places []string
+	var found []string
 	for _, f := range c.Check() {
-		places = append(places, f.String())
+		found = append(found, f.String())
 	}
-	return places
+	return found
 }
 
-// Each case breaks one promise in a run that keeps all; the judge must find it, and only it.
+// Each case adds one violation to a valid run. The Checker must find this violation and no other.
 func TestPlantedViolations(t *testing.T) {
 	at := func(i int) time.Time { return start.Add(time.Duration(i)*time.Second + time.Second/2) }
 	cases := []struct {
@@ -78,29 +78,29 @@
 		want  string
 	}{
 		{"none", func(e []Event) []Event { return e }, ""},
-		{"overfilled", func(e []Event) []Event {
+		{"overloaded", func(e []Event) []Event {
 			return append(e, Event{At: at(11), Kind: Intent, Attempt: "j3/0/1"},
 				Event{At: at(12), Kind: Started, Worker: "w1", Attempt: "j9/0/1", Resources: one},
 				Event{At: at(13), Kind: Ended, Worker: "w1", Attempt: "j9/0/1", Resources: one},
 				Event{At: at(11), Kind: Intent, Attempt: "j9/0/1"})
 		}, "worker w1: overfilled by j9/0/1"},
-		{"overfilled in memory alone", func(e []Event) []Event { e[10].Resources.MemoryMB++; return e }, "worker w2: overfilled"},
-		{"two places", func(e []Event) []Event { e[8].At = at(10); e[12].At = at(11); return e }, "task j1/0: runs in two places"},
-		{"not repeatable, again", func(e []Event) []Event {
+		{"overloaded in memory only", func(e []Event) []Event { e[10].Resources.MemoryMB++; return e }, "worker w2: overfilled"},
+		{"two runs at once", func(e []Event) []Event { e[8].At = at(10); e[12].At = at(11); return e }, "task j1/0: runs in two places"},
+		{"not repeatable, repeated", func(e []Event) []Event {
 			return append(e, Event{At: at(16), Kind: Intent, Attempt: "j2/0/2"},
 				Event{At: at(17), Kind: Started, Worker: "w2", Attempt: "j2/0/2", Resources: one})
 		}, "task j2/0: is not repeatable and ran again as j2/0/2"},
-		{"check not repeatable, again", func(e []Event) []Event {
+		{"check not repeatable, repeated", func(e []Event) []Event {
 			return append(e, Event{At: at(20), Kind: RequestStarted, Worker: "t1", Attempt: "r9", Key: "k1"},
 				Event{At: at(21), Kind: RequestEnded, Worker: "t1", Attempt: "r9", Key: "k1"})
 		}, "check k1: is not repeatable and ran again as r9"},
 		{"not run, but started", func(e []Event) []Event { e[15].Outcome = job.NotRun; return e }, "job j2: was told notRun"},
-		{"not run, and started later", func(e []Event) []Event {
+		{"not run, but started later", func(e []Event) []Event {
 			return append(e, Event{At: at(40), Kind: Intent, Attempt: "j3/0/1"},
 				Event{At: at(41), Kind: Started, Worker: "w1", Attempt: "j3/0/1", Resources: one})
 		}, "job j3: was told notRun"},
-		{"check not run, but worked on", func(e []Event) []Event { e[21].Outcome = job.NotRun; return e }, "job k1: was told notRun"},
-		{"done in part", func(e []Event) []Event { e[14].Intact = false; return e }, "job j1: was told done without"},
+		{"check not run, but processed", func(e []Event) []Event { e[21].Outcome = job.NotRun; return e }, "job k1: was told notRun"},
+		{"done with a truncated answer", func(e []Event) []Event { e[14].Intact = false; return e }, "job j1: was told done without"},
 		{"two outcomes", func(e []Event) []Event {
 			return append(e, Event{At: at(40), Kind: Reported, Job: "j2", Outcome: job.Done, Intact: true})
 		}, "job j2: was told unknown and then done"},
@@ -113,14 +113,14 @@
 		{"lost", func(e []Event) []Event { e[34].Kind = ""; return e }, "job j4: was accepted and is lost"},
 		{"no intent", func(e []Event) []Event { e[6].At = at(7); return e }, "task j1/0: started as j1/0/1 without"},
 		{"slots", func(e []Event) []Event { e[20].At = at(23); return e }, "target t1: works on 2 requests"},
-		{"slots of an unknown target", func(e []Event) []Event {
+		{"slots of unknown target", func(e []Event) []Event {
 			return append(e, Event{At: at(40), Kind: RequestStarted, Worker: "t2", Attempt: "r9"})
 		}, "target t2: works on 1 requests with 0 slots"},
 		{"new work while leaving", func(e []Event) []Event { e[31].Session = false; return e }, "target t1: got r3"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			found := judged(c.plant(good()))
+			found := check(c.plant(validRun()))
 			if c.want == "" {
 				is.New(t).Equal(found, nil)
 				return
@@ -133,8 +133,9 @@
 	}
 }
 
-// A task fails as it starts, and the next one takes its place, all in one instant.
-func TestOneInstant(t *testing.T) {
+// A task fails as it starts and the next attempt takes its place, all at the same time. Checking must keep
+// the recorded order of these events.
+func TestEventsAtSameTime(t *testing.T) {
 	c := New()
 	for _, e := range []Event{
 		{Kind: Started, Worker: "w", Attempt: "j1/0/1", Resources: one},
@@ -150,7 +151,7 @@
 	is.New(t).NoErr(c.Check().Err())
 }
 
-func TestRunTooLong(t *testing.T) {
+func TestTooManyEvents(t *testing.T) {
 	c := New(MaxEvents(1))
 	c.Record(Event{Kind: WorkerCapacity, Worker: "w"})
 	c.Record(Event{Kind: WorkerCapacity, Worker: "w"})
--- a/operate/diff.go
+++ b/operate/diff.go
@@ -8,7 +8,7 @@
 	"turmericgap/rule"
 )
 
-// ChangeKind says what became of a rule between two documents.
+// ChangeKind is how a rule differs between two documents.
 type ChangeKind string
 
 // The kinds of changes.
@@ -19,24 +19,24 @@
 	Moved   ChangeKind = "moved"
 )
 
-// Change is one rule that two documents do not have alike.
+// Change is the difference of one rule between two documents.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
 	Rule string     `json:"rule"`
-	// From and To are its places, counted from zero; -1 where it is not there.
+	// From and To are the rule's positions, counted from zero, or -1 if it is missing.
 	From   int        `json:"from"`
 	To     int        `json:"to"`
 	Before *rule.Rule `json:"before,omitempty"`
 	After  *rule.Rule `json:"after,omitempty"`
 }
 
-// Diff gives what leads from one document to another, removed rules first. A rule counts as moved
-// when its order among the rules that both have is not the same.
+// Diff returns the changes from one document to another, removed rules first. A rule counts as moved if
+// its order among the rules in both documents differs.
 func Diff(from, to rule.Document) []Change {
 	var out []Change
 	common := make([]string, 0, len(from.Rules))
 	for i := range from.Rules {
-		if at(to, from.Rules[i].ID) < 0 {
+		if indexOf(to, from.Rules[i].ID) < 0 {
 			out = append(out, Change{Kind: Removed, Rule: from.Rules[i].ID, From: i, To: -1, Before: &from.Rules[i]})
 			continue
 		}
@@ -45,13 +45,13 @@
 	rank := 0
 	for i := range to.Rules {
 		r := &to.Rules[i]
-		k := at(from, r.ID)
+		k := indexOf(from, r.ID)
 		if k < 0 {
 			out = append(out, Change{Kind: Added, Rule: r.ID, From: -1, To: i, After: r})
 			continue
 		}
 		switch moved := common[rank] != r.ID; {
-		case !same(&from.Rules[k], r):
+		case !equalRules(&from.Rules[k], r):
 			out = append(out, Change{Kind: Changed, Rule: r.ID, From: k, To: i, Before: &from.Rules[k], After: r})
 		case moved:
 			out = append(out, Change{Kind: Moved, Rule: r.ID, From: k, To: i})
@@ -61,12 +61,12 @@
 	return out
 }
 
-func at(d rule.Document, id string) int {
+func indexOf(d rule.Document, id string) int {
 	return slices.IndexFunc(d.Rules, func(r rule.Rule) bool { return r.ID == id })
 }
 
-// same compares rules by their compact JSON, so that white space in parameters does not count.
-func same(a, b *rule.Rule) bool {
+// equalRules compares rules by their compact JSON, which ignores white space in parameters.
+func equalRules(a, b *rule.Rule) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
 	return errX == nil && errY == nil && bytes.Equal(x, y)
--- a/operate/doc.go
+++ b/operate/doc.go
@@ -1,2 +1,3 @@
-// Package operate holds what operators ask of a cell: the state of its schedulers and the history of its rules.
+// Package operate implements the operators' queries on a cell: the state of its schedulers and the history
+// of its rules.
 package operate
--- a/operate/operate.go
+++ b/operate/operate.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	// CallState is the rpc name under which a scheduler tells its state.
+	// CallState is the RPC name of the request for a scheduler's state.
 	CallState = "operate.state"
-	// StateTimeout bounds one question to an owner, so that a dead one does not hold up a page.
+	// StateTimeout limits a state request to one owner, so that a dead owner does not delay a page.
 	StateTimeout = 2 * time.Second
-	// SilentAfter is after which time without a sign a process is not known to be there.
+	// SilentAfter is how long a process may not be heard of before it is considered silent.
 	SilentAfter = 30 * time.Second
 )
 
 // StateRequest asks a scheduler for its state.
 type StateRequest struct {
-	// Zone asks for the zone's state too, which only its owner has.
+	// Zone also requests the zone's state, which only its owner has.
 	Zone bool `msgpack:"z"`
 }
 
-// State is what one scheduler knows.
+// State is the state of one scheduler.
 type State struct {
 	At      time.Time      `json:"at"`
 	Members member.Status  `json:"members"`
 	InForce []view.Process `json:"inForce"`
-	// Zone is nil unless this scheduler owns its zone and was asked for it.
+	// Zone is nil unless it was requested and this scheduler owns its zone.
 	Zone *scheduler.State `json:"zone,omitempty"`
 }
 
-// Source is where a scheduler's process finds its own state.
+// Source provides the state of this process's scheduler.
 type Source struct {
 	Members func() member.Status
 	InForce func() []view.Process
@@ -50,7 +50,7 @@
 // Register serves the operators' calls.
 func (s *Source) Register(server *rpc.Server) { rpc.Handle(server, CallState, s.State) }
 
-// State serves rpc "operate.state".
+// State handles the RPC "operate.state".
 func (s *Source) State(ctx context.Context, a *StateRequest) (*State, error) {
 	out := &State{At: time.Now().UTC(), Members: s.Members(), InForce: s.InForce()}
 	if !a.Zone {
@@ -64,19 +64,19 @@
 	return out, err
 }
 
-// Zone is one zone as its owner tells it.
+// Zone is the state of one zone as reported by its owner.
 type Zone struct {
 	Name    string `json:"name"`
 	Owner   string `json:"owner"`
 	Address string `json:"address"`
-	// Basis is what lets the owner act just now; empty where it gave no answer.
+	// Basis is what currently allows the owner to act; it is empty if the owner did not answer.
 	Basis member.Basis `json:"basis,omitempty"`
-	// State is nil where Problem says why.
+	// State is nil if it is not available; Problem then gives the reason.
 	State   *scheduler.State `json:"state,omitempty"`
 	Problem string           `json:"problem,omitempty"`
 }
 
-// Cell is what can be known of the cell at one moment, its zones in the order of their names.
+// Cell is a snapshot of the cell, with its zones sorted by name.
 type Cell struct {
 	At      time.Time      `json:"at"`
 	View    view.View      `json:"view"`
@@ -84,9 +84,9 @@
 	Zones   []Zone         `json:"zones"`
 }
 
-// Collect asks the owners of all zones of the view at once; one that is silent costs AskTimeout.
+// Collect asks the owners of all zones of the view in parallel; it waits for at most StateTimeout.
 func Collect(ctx context.Context, pool *rpc.Pool, v *view.View, inForce []view.Process) Cell {
-	c := Cell{At: time.Now().UTC(), View: *v, InForce: inForce, Zones: zonesOf(v)}
+	c := Cell{At: time.Now().UTC(), View: *v, InForce: inForce, Zones: listZones(v)}
 	var wg sync.WaitGroup
 	for i := range c.Zones {
 		z := &c.Zones[i]
@@ -94,13 +94,13 @@
 			z.Problem = "the zone has no owner"
 			continue
 		}
-		wg.Go(func() { z.ask(ctx, pool) })
+		wg.Go(func() { z.fetchState(ctx, pool) })
 	}
 	wg.Wait()
 	return c
 }
 
-func (z *Zone) ask(ctx context.Context, pool *rpc.Pool) {
+func (z *Zone) fetchState(ctx context.Context, pool *rpc.Pool) {
 	ctx, cancel := context.WithTimeout(ctx, StateTimeout)
 	defer cancel()
 	s, err := rpc.Call[StateRequest, State](ctx, pool.Get(z.Address), CallState, &StateRequest{Zone: true})
@@ -117,8 +117,8 @@
 	}
 }
 
-// zonesOf gives every zone that has a table or a worker.
-func zonesOf(v *view.View) []Zone {
+// listZones returns every zone that has a member table or a worker.
+func listZones(v *view.View) []Zone {
 	names := make([]string, 0, len(v.Tables))
 	for _, t := range v.Tables {
 		names = append(names, t.Zone)
@@ -139,22 +139,23 @@
 	return out
 }
 
-// PendingClasses gives the classes with waiting tasks, the fullest first.
+// PendingClasses returns the classes with waiting tasks, the largest first.
 func PendingClasses(pending map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(pending), func(a, b string) int {
 		return cmp.Or(cmp.Compare(pending[b], pending[a]), cmp.Compare(a, b))
 	})
 }
 
-// Collector gives a function that collects the cell as this process sees it.
+// Collector returns a function that collects the cell from this process's view.
 func (s *Source) Collector(pool *rpc.Pool) func(context.Context) Cell {
 	return func(ctx context.Context) Cell { return Collect(ctx, pool, s.View(), s.InForce()) }
 }
 
-// Warning says in a sentence why an owner that answers may still start nothing; empty if all is well.
+// Warning describes why an owner that answers may still be unable to start anything; it is empty if there
+// is no problem.
 //
-// Failure: the store was lost or restored and the owner's lease with it. Symptom: its workers look
-// as if their heartbeats failed, because it may not send any. The basis tells the two apart.
+// If the store was lost or restored, and the owner's lease with it, the owner may not send heartbeats and
+// its workers look as if their heartbeats failed. The basis distinguishes the two cases.
 func (z *Zone) Warning() string {
 	switch z.Basis {
 	case member.ByNothing:
--- a/operate/operate_test.go
+++ b/operate/operate_test.go
@@ -14,9 +14,9 @@
 	"turmericgap/view"
 )
 
-// An operator would see no page, or a part of the cell as the whole.
-// One owner answers, one has lost its zone, one cannot be dialled, and one zone has no owner.
-func TestCollectTellsWhatIsMissing(t *testing.T) {
+// The page must name what is missing when only a part of the cell can be collected: one owner answers, one
+// has lost its zone, one cannot be reached, and one zone has no owner.
+func TestCollectReportsMissingZones(t *testing.T) {
 	is := is.New(t)
 	servers := map[string]*rpc.Server{"10.0.0.1:1": rpc.NewServer(), "10.0.0.2:1": rpc.NewServer()}
 	for address, server := range servers {
@@ -43,11 +43,11 @@
 	defer pool.Close()
 	v := &view.View{}
 	for zone, address := range map[string]string{"a": "10.0.0.1:1", "b": "10.0.0.2:1", "c": "10.0.0.3:1", "d": ""} {
-		tab := member.Table{Zone: zone, Role: member.RoleScheduler}
+		table := member.Table{Zone: zone, Role: member.RoleScheduler}
 		if address != "" {
-			tab.Owner, tab.Members = "s", []member.Member{{ID: "s", Address: address}}
+			table.Owner, table.Members = "s", []member.Member{{ID: "s", Address: address}}
 		}
-		v.Tables = append(v.Tables, tab)
+		v.Tables = append(v.Tables, table)
 	}
 	c := Collect(context.Background(), pool, v, nil)
 	is.Equal(len(c.Zones), 4)
--- a/operate/rules.go
+++ b/operate/rules.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// HistoryPrefix is where the store keeps past rules; it lies outside the prefix that all VMs watch.
+	// HistoryPrefix is the store prefix of past rules. It lies outside the prefix that all VMs watch.
 	HistoryPrefix = "/turmericgap/rules/"
-	// MaxHistory bounds the versions that are kept.
+	// MaxHistory is the number of versions to keep.
 	MaxHistory = 16
 )
 
@@ -30,7 +30,7 @@
 	Rules   json.RawMessage `json:"rules"`
 }
 
-// Check gives the findings of a rule document.
+// Check returns the findings of a rule document.
 func Check(raw []byte) finding.List {
 	_, err := rule.Parse(raw)
 	var l finding.List
@@ -40,26 +40,26 @@
 	return l
 }
 
-// SetRules checks and writes rules, and keeps them as an edition in the same transaction. It fails
-// as view.SetRules does.
+// SetRules checks and writes rules, and adds them to the history in the same transaction. Its errors are
+// those of view.SetRules.
 func SetRules(ctx context.Context, s *store.Store, e view.Edit) (int64, error) {
 	e.Check = Check
-	numbered, err := number(e.Raw, e.Base+1)
+	versioned, err := setVersion(e.Raw, e.Base+1)
 	if err != nil {
 		return 0, err
 	}
-	e.Raw = numbered
-	return view.SetRules(ctx, recording(s, &e), e)
+	e.Raw = versioned
+	return view.SetRules(ctx, withHistory(s, &e), e)
 }
 
-// number gives the document the version that it will have.
-func number(raw []byte, version int64) ([]byte, error) {
+// setVersion returns the document with its new version.
+func setVersion(raw []byte, version int64) ([]byte, error) {
 	if l := Check(raw); len(l) > 0 {
 		return nil, l
 	}
 	var d rule.Document
 	if err := json.Unmarshal(raw, &d); err != nil {
-		return nil, eris.Wrap(err, "number rule document")
+		return nil, eris.Wrap(err, "set version of rule document")
 	}
 	d.Version = version
 	if d.Rules == nil {
@@ -68,29 +68,30 @@
 	return json.Marshal(&d)
 }
 
-// recording adds the edition to the transaction that writes the rules, and drops the oldest one.
-// Written apart from it, an edition could be missing, or tell of rules that were never in force.
-func recording(s *store.Store, e *view.Edit) *store.Store {
+// withHistory returns a store whose transaction also adds the rules to the history and deletes the oldest
+// version. With a separate transaction, a version could be missing from the history, or the history could
+// hold rules that were never in force.
+func withHistory(s *store.Store, e *view.Edit) *store.Store {
 	out := *s
 	out.Txn = func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
 		version := e.Base + 1
 		raw, err := json.Marshal(&RulesVersion{Version: version, Editor: e.Editor, At: time.Now().UTC(), Rules: e.Raw})
 		if err != nil {
-			return store.TxnResult{}, eris.Wrap(err, "encode edition")
+			return store.TxnResult{}, eris.Wrap(err, "encode rules version")
 		}
-		t.Then = append(slices.Clone(t.Then), store.Op{Key: editionKey(version), Value: raw})
+		t.Then = append(slices.Clone(t.Then), store.Op{Key: historyKey(version), Value: raw})
 		if old := version - MaxHistory; old > 0 {
-			t.Then = append(t.Then, store.Op{Delete: true, Key: HistoryPrefix, End: editionKey(old + 1)})
+			t.Then = append(t.Then, store.Op{Delete: true, Key: HistoryPrefix, End: historyKey(old + 1)})
 		}
 		return s.Txn(ctx, t)
 	}
 	return &out
 }
 
-// editionKey sorts as the versions do.
-func editionKey(version int64) string { return fmt.Sprintf("%s%012d", HistoryPrefix, version) }
+// historyKey returns the key of a version; keys sort in the order of versions.
+func historyKey(version int64) string { return fmt.Sprintf("%s%012d", HistoryPrefix, version) }
 
-// History gives the editions that are kept, the newest first.
+// History returns the stored versions, the newest first.
 func History(ctx context.Context, s *store.Store) ([]RulesVersion, error) {
 	got, err := s.Range(ctx, store.Range{Key: HistoryPrefix, End: store.PrefixEnd(HistoryPrefix)})
 	if err != nil {
@@ -99,14 +100,14 @@
 	out := make([]RulesVersion, len(got.Pairs))
 	for i, p := range got.Pairs {
 		if err := json.Unmarshal(p.Value, &out[i]); err != nil {
-			return nil, eris.Wrapf(err, "decode edition %s", p.Key)
+			return nil, eris.Wrapf(err, "decode rules version %s", p.Key)
 		}
 	}
 	slices.Reverse(out)
 	return out, nil
 }
 
-// Current gives the rules that the store holds; its version is zero where there are none yet.
+// Current returns the rules in the store; the version is zero if there are none yet.
 func Current(ctx context.Context, s *store.Store) (RulesVersion, error) {
 	got, err := s.Range(ctx, store.Range{Key: view.RulesKey})
 	if err != nil || len(got.Pairs) == 0 {
--- a/operate/rules_test.go
+++ b/operate/rules_test.go
@@ -25,7 +25,7 @@
 	return []byte(`{"rules":[` + strings.Join(rules, ",") + `]}`)
 }
 
-func TestSetRulesKeepsEditions(t *testing.T) {
+func TestSetRulesKeepsHistory(t *testing.T) {
 	is := is.New(t)
 	ctx, s := context.Background(), memory.New().Store()
 	for base := range int64(MaxHistory + 3) {
@@ -38,17 +38,17 @@
 	is.Equal(len(l), MaxHistory)
 	is.Equal(l[0].Version, int64(MaxHistory+3))
 	is.Equal(l[MaxHistory-1].Version, int64(4))
-	now, err := Current(ctx, s)
+	current, err := Current(ctx, s)
 	is.NoErr(err)
-	parsed, err := rule.Parse(now.Rules)
+	parsed, err := rule.Parse(current.Rules)
 	is.NoErr(err)
-	is.Equal(parsed.Version(), now.Version)
-	is.Equal(string(now.Rules), string(l[0].Rules))
+	is.Equal(parsed.Version(), current.Version)
+	is.Equal(string(current.Rules), string(l[0].Rules))
 }
 
-// An operator's history would tell of rules that were never in force.
-// An edit is refused, by findings or by a conflict, or its transaction fails its comparison.
-func TestRefusedEditLeavesNoEdition(t *testing.T) {
+// An edit that is refused, because of findings, a conflict or a lost race in its transaction, must not
+// appear in the history, which would then hold rules that were never in force.
+func TestRefusedEditIsNotInHistory(t *testing.T) {
 	is := is.New(t)
 	ctx, s := context.Background(), memory.New().Store()
 	_, err := SetRules(ctx, s, view.Edit{Raw: doc("a"), Editor: "asha"})
@@ -68,10 +68,10 @@
 	}
 	_, err = SetRules(ctx, &raced, view.Edit{Base: 1, Raw: doc("b"), Editor: "ravi"})
 	is.True(errors.As(err, &conflict))
-	editions, err := History(ctx, s)
+	versions, err := History(ctx, s)
 	is.NoErr(err)
-	is.Equal(len(editions), 2)
-	is.Equal(editions[0].Editor, "meera")
+	is.Equal(len(versions), 2)
+	is.Equal(versions[0].Editor, "meera")
 }
 
 func TestDiff(t *testing.T) {
@@ -80,7 +80,7 @@
 		from, to []string
 		want     string
 	}{
-		{"alike", []string{"a", "b"}, []string{"a", "b"}, ""},
+		{"equal", []string{"a", "b"}, []string{"a", "b"}, ""},
 		{"added", []string{"a"}, []string{"b", "a"}, "added b -1 0"},
 		{"removed", []string{"a", "b"}, []string{"b"}, "removed a 0 -1"},
 		{"changed", []string{"a", "b"}, []string{"A", "b"}, "changed a 0 0"},
