--- a/finding/doc.go
+++ b/finding/doc.go
@@ -1,3 +1,3 @@
-// Package finding collects what is wrong with an input, each fault with its place, so that all of
-// them are reported together.
+// Package finding collects the errors in an input, each with its path, so that they are reported
+// together.
 package finding
--- a/logger/bounded_test.go
+++ b/logger/async_test.go
@@ -10,26 +10,26 @@
 	"github.com/matryer/is"
 )
 
-// writes keeps each write of a log apart, as a reader at the other end of a pipe may see them.
-type writes struct {
-	mu  sync.Mutex
-	all [][]byte
+// writeRecorder records each write separately, as the reader of a pipe may see them.
+type writeRecorder struct {
+	mu     sync.Mutex
+	writes [][]byte
 }
 
-func (w *writes) Write(p []byte) (int, error) {
+func (w *writeRecorder) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all = append(w.all, bytes.Clone(p))
+	w.writes = append(w.writes, bytes.Clone(p))
 	return len(p), nil
 }
 
-// An engineer looks for the lines of a request that failed in a burst. Hundreds of lines wait for one
-// write then; a reader that takes 8 KB of a write at most would lose the rest of them, and the owner, which
-// writes the most, would lose the most. So each write is small and ends with a line.
+// In a burst, hundreds of lines are written together, and a reader that takes at most 8 KB of a write would
+// lose the rest, most of all from the owner, which logs the most. Each write must therefore be small and
+// end with a complete line.
 func TestWritesAreSmallAndWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &writes{}
+		out := &writeRecorder{}
 		b := NewAsyncWriter(out)
 		lines := 0
 		for i := range 2000 {
@@ -38,7 +38,7 @@
 			is.NoErr(err)
 		}
 		b.Close()
-		for _, w := range out.all {
+		for _, w := range out.writes {
 			is.True(len(w) <= 4096)
 			is.Equal(w[len(w)-1], byte('\n'))
 			lines += bytes.Count(w, []byte("\n"))
@@ -48,18 +48,18 @@
 	})
 }
 
-// A line that is longer than a write should be is written whole all the same.
+// A line that is longer than the limit of a write must still be written completely.
 func TestLongLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &writes{}
+		out := &writeRecorder{}
 		b := NewAsyncWriter(out)
-		long := append(bytes.Repeat([]byte("y"), 3*boundedBytes), '\n')
+		long := append(bytes.Repeat([]byte("y"), 3*maxWriteBytes), '\n')
 		for _, line := range [][]byte{[]byte("a\n"), long, []byte("b\n")} {
 			_, err := b.Write(line)
 			is.NoErr(err)
 		}
 		b.Close()
-		is.Equal(bytes.Join(out.all, nil), append(append([]byte("a\n"), long...), []byte("b\n")...))
+		is.Equal(bytes.Join(out.writes, nil), append(append([]byte("a\n"), long...), []byte("b\n")...))
 	})
 }
--- a/logger/doc.go
+++ b/logger/doc.go
@@ -1,2 +1,3 @@
-// Package logger makes structured logs of short sentences with a fixed prefix for each part.
+// Package logger creates structured loggers. Each part of the system logs short messages with a fixed
+// prefix.
 package logger
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -5,7 +5,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Level is the level of all loggers of the process; it may be changed at run time.
+// Level is the level of all loggers of the process; it can be changed at run time.
 var Level = zap.NewAtomicLevelAt(zapcore.InfoLevel)
 
 // New returns the root logger of a program, writing JSON lines to standard error.
@@ -24,5 +24,5 @@
 	return l.Named(program)
 }
 
-// Part returns a logger whose sentences start with the prefix of one part.
+// Part returns the logger of one part of the system, named with its prefix.
 func Part(l *zap.Logger, prefix string) *zap.Logger { return l.Named(prefix) }
--- a/maintenance/doc.go
+++ b/maintenance/doc.go
@@ -1,3 +1,3 @@
-// Package maintenance holds what the platform tells of the VMs under the workers, and the upkeep that
-// operators ask for in waves.
+// Package maintenance describes the VMs that run workers, as reported by the platform, and the upkeep that
+// operators request in waves.
 package maintenance
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// State is what a VM does.
+// State is the state of a VM.
 type State string
 
 // The states of a VM.
@@ -17,48 +17,48 @@
 	Down   State = "down"
 )
 
-// VM is a VM under a worker.
+// VM is a VM that runs a worker.
 type VM struct {
 	ID, Pool string
 	State    State
-	// Worker is the ID of its present worker, empty while there is none.
+	// Worker is the ID of the VM's current worker; it is empty if there is none.
 	Worker string
 }
 
-// Wave asks that each of some VMs has its upkeep in time.
+// Wave is a request for the upkeep of a set of VMs within a time limit.
 type Wave struct {
 	Number int64
 	VMs    []string
-	// TimeLimit is how long the wave may take, Most how many of its VMs may be away at once.
+	// TimeLimit is how long the wave may take, and MaxUnavailable how many of its VMs may be down at once.
 	TimeLimit      time.Duration
 	MaxUnavailable int
 }
 
-// UpkeepOrder is an order for the upkeep of one VM. Everything that runs there ends at once.
+// UpkeepOrder orders the upkeep of one VM, which immediately ends everything that runs on it.
 type UpkeepOrder struct {
 	VM   string
 	Wave int64
-	// Holder and Fence name the owner of the cell and its tenure.
+	// Holder is the owner of the cell, and Fence the fencing token of its tenure.
 	Holder string
 	Fence  int64
 }
 
-// What the platform may answer to an order. After any other error it may have been carried out.
+// Errors of the platform's reply to an order. After any other error the order may have been executed.
 var (
 	// ErrBusy means that the VM is not up or is leaving; nothing was done.
 	ErrBusy = errors.New("the VM is busy")
-	// ErrFenced means that a later owner has given an order for the VM.
+	// ErrFenced means that a later owner has already given an order for the VM.
 	ErrFenced = errors.New("a later owner has given an order for the VM")
-	// ErrNotInWave means that the VM does not belong to the wave, or is not there.
-	ErrNotInWave = errors.New("the VM is not of that wave")
-	// ErrDeclined means that the platform takes no more calls just now; nothing was done.
+	// ErrNotInWave means that the VM does not belong to the wave or does not exist.
+	ErrNotInWave = errors.New("the VM is not in that wave")
+	// ErrDeclined means that the platform currently accepts no calls; nothing was done.
 	ErrDeclined = errors.New("the platform declines calls")
 )
 
 // Cloud calls the platform's service for VMs.
 type Cloud struct {
-	// List gives all VMs.
+	// List returns all VMs.
 	List func(ctx context.Context) ([]VM, error)
-	// Upkeep orders the upkeep of a VM; it succeeds as well where that was done before.
+	// Upkeep orders the upkeep of a VM. It also succeeds if the same order was executed before.
 	Upkeep func(ctx context.Context, o UpkeepOrder) error
 }
--- a/metric/doc.go
+++ b/metric/doc.go
@@ -1,2 +1,2 @@
-// Package metric names the process's metrics and serves them in the text format of common scrapers.
+// Package metric registers the process's metrics and serves them in the Prometheus text format.
 package metric
--- a/metric/metric.go
+++ b/metric/metric.go
@@ -10,7 +10,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Prefix stands before every metric's name on the wire.
+// Prefix is prepended to the name of every exported metric.
 const Prefix = "turmericgap_"
 
 // Registry holds the metrics of one process.
@@ -19,23 +19,23 @@
 // New returns an empty registry.
 func New() *Registry { return &Registry{inner: metrics.NewRegistry()} }
 
-// Counter gives the counter of that name, made when first asked for.
+// Counter returns the counter with this name and creates it if needed.
 func (r *Registry) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, r.inner)
 }
 
-// Gauge gives the gauge of that name, made when first asked for.
+// Gauge returns the gauge with this name and creates it if needed.
 func (r *Registry) Gauge(name string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(name, r.inner)
 }
 
-// Histogram gives the histogram of that name, made when first asked for.
+// Histogram returns the histogram with this name and creates it if needed.
 func (r *Registry) Histogram(name string) metrics.Histogram {
 	build := func() metrics.Histogram { return metrics.NewHistogram(metrics.NewUniformSample(sampleSize)) }
 	return r.inner.GetOrRegister(name, build).(metrics.Histogram)
 }
 
-// Counters gives the counts of all counters by name.
+// Counters returns the values of all counters by name.
 func (r *Registry) Counters() map[string]int64 {
 	out := make(map[string]int64)
 	r.inner.Each(func(name string, m any) {
@@ -50,7 +50,7 @@
 
 var quantiles = []float64{0.5, 0.99}
 
-// Write prints all metrics, sorted by name.
+// Write writes all metrics to w, sorted by name.
 func (r *Registry) Write(w io.Writer) {
 	var lines []string
 	r.inner.Each(func(name string, m any) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// ServeHTTP answers a scrape.
+// ServeHTTP serves the metrics to a scraper.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	r.Write(w)
--- a/status/doc.go
+++ b/status/doc.go
@@ -1,2 +1,2 @@
-// Package status renders the operators' page of a cell as plain HTML.
+// Package status renders the operators' status page of a cell as plain HTML.
 package status
--- a/status/status.go
+++ b/status/status.go
@@ -23,27 +23,27 @@
 )
 
 const (
-	// DefaultCacheTTL is how long a page is shown again: more readers ask the owners no more often.
+	// DefaultCacheTTL is how long a page is cached, so that more readers cause no more requests to owners.
 	DefaultCacheTTL = 2 * time.Second
-	// endsMost bounds the jobs that are shown.
-	endsMost = 40
+	// maxListed limits the ended jobs and the refusals on the page.
+	maxListed = 40
 )
 
 //go:embed page.html
 var pageText string
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{"time": clock, "percent": percent}).Parse(pageText))
+var page = template.Must(template.New("page").Funcs(template.FuncMap{"time": formatTime, "percent": formatPercent}).Parse(pageText))
 
-func clock(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
 	return t.UTC().Format(time.RFC3339)
 }
 
-func percent(share float64) string { return fmt.Sprintf("%.0f%%", 100*share) }
+func formatPercent(ratio float64) string { return fmt.Sprintf("%.0f%%", 100*ratio) }
 
-// Page is what the page shows, in its order.
+// Page is the content of the page, in order.
 type Page struct {
 	Self        string
 	At          time.Time
@@ -65,13 +65,13 @@
 	scheduler.Refusal
 }
 
-// Queue is the waiting tasks of one class in one zone.
+// Queue is the number of waiting tasks of one class in one zone.
 type Queue struct {
 	Zone, Class string
 	Waiting     int
 }
 
-// Rack sums up the workers of a rack; Unknown says that the zone's owner gave no answer.
+// Rack is the total of the workers of a rack. Unknown is set if the zone's owner did not answer.
 type Rack struct {
 	Zone, Name           string
 	Workers, Open, Tasks int
@@ -80,14 +80,14 @@
 	Unknown              bool
 }
 
-// Packing gives the largest part of the rack's resources that is charged.
+// Packing returns the charged share of the rack's resources, for the resource with the largest share.
 func (r *Rack) Packing() float64 {
 	l := planner.Load{Used: r.Used}
 	l.Info.Has = r.Has
 	return l.Packing()
 }
 
-// Process is one member of a table with the rules that it is known to have.
+// Process is one member of a table with the rules version that it is known to have.
 type Process struct {
 	Member member.Member
 	Lease  string
@@ -95,11 +95,11 @@
 	Epoch  int64
 	Rules  int64
 	Heard  string
-	// Fault marks a process that is silent, lacks its lease or has old rules.
+	// Fault is set if the process is silent, has no lease or has outdated rules.
 	Fault bool
 }
 
-// New makes the page of a cell as the process named self sees it.
+// New returns the page of a cell as seen by the process self.
 func New(self string, c *operate.Cell) *Page {
 	p := &Page{Self: self, At: c.At, ListVersion: c.View.ListVersion, Newest: c.View.Rules.Version, Zones: c.Zones}
 	p.addZones()
@@ -138,12 +138,13 @@
 		}
 	}
 	slices.SortStableFunc(p.Refusals, func(a, b Refusal) int { return b.At.Compare(a.At) })
-	p.Refusals = p.Refusals[:min(len(p.Refusals), endsMost)]
+	p.Refusals = p.Refusals[:min(len(p.Refusals), maxListed)]
 	slices.SortStableFunc(p.Ends, func(a, b scheduler.EndedJob) int { return b.Ended.Compare(a.Ended) })
-	p.Ends = p.Ends[:min(len(p.Ends), endsMost)]
+	p.Ends = p.Ends[:min(len(p.Ends), maxListed)]
 }
 
-// addRacks sums up the loads; a worker that its owner does not tell of is counted from the VM list.
+// addRacks adds up the loads per rack. Workers of zones whose owner did not answer are counted from the
+// VM list.
 func (p *Page) addRacks(c *operate.Cell) {
 	racks := make(map[[2]string]*Rack)
 	rack := func(zone, name string) *Rack {
@@ -153,18 +154,18 @@
 		}
 		return racks[key]
 	}
-	told := make(map[string]bool)
+	answered := make(map[string]bool)
 	for i := range c.Zones {
 		if c.Zones[i].State == nil {
 			continue
 		}
-		told[c.Zones[i].Name] = true
+		answered[c.Zones[i].Name] = true
 		for _, l := range c.Zones[i].State.Workers {
 			rack(l.Info.Zone, l.Info.Rack).add(&l)
 		}
 	}
 	for _, w := range c.View.Workers {
-		if !told[w.Zone] {
+		if !answered[w.Zone] {
 			r := rack(w.Zone, w.Rack)
 			r.Unknown = true
 			r.Workers++
@@ -188,14 +189,14 @@
 }
 
 func (p *Page) addProcesses(c *operate.Cell) {
-	heard := make(map[string]view.Process, len(c.InForce))
+	byAddress := make(map[string]view.Process, len(c.InForce))
 	for _, f := range c.InForce {
-		heard[f.Address] = f
+		byAddress[f.Address] = f
 		p.Newest = max(p.Newest, f.Rules)
 	}
 	for _, t := range c.View.Tables {
 		for _, m := range t.Members {
-			p.addProcess(&t, m, heard[m.Address], c.View.Present)
+			p.addProcess(&t, m, byAddress[m.Address], c.View.Present)
 		}
 	}
 }
@@ -226,24 +227,25 @@
 // Write renders the page.
 func (p *Page) Write(w io.Writer) error { return page.Execute(w, p) }
 
-// Server serves the page and keeps the last one for a short time.
+// Server serves the page and caches it for a short time.
 type Server struct {
 	self    string
 	collect func(context.Context) operate.Cell
 
-	mu   sync.Mutex
-	last []byte
-	made time.Time
+	mu         sync.Mutex
+	cached     []byte
+	renderedAt time.Time
 }
 
-// NewServer returns a server that collects the cell anew whenever its last page is DefaultKeep old.
+// NewServer returns a server that collects the cell again when its cached page is older than
+// DefaultCacheTTL.
 func NewServer(self string, collect func(context.Context) operate.Cell) *Server {
 	return &Server{self: self, collect: collect}
 }
 
 // ServeHTTP answers with the page.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	raw, err := s.current(r.Context())
+	raw, err := s.render(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -254,19 +256,20 @@
 	_, _ = w.Write(raw)
 }
 
-// current makes one page at a time, so that many readers cost the owners no more than one.
-func (s *Server) current(ctx context.Context) ([]byte, error) {
+// render returns the cached page or renders a new one. It renders one page at a time, so that many readers
+// cause no more requests to the owners than one.
+func (s *Server) render(ctx context.Context) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last != nil && time.Since(s.made) < DefaultCacheTTL {
-		return s.last, nil
+	if s.cached != nil && time.Since(s.renderedAt) < DefaultCacheTTL {
+		return s.cached, nil
 	}
-	// The page is for all readers, so that one that goes away does not cut it short.
+	// The page is for all readers, so a reader that disconnects must not cancel it.
 	c := s.collect(context.WithoutCancel(ctx))
 	var b bytes.Buffer
 	if err := New(s.self, &c).Write(&b); err != nil {
 		return nil, err
 	}
-	s.last, s.made = b.Bytes(), time.Now()
-	return s.last, nil
+	s.cached, s.renderedAt = b.Bytes(), time.Now()
+	return s.cached, nil
 }
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -24,8 +24,8 @@
 
 var now = time.Date(2027, 3, 5, 4, 30, 0, 0, time.UTC)
 
-// full is a cell of two zones in which all is well.
-func full() *operate.Cell {
+// healthyCell returns a cell of two zones without problems.
+func healthyCell() *operate.Cell {
 	c := &operate.Cell{At: now, View: view.View{
 		Rules: view.Rules{Version: 7}, ListVersion: 3, Present: map[string]bool{},
 	}}
@@ -52,9 +52,10 @@
 	return c
 }
 
-// halfDead is the cell after its second zone went silent, with trouble and hostile texts in the first.
-func halfDead() *operate.Cell {
-	c := full()
+// degradedCell returns the cell after its second zone went silent, with problems and texts that need HTML
+// escaping in the first.
+func degradedCell() *operate.Cell {
+	c := healthyCell()
 	c.Zones[1].State, c.Zones[1].Problem = nil, "its owner gave no answer: timeout"
 	c.InForce[1].Heard, c.InForce[1].Rules = now.Add(-time.Hour), 6
 	clear(c.View.Present)
@@ -74,7 +75,7 @@
 	cases := []struct {
 		name string
 		cell *operate.Cell
-	}{{"full", full()}, {"halfdead", halfDead()}, {"empty", &operate.Cell{At: now}}}
+	}{{"full", healthyCell()}, {"halfdead", degradedCell()}, {"empty", &operate.Cell{At: now}}}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -86,13 +87,13 @@
 	}
 }
 
-// The owners would be asked by every reader of the page, and the zones' loops with them.
-// Ten readers come at once, and one after the page has become old.
-func TestServerKeepsPage(t *testing.T) {
+// Readers must share a cached page, or each of them would cause a request to every owner and to its zone's
+// scheduling loop. Ten readers read the page within its TTL, and one after it.
+func TestServerCachesPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		asked := 0
-		s := NewServer("scheduler-0", func(context.Context) operate.Cell { asked++; return *full() })
+		collected := 0
+		s := NewServer("scheduler-0", func(context.Context) operate.Cell { collected++; return *healthyCell() })
 		get := func() {
 			w := httptest.NewRecorder()
 			s.ServeHTTP(w, httptest.NewRequest("GET", "/status", nil))
@@ -101,9 +102,9 @@
 		for range 10 {
 			get()
 		}
-		is.Equal(asked, 1)
+		is.Equal(collected, 1)
 		time.Sleep(DefaultCacheTTL)
 		get()
-		is.Equal(asked, 2)
+		is.Equal(collected, 2)
 	})
 }
--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,2 +1,3 @@
-// Package trace sets up spans: one for each hop of a request, exported as the settings say.
+// Package trace sets up tracing, with one span for each hop of a request, and the exporter chosen in the
+// settings.
 package trace
--- a/trace/otlp/otlp.go
+++ b/trace/otlp/otlp.go
@@ -1,4 +1,4 @@
-// Package otlp sends spans over OTLP and HTTP to the collector at the given address.
+// Package otlp exports spans by OTLP over HTTP to the collector at the given address.
 package otlp
 
 import (
@@ -10,7 +10,7 @@
 	"turmericgap/trace"
 )
 
-// Name chooses this exporter in the settings.
+// Name is the name of this exporter in the settings.
 const Name = "otlp"
 
 func init() { trace.Register(Name, newExporter) }
--- a/trace/stdout/stdout.go
+++ b/trace/stdout/stdout.go
@@ -1,4 +1,4 @@
-// Package stdout writes spans as JSON lines to standard output, or to the file named as address.
+// Package stdout exports spans as JSON lines to standard output, or to the file given as address.
 package stdout
 
 import (
@@ -12,7 +12,7 @@
 	"turmericgap/trace"
 )
 
-// Name chooses this exporter in the settings.
+// Name is the name of this exporter in the settings.
 const Name = "stdout"
 
 func init() { trace.Register(Name, newExporter) }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -15,7 +15,7 @@
 // None is the exporter that drops all spans; it is the default.
 const None = "none"
 
-// Exporter makes a span exporter for an address, whose form is the exporter's own.
+// Exporter creates a span exporter for an address, whose format depends on the exporter.
 type Exporter func(ctx context.Context, address string) (sdktrace.SpanExporter, error)
 
 var exporters = map[string]Exporter{}
@@ -23,7 +23,7 @@
 // Register adds an exporter under a name; plug-ins call it from init.
 func Register(name string, e Exporter) { exporters[name] = e }
 
-// Names lists the exporters that this program knows, None first.
+// Names returns the names of all registered exporters, None first.
 func Names() []string {
 	names := make([]string, 0, len(exporters)+1)
 	for name := range exporters {
@@ -33,7 +33,7 @@
 	return append([]string{None}, names...)
 }
 
-// Start installs the named exporter for the process and returns the function that flushes it.
+// Start installs the named exporter for the process and returns a function that flushes and stops it.
 func Start(ctx context.Context, program, name, address string) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if name == "" || name == None {
