--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -28,28 +28,28 @@
 	zone    = "kochi-hall"
 	service = "course-desk"
 	workers = 3
-	// patience bounds every wait; a verdict never depends on how fast anything is.
-	patience = time.Minute
-	pause    = 200 * time.Millisecond
+	// waitTimeout limits every wait. It is long, so that results do not depend on the machine's speed.
+	waitTimeout  = time.Minute
+	pollInterval = 200 * time.Millisecond
 )
 
-// world is a cell of one zone: the platform's stand-ins, two schedulers and two gates.
-type world struct {
-	t      *testing.T
-	dir    string
-	store  string
-	list   string
-	worker string
-	gates  [2]string
-	rpc    [2]string
-	scheds [2]*proc
-	doors  [2]*proc
-	specs  [2][]string
+// testCell is a cell of one zone with the platform's stand-ins, two schedulers and two gates.
+type testCell struct {
+	t             *testing.T
+	dir           string
+	storeAddr     string
+	listAddr      string
+	workerAddr    string
+	gateAddrs     [2]string
+	rpcAddrs      [2]string
+	schedulers    [2]*process
+	gateProcs     [2]*process
+	schedulerArgs [2][]string
 }
 
-type proc struct{ cmd *exec.Cmd }
+type process struct{ cmd *exec.Cmd }
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,23 +58,23 @@
 	return l.Addr().String()
 }
 
-func (w *world) start(args ...string) *proc {
-	cmd := exec.Command(filepath.Join(w.dir, args[0]), args[1:]...)
-	log, err := os.Create(filepath.Join(w.dir, fmt.Sprintf("%s-%d.log", args[0], time.Now().UnixNano())))
+func (c *testCell) start(args ...string) *process {
+	cmd := exec.Command(filepath.Join(c.dir, args[0]), args[1:]...)
+	log, err := os.Create(filepath.Join(c.dir, fmt.Sprintf("%s-%d.log", args[0], time.Now().UnixNano())))
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	p := &proc{cmd}
-	w.t.Cleanup(func() { p.end(syscall.SIGKILL) })
+	p := &process{cmd}
+	c.t.Cleanup(func() { p.stop(syscall.SIGKILL) })
 	return p
 }
 
-// end sends a signal that ends the process, and waits for it.
-func (p *proc) end(s syscall.Signal) {
+// stop continues the process if it is stopped, sends the signal and waits for the process to exit.
+func (p *process) stop(s syscall.Signal) {
 	if p.cmd.ProcessState == nil {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Signal(s)
@@ -82,43 +82,43 @@
 	}
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, dir: t.TempDir(), store: address(t), list: address(t), worker: address(t)}
-	if out, err := exec.Command("go", "build", "-o", w.dir+"/", "turmericgap/cmd/...").CombinedOutput(); err != nil {
+func newTestCell(t *testing.T) *testCell {
+	c := &testCell{t: t, dir: t.TempDir(), storeAddr: freeAddress(t), listAddr: freeAddress(t), workerAddr: freeAddress(t)}
+	if out, err := exec.Command("go", "build", "-o", c.dir+"/", "turmericgap/cmd/...").CombinedOutput(); err != nil {
 		t.Fatalf("build: %s", out)
 	}
-	w.start("standinstore", "--listen", w.store)
-	w.start("standinlist", "--listen", w.list, "--entry", "entry-0:"+zone, "--entry", "entry-1:"+zone)
-	w.start("standinworker", "--listen", w.worker, "--zone", zone, "--count", fmt.Sprint(workers), "--cores", "4", "--register", w.list)
-	w.start("standintarget", "--listen", address(t), "--zone", zone, "--count", "2", "--service", service, "--register", w.list)
+	c.start("standinstore", "--listen", c.storeAddr)
+	c.start("standinlist", "--listen", c.listAddr, "--entry", "entry-0:"+zone, "--entry", "entry-1:"+zone)
+	c.start("standinworker", "--listen", c.workerAddr, "--zone", zone, "--count", fmt.Sprint(workers), "--cores", "4", "--register", c.listAddr)
+	c.start("standintarget", "--listen", freeAddress(t), "--zone", zone, "--count", "2", "--service", service, "--register", c.listAddr)
 	for i := range 2 {
-		w.rpc[i], w.gates[i] = address(t), address(t)
+		c.rpcAddrs[i], c.gateAddrs[i] = freeAddress(t), freeAddress(t)
 		common := map[string]any{
-			"vm": fmt.Sprint("entry-", i), "zone": zone, "zones": []string{zone}, "listAddress": w.list,
-			"store": map[string]string{"kind": "etcd", "endpoint": "http://" + w.store},
+			"vm": fmt.Sprint("entry-", i), "zone": zone, "zones": []string{zone}, "listAddress": c.listAddr,
+			"store": map[string]string{"kind": "etcd", "endpoint": "http://" + c.storeAddr},
 		}
-		sched := w.settings(common, fmt.Sprint("scheduler-", i), map[string]any{"rpcAddress": w.rpc[i]})
-		gate := w.settings(common, fmt.Sprint("gate-", i), map[string]any{
-			"rpcAddress": address(t), "callerAddress": w.gates[i], "scheduler": w.rpc[i],
+		sched := c.settings(common, fmt.Sprint("scheduler-", i), map[string]any{"rpcAddress": c.rpcAddrs[i]})
+		gate := c.settings(common, fmt.Sprint("gate-", i), map[string]any{
+			"rpcAddress": freeAddress(t), "callerAddress": c.gateAddrs[i], "scheduler": c.rpcAddrs[i],
 			"sessionKeys": []string{"a key of this test alone, no secret"},
 		})
-		w.specs[i] = []string{"scheduler", "--settings", sched}
-		w.scheds[i] = w.start(w.specs[i]...)
-		w.doors[i] = w.start("gate", "--settings", gate)
+		c.schedulerArgs[i] = []string{"scheduler", "--settings", sched}
+		c.schedulers[i] = c.start(c.schedulerArgs[i]...)
+		c.gateProcs[i] = c.start("gate", "--settings", gate)
 		if i == 0 {
-			w.await(w.submit("first", 1, true)) // the first scheduler owns the zone from now on
+			c.await(c.submit("first", 1, true)) // The first scheduler owns the zone from now on.
 		}
 	}
-	w.awaitReady("scheduler-1")
-	return w
+	c.awaitReady("scheduler-1")
+	return c
 }
 
-// awaitReady waits until a scheduler's table shows it as ready: the others know it, so that their
-// lapse lets it take over.
-func (w *world) awaitReady(id string) {
-	client := rpc.NewClient(w.rpc[0])
+// awaitReady waits until the member table shows a scheduler as ready. From then on it can take over when
+// the owner's lease expires.
+func (c *testCell) awaitReady(id string) {
+	client := rpc.NewClient(c.rpcAddrs[0])
 	defer client.Close()
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(pause) {
+	for start := time.Now(); time.Since(start) < waitTimeout; time.Sleep(pollInterval) {
 		r, err := rpc.Call[view.NextCall, view.NextReply](context.Background(), client, view.NextMethod, &view.NextCall{})
 		if err != nil {
 			continue
@@ -128,10 +128,10 @@
 			return
 		}
 	}
-	w.t.Fatalf("%s is not ready", id)
+	c.t.Fatalf("%s is not ready", id)
 }
 
-func (w *world) settings(common map[string]any, id string, own map[string]any) string {
+func (c *testCell) settings(common map[string]any, id string, own map[string]any) string {
 	all := map[string]any{"id": id}
 	for _, m := range []map[string]any{common, own} {
 		for k, v := range m {
@@ -140,22 +140,22 @@
 	}
 	raw, err := json.Marshal(all)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	path := filepath.Join(w.dir, id+".json")
+	path := filepath.Join(c.dir, id+".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return path
 }
 
-// call asks both gates in turn until one gives an answer that is not "come back later".
-func (w *world) call(method, path string, body []byte) *job.Status {
+// call sends a request to both gates in turn until one of them succeeds.
+func (c *testCell) call(method, path string, body []byte) *job.Status {
 	var last []byte
-	for began, i := time.Now(), 0; time.Since(began) < patience; i++ {
-		req, err := http.NewRequest(method, "http://"+w.gates[i%2]+path, bytes.NewReader(body))
+	for start, i := time.Now(), 0; time.Since(start) < waitTimeout; i++ {
+		req, err := http.NewRequest(method, "http://"+c.gateAddrs[i%2]+path, bytes.NewReader(body))
 		if err != nil {
-			w.t.Fatal(err)
+			c.t.Fatal(err)
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err == nil {
@@ -165,87 +165,87 @@
 			if resp.StatusCode < http.StatusMultipleChoices {
 				st := &job.Status{}
 				if err := json.Unmarshal(raw, st); err != nil {
-					w.t.Fatal(err)
+					c.t.Fatal(err)
 				}
 				return st
 			}
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
-	w.t.Fatalf("%s %s: no answer in %v, last %s", method, path, patience, last)
+	c.t.Fatalf("%s %s: no answer in %v, last %s", method, path, waitTimeout, last)
 	return nil
 }
 
-func (w *world) submit(key string, tasks int, repeatable bool) string {
+func (c *testCell) submit(key string, tasks int, repeatable bool) string {
 	raw, err := json.Marshal(&job.Submission{
 		Key: key, Team: "team", Class: "class", Kind: job.Batch, Tasks: tasks, Repeatable: repeatable, RunSeconds: 3,
 		TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100},
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	return w.call(http.MethodPost, "/v1/jobs", raw).ID
+	return c.call(http.MethodPost, "/v1/jobs", raw).ID
 }
 
-// await waits for the end of a job and checks that it is done in one attempt a task.
-func (w *world) await(id string) {
-	for began := time.Now(); time.Since(began) < patience; {
-		st := w.call(http.MethodGet, "/v1/jobs/"+id+"/wait?timeoutMillis=2000", nil)
+// await waits for a job to end and checks that each task is done in one attempt.
+func (c *testCell) await(id string) {
+	for start := time.Now(); time.Since(start) < waitTimeout; {
+		st := c.call(http.MethodGet, "/v1/jobs/"+id+"/wait?timeoutMillis=2000", nil)
 		if st.State != job.Final {
 			continue
 		}
 		for _, k := range st.Tasks {
 			if k.Outcome != job.Done || k.Attempt != 1 || k.Answer == nil || !k.Answer.IsIntact() {
-				w.t.Errorf("job %s task %d: %s after attempt %d: %s", id, k.Index, k.Outcome, k.Attempt, k.Reason)
+				c.t.Errorf("job %s task %d: %s after attempt %d: %s", id, k.Index, k.Outcome, k.Attempt, k.Reason)
 			}
 		}
 		return
 	}
-	w.t.Errorf("job %s has no end", id)
+	c.t.Errorf("job %s did not end", id)
 }
 
-// load submits work of both kinds and gives the jobs' ids.
-func (w *world) load(round string) (ids []string) {
+// submitAll submits repeatable and non-repeatable jobs and returns their IDs.
+func (c *testCell) submitAll(round string) (ids []string) {
 	for i := range 4 {
-		ids = append(ids, w.submit(fmt.Sprint(round, "-once-", i), 2, false), w.submit(fmt.Sprint(round, "-again-", i), 2, true))
+		ids = append(ids, c.submit(fmt.Sprint(round, "-once-", i), 2, false), c.submit(fmt.Sprint(round, "-again-", i), 2, true))
 	}
 	return ids
 }
 
-func (w *world) awaitAll(ids []string) {
+func (c *testCell) awaitAll(ids []string) {
 	for _, id := range ids {
-		w.await(id)
+		c.await(id)
 	}
 }
 
-// The callers see all of their jobs done, each task by its first attempt, whatever happens to the
-// owner of the zone: stopped by a signal past its lease and continued, killed, stopped in order.
-// Each time the other scheduler takes over, finds what runs by the journal and the workers, and goes
-// on. No worker sees an attempt twice or more than it holds.
+// All jobs must be done, each task in its first attempt, when the zone's owner is stopped until its lease
+// expires and then continued, killed, or shut down gracefully. Each time the other scheduler takes over
+// and recovers the running tasks from the journal and the workers. No worker may get an attempt twice or
+// more tasks than fit.
 func TestOwnerStoppedKilledAndReplaced(t *testing.T) {
-	w := newWorld(t)
-	ids := w.load("stopped")
-	if err := w.scheds[0].cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+	c := newTestCell(t)
+	ids := c.submitAll("stopped")
+	if err := c.schedulers[0].cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitAll(ids)
-	if err := w.scheds[0].cmd.Process.Signal(syscall.SIGCONT); err != nil {
+	c.awaitAll(ids)
+	if err := c.schedulers[0].cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	w.awaitAll(w.load("continued"))
+	c.awaitAll(c.submitAll("continued"))
 
-	ids = w.load("killed")
-	w.scheds[1].end(syscall.SIGKILL)
-	w.awaitAll(ids)
+	ids = c.submitAll("killed")
+	c.schedulers[1].stop(syscall.SIGKILL)
+	c.awaitAll(ids)
 
-	w.scheds[1] = w.start(w.specs[1]...)
-	w.awaitReady("scheduler-1")
-	ids = w.load("handed over")
-	w.scheds[0].end(syscall.SIGTERM)
-	w.awaitAll(ids)
+	c.schedulers[1] = c.start(c.schedulerArgs[1]...)
+	c.awaitReady("scheduler-1")
+	ids = c.submitAll("handed over")
+	c.schedulers[0].stop(syscall.SIGTERM)
+	c.awaitAll(ids)
 
 	for i := range workers {
-		resp, err := http.Get(fmt.Sprintf("http://%s/w/%d/state", w.worker, i))
+		resp, err := http.Get(fmt.Sprintf("http://%s/w/%d/state", c.workerAddr, i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -258,29 +258,29 @@
 	}
 }
 
-// The caller of a session sees each of its requests answered, in order, by the same target.
-// It talks to a gate without pause while that gate is stopped in order; what the gate then refuses
-// was not run, and goes on at the other gate with the same token. Nothing is cut off half way.
+// A caller sends the requests of a session to a gate without a pause while the gate shuts down gracefully.
+// A request that the gate refuses has not run and is sent to the other gate with the same token. Each
+// request must be answered, in order, by the same target, and none may be cut off.
 func TestSessionOutlivesGate(t *testing.T) {
-	w := newWorld(t)
-	token := w.openSession()
-	gone := make(chan struct{})
-	at := 0
+	c := newTestCell(t)
+	token := c.openSession()
+	stopped := make(chan struct{})
+	gateIndex := 0
 	for n := int64(1); n <= 60; n++ {
 		if n == 20 {
 			go func() {
-				defer close(gone)
-				w.doors[0].end(syscall.SIGTERM)
+				defer close(stopped)
+				c.gateProcs[0].stop(syscall.SIGTERM)
 			}()
 		}
-		for began := time.Now(); ; {
-			if time.Since(began) > patience {
+		for start := time.Now(); ; {
+			if time.Since(start) > waitTimeout {
 				t.Fatalf("request %d has no answer", n)
 			}
-			count, ok := w.ask(at, token)
+			count, ok := c.send(gateIndex, token)
 			if !ok {
-				at = 1 // not run here, or nothing listens here any more
-				time.Sleep(pause / 10)
+				gateIndex = 1 // The first gate refused the request or no longer listens.
+				time.Sleep(pollInterval / 10)
 				continue
 			}
 			if count != n {
@@ -289,15 +289,15 @@
 			break
 		}
 	}
-	<-gone
-	if at != 1 {
+	<-stopped
+	if gateIndex != 1 {
 		t.Error("the session never left its gate")
 	}
 }
 
-func (w *world) openSession() string {
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(pause) {
-		resp, err := http.Post("http://"+w.gates[0]+"/v1/sessions/"+service, "", nil)
+func (c *testCell) openSession() string {
+	for start := time.Now(); time.Since(start) < waitTimeout; time.Sleep(pollInterval) {
+		resp, err := http.Post("http://"+c.gateAddrs[0]+"/v1/sessions/"+service, "", nil)
 		if err != nil {
 			continue
 		}
@@ -308,16 +308,16 @@
 			return b.Token
 		}
 	}
-	w.t.Fatal("no session was opened")
+	c.t.Fatal("no session was opened")
 	return ""
 }
 
-// ask sends the next request of a session to a gate. It gives the request's number at the target;
-// false means that the gate surely did not run it.
-func (w *world) ask(door int, token string) (count int64, ok bool) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+w.gates[door]+"/v1/sessions/"+service+"/requests?method=next", nil)
+// send sends the next request of a session to a gate. It returns the request's number at the target, or
+// false if the gate did not run it.
+func (c *testCell) send(gateIndex int, token string) (count int64, ok bool) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.gateAddrs[gateIndex]+"/v1/sessions/"+service+"/requests?method=next", nil)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	req.Header.Set(gate.HeaderSession, token)
 	resp, err := http.DefaultClient.Do(req)
@@ -325,22 +325,22 @@
 		return 0, false
 	}
 	if err != nil {
-		w.t.Fatalf("a request was cut off: %v", err)
+		c.t.Fatalf("a request was cut off: %v", err)
 	}
 	defer resp.Body.Close()
 	var b gate.Body
 	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	switch {
 	case b.Outcome == job.NotRun:
 		return 0, false
 	case b.Outcome != job.Done || !b.Answer.IsIntact():
-		w.t.Fatalf("status %d, outcome %q: %s", resp.StatusCode, b.Outcome, b.Reason)
+		c.t.Fatalf("status %d, outcome %q: %s", resp.StatusCode, b.Outcome, b.Reason)
 	}
 	var echo struct{ Count int64 }
 	if err := json.Unmarshal(b.Answer.Body, &echo); err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return echo.Count, true
 }
--- a/cell/doc.go
+++ b/cell/doc.go
@@ -1,3 +1,3 @@
-// Package cell holds the tests of whole cells: real processes on this machine, killed, stopped and
-// continued while they serve.
+// Package cell contains end-to-end tests of complete cells. They run real processes on this machine, and
+// kill, stop and continue them under load.
 package cell
--- a/cell/trace_test.go
+++ b/cell/trace_test.go
@@ -32,8 +32,8 @@
 	"turmericgap/worker"
 )
 
-// A check and a job leave one span for each hop, each below the one that caused it, and all below
-// the caller's own span. The golden file holds their names and parents.
+// A check and a job must produce one span for each hop, each as a child of the span that caused it, and all
+// below the caller's span. The golden file holds their names and parents.
 func TestTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
@@ -42,9 +42,9 @@
 	defer otel.SetTracerProvider(before)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, stop := traced(t)
+		g, stop := newTracedGate(t)
 		defer stop()
-		time.Sleep(30 * time.Second) // A gate waits for the last requests of gates before it.
+		time.Sleep(30 * time.Second) // A new gate first waits for the last requests of earlier gates.
 		check := request(g, http.MethodPost, "/v1/checks/course-desk/booking", "seat", "0af7651916cd43dd8448eb211c80319c")
 		is.Equal(check.Code, http.StatusOK)
 		spec := `{"key":"k","team":"t","class":"roster","kind":"batch","tasks":1,"repeatable":true,"each":{"millicores":1000,"memoryMB":1000,"accelerators":0}}`
@@ -67,8 +67,8 @@
 	return w
 }
 
-// traced is a gate and a scheduler joined by rpc over a pipe, with one target and one worker.
-func traced(t *testing.T) (g *gate.Gate, stop func()) {
+// newTracedGate returns a gate with a scheduler connected by rpc over a pipe, one target and one worker.
+func newTracedGate(t *testing.T) (g *gate.Gate, stop func()) {
 	kv := memory.New()
 	res, err := kv.Store().Txn(context.Background(), store.Txn{Then: []store.Op{{Key: member.EpochKey(zone), Value: []byte("1")}}})
 	if err != nil {
@@ -100,16 +100,16 @@
 	}
 }
 
-// printTree prints the spans of a trace below a parent, in the order of their names.
+// printTree prints the spans of a trace below a parent, sorted by name.
 func printTree(out *strings.Builder, all tracetest.SpanStubs, trace, parent string, depth int) {
-	var below tracetest.SpanStubs
+	var children tracetest.SpanStubs
 	for _, s := range all {
 		if s.SpanContext.TraceID().String() == trace && s.Parent.SpanID().String() == parent {
-			below = append(below, s)
+			children = append(children, s)
 		}
 	}
-	slices.SortFunc(below, func(a, b tracetest.SpanStub) int { return strings.Compare(a.Name, b.Name) })
-	for _, s := range below {
+	slices.SortFunc(children, func(a, b tracetest.SpanStub) int { return strings.Compare(a.Name, b.Name) })
+	for _, s := range children {
 		fmt.Fprintf(out, "%s%s (%s)\n", strings.Repeat("  ", depth), s.Name, s.SpanKind)
 		printTree(out, all, trace, s.SpanContext.SpanID().String(), depth+1)
 	}
