--- a/history/history.go
+++ b/history/history.go
@@ -150,9 +150,9 @@
 
 // node is a worker or target.
 type node struct {
-	has, used    job.Resources
-	slots, inUse int
-	leavingSince time.Time
+	capacity, used job.Resources
+	slots, inUse   int
+	leavingSince   time.Time
 }
 
 func newReplay(o *Options) *replay {
@@ -186,7 +186,7 @@
 	case Reported:
 		p.onReported(e)
 	case WorkerCapacity:
-		getOrCreate(p.workers, e.Worker).has = e.Resources
+		getOrCreate(p.workers, e.Worker).capacity = e.Resources
 	case Started:
 		p.onStarted(e)
 	case Ended:
@@ -211,8 +211,8 @@
 	}
 	w := getOrCreate(p.workers, e.Worker)
 	w.used = w.used.Plus(e.Resources)
-	if !w.used.FitsIn(w.has) {
-		p.list.Add("worker "+e.Worker, "overfilled by %s: uses %+v of %+v", e.Attempt, w.used, w.has)
+	if !w.used.FitsIn(w.capacity) {
+		p.list.Add("worker "+e.Worker, "overfilled by %s: uses %+v of %+v", e.Attempt, w.used, w.capacity)
 	}
 	for _, o := range p.running[task] {
 		p.list.Add("task "+task, "runs in two places: %s at %s and %s at %s", o.attempt, o.worker, e.Attempt, e.Worker)
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -16,11 +16,12 @@
 
 // Info describes a worker in the VM list.
 type Info struct {
-	ID      string        `json:"id"`
-	Address string        `json:"address"`
-	Zone    string        `json:"zone"`
-	Rack    string        `json:"rack"`
-	Has     job.Resources `json:"has"`
+	ID      string `json:"id"`
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+	Rack    string `json:"rack"`
+	// Has is the total capacity of the worker.
+	Has job.Resources `json:"has"`
 	// Leaving is set when the VM is about to stop; the worker gets no new tasks.
 	Leaving bool `json:"leaving,omitempty"`
 }
