--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -119,7 +119,7 @@
 	client := rpc.NewClient(c.rpcAddrs[0])
 	defer client.Close()
 	for start := time.Now(); time.Since(start) < waitTimeout; time.Sleep(pollInterval) {
-		r, err := rpc.Call[view.NextCall, view.NextReply](context.Background(), client, view.NextMethod, &view.NextCall{})
+		r, err := rpc.Call[view.NextRequest, view.NextReply](context.Background(), client, view.NextMethod, &view.NextRequest{})
 		if err != nil {
 			continue
 		}
--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -38,7 +38,7 @@
 // reach reads the view of the chosen scheduler.
 func (c *common) reach(ctx context.Context) (*near, error) {
 	n := &near{c: c, pool: rpc.NewPool()}
-	r, err := rpc.Call[view.NextCall, view.NextReply](ctx, n.pool.Get(c.Scheduler), view.NextMethod, &view.NextCall{Workers: true})
+	r, err := rpc.Call[view.NextRequest, view.NextReply](ctx, n.pool.Get(c.Scheduler), view.NextMethod, &view.NextRequest{Workers: true})
 	if err != nil {
 		n.pool.Close()
 		return nil, c.schedulerError(err)
--- a/cmd/ctl/main_test.go
+++ b/cmd/ctl/main_test.go
@@ -41,7 +41,7 @@
 	c := &cell{I: is.New(t), kv: svc.Store(), dir: t.TempDir()}
 	c.NoErr(err)
 	server := rpc.NewServer()
-	rpc.Handle(server, view.NextMethod, func(context.Context, *view.NextCall) (*view.NextReply, error) {
+	rpc.Handle(server, view.NextMethod, func(context.Context, *view.NextRequest) (*view.NextReply, error) {
 		return &view.NextReply{View: view.View{Rules: view.Rules{Version: c.known, Raw: []byte(`{"rules":[]}`)}}}, nil
 	})
 	rpc.Handle(server, operate.CallState, func(context.Context, *operate.StateRequest) (*operate.State, error) {
@@ -87,7 +87,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCell(t)
 			for base := range tc.stored {
-				_, err := operate.SetRules(context.Background(), c.kv, view.Edit{Base: base, Raw: []byte(`{"rules":[]}`)})
+				_, err := operate.SetRules(context.Background(), c.kv, view.Edit{BaseVersion: base, Raw: []byte(`{"rules":[]}`)})
 				c.NoErr(err)
 			}
 			c.known = tc.known
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -185,7 +185,7 @@
 			Theirs: view.Rules{Version: now.Version, Raw: now.Rules}, Editor: now.Editor,
 		})
 	}
-	return r.cell.write(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
+	return r.cell.write(ctx, s, view.Edit{BaseVersion: r.Base, Raw: raw, Editor: r.Editor})
 }
 
 // accepted is what a write of rules prints as JSON.
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -146,7 +146,7 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Runs: r.step, How: worker.OutcomeDone, Needs: s.TaskResources, Gang: members(s)}
+		return floor.Behaviour{Duration: r.step, Ending: worker.OutcomeDone, Resources: s.TaskResources, GangSize: members(s)}
 	}, vms...)
 	c.config.Queues[0].SlackFactor = rosterSlack
 	if o.gangs {
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -19,7 +19,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: 2 * time.Second, How: worker.OutcomeDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues[0].SlackFactor, c.config.Queues[0].TargetDuration = 3, time.Second
 		c.workers(4, 8)
--- a/operate/rules.go
+++ b/operate/rules.go
@@ -44,7 +44,7 @@
 // those of view.SetRules.
 func SetRules(ctx context.Context, s *store.Store, e view.Edit) (int64, error) {
 	e.Check = Check
-	versioned, err := setVersion(e.Raw, e.Base+1)
+	versioned, err := setVersion(e.Raw, e.BaseVersion+1)
 	if err != nil {
 		return 0, err
 	}
@@ -74,7 +74,7 @@
 func withHistory(s *store.Store, e *view.Edit) *store.Store {
 	out := *s
 	out.Txn = func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-		version := e.Base + 1
+		version := e.BaseVersion + 1
 		raw, err := json.Marshal(&RulesVersion{Version: version, Editor: e.Editor, At: time.Now().UTC(), Rules: e.Raw})
 		if err != nil {
 			return store.TxnResult{}, eris.Wrap(err, "encode rules version")
--- a/worker/contract_test.go
+++ b/worker/contract_test.go
@@ -190,7 +190,7 @@
 			time.Sleep(1100 * time.Millisecond)
 			b.Equal(b.start(worker.Start{Attempt: "j/0/2"}).State, worker.Ended)
 		}},
-		{"guards refuse oversized starts and old epochs", []standin.Option{standin.Guards()}, func(b *fixture) {
+		{"guards refuse oversized starts and old epochs", []standin.Option{standin.RejectInvalid()}, func(b *fixture) {
 			b.start(worker.Start{Attempt: "j/0/1", Resources: small.Times(3), Epoch: 7})
 			for _, s := range []worker.Start{
 				{Attempt: "j/1/1", Resources: small.Times(2), Epoch: 7}, {Attempt: "j/2/1", Resources: small, Epoch: 6},
@@ -200,7 +200,7 @@
 			}
 			b.Equal(b.standIn.State().Starts, int64(1))
 		}},
-		{"without guards violations are executed and recorded", []standin.Option{standin.Tasks(taskOf)}, func(b *fixture) {
+		{"without guards violations are executed and recorded", []standin.Option{standin.TaskOf(taskOf)}, func(b *fixture) {
 			b.start(worker.Start{Attempt: "j/0/1", Resources: small.Times(3), Epoch: 7})
 			b.start(worker.Start{Attempt: "j/0/2", Resources: small.Times(2), Epoch: 6})
 			b.Equal(b.standIn.State().Starts, int64(2))
@@ -372,7 +372,7 @@
 		b.heartbeat(0, ids...)
 		b.Equal(b.standIn.State().Kept, 0)
 		b.Equal(b.standIn.State().Forgotten, standin.MaxForgotten)
-		time.Sleep(standin.ForgottenFor + time.Second)
+		time.Sleep(standin.ForgottenRetention + time.Second)
 		b.stop("last")
 		b.heartbeat(0, "last")
 		b.Equal(b.standIn.State().Forgotten, 1)
