--- a/decisions_test.go
+++ b/decisions_test.go
@@ -11,39 +11,39 @@
 	"testing"
 )
 
-// decisions lists the packages that decide without input or output, so that a load can be replayed on them.
-var decisions = []string{"admission", "aging", "heartbeat"}
+// pureDirs lists the packages whose decisions use no I/O or clock, so that a recorded load can be replayed.
+var pureDirs = []string{"admission", "aging", "heartbeat"}
 
-// barred are imports, and functions of the clock, that a decision must not use.
+// Imports and functions of package time that these packages must not use.
 var (
-	barredImports = []string{"net", "os", "context", "sync", "math/rand", "math/rand/v2", "go.uber.org/zap", "turmericgap/store", "turmericgap/rpc"}
-	barredClock   = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
+	forbiddenImports = []string{"net", "os", "context", "sync", "math/rand", "math/rand/v2", "go.uber.org/zap", "turmericgap/store", "turmericgap/rpc"}
+	forbiddenClock   = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
 )
 
-// A decision that reads the clock, starts a goroutine or asks somebody cannot be replayed, and an idea about it
-// costs days of plays instead of a test.
+// Code that reads the clock, starts a goroutine or does I/O cannot be replayed, so that a change to it needs
+// long simulations instead of a test.
 func TestDecisionsDoNoIO(t *testing.T) {
-	for _, dir := range decisions {
-		for _, fault := range ioOf(t, dir) {
-			t.Error(fault)
+	for _, dir := range pureDirs {
+		for _, use := range forbiddenUses(t, dir) {
+			t.Error(use)
 		}
 	}
 }
 
-// The check finds what it looks for.
+// The check must find an import, a goroutine and a clock reading in a sample file.
 func TestDecisionsCheckFinds(t *testing.T) {
 	dir := t.TempDir()
 	source := "package p\nimport (\n\"net/http\"\n\"time\"\n)\nvar _ http.Header\nfunc f() { go f(); _ = time.Now() }\n"
 	if err := os.WriteFile(filepath.Join(dir, "p.go"), []byte(source), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if found := ioOf(t, dir); len(found) != 3 {
+	if found := forbiddenUses(t, dir); len(found) != 3 {
 		t.Fatalf("found %q", found)
 	}
 }
 
-// ioOf lists the uses of input and output in a package, but for its tests.
-func ioOf(t *testing.T, dir string) []string {
+// forbiddenUses lists the forbidden uses in a package, not counting its tests.
+func forbiddenUses(t *testing.T, dir string) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil || len(paths) == 0 {
@@ -60,8 +60,8 @@
 			t.Fatal(err)
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if what := barred(n); what != "" {
-				found = append(found, files.Position(n.Pos()).String()+": "+what)
+			if use := forbiddenUse(n); use != "" {
+				found = append(found, files.Position(n.Pos()).String()+": "+use)
 			}
 			return true
 		})
@@ -69,13 +69,13 @@
 	return found
 }
 
-func barred(n ast.Node) string {
+func forbiddenUse(n ast.Node) string {
 	switch n := n.(type) {
 	case *ast.GoStmt:
 		return "a goroutine"
 	case *ast.ImportSpec:
 		path, _ := strconv.Unquote(n.Path.Value)
-		for _, b := range barredImports {
+		for _, b := range forbiddenImports {
 			if path == b || strings.HasPrefix(path, b+"/") {
 				return "import of " + path
 			}
@@ -85,7 +85,7 @@
 		if !ok || pkg.Name != "time" {
 			return ""
 		}
-		for _, b := range barredClock {
+		for _, b := range forbiddenClock {
 			if n.Sel.Name == b {
 				return "time." + b
 			}
--- a/turmericgap.go
+++ b/turmericgap.go
@@ -27,17 +27,17 @@
 	opsHeaderBytes         = 16 << 10
 )
 
-// Page answers a request on the operators' port.
+// Page handles a request on the operators' port.
 type Page = http.HandlerFunc
 
-// Service is the shell of one program of the cell.
+// Service is the runtime of one program of the cell.
 type Service struct {
 	opts     Options
 	stopping atomic.Bool
 	ops      *http.Server
 }
 
-// New returns a Service; without options it logs, and stops on a signal.
+// New returns a Service. Without options it only logs and waits for a signal to stop.
 func New(opts ...Option) *Service {
 	o := Options{Name: DefaultName, ShutdownTimeout: DefaultShutdownTimeout, Pages: map[string]Page{}}
 	for _, f := range opts {
@@ -52,17 +52,17 @@
 	return &Service{opts: o}
 }
 
-// Init adds options to a Service that does not run yet.
+// Init applies further options before Run.
 func (s *Service) Init(opts ...Option) {
 	for _, f := range opts {
 		f(&s.opts)
 	}
 }
 
-// Logger gives the service's root logger.
+// Logger returns the service's root logger.
 func (s *Service) Logger() *zap.Logger { return s.opts.Logger }
 
-// Metrics gives the service's metrics.
+// Metrics returns the service's metrics.
 func (s *Service) Metrics() *metric.Registry { return s.opts.Metrics }
 
 // Run starts the service and returns after its graceful shutdown on SIGTERM or SIGINT.
