--- a/cmd/standinlist/main.go
+++ b/cmd/standinlist/main.go
@@ -45,6 +45,6 @@
 	}
 	for {
 		l.Register(vms)
-		time.Sleep(list.DefaultRegisterEvery)
+		time.Sleep(list.DefaultRegisterInterval)
 	}
 }
--- a/cmd/standintarget/main.go
+++ b/cmd/standintarget/main.go
@@ -43,11 +43,11 @@
 	endpoint.Get(mux, "/events", func() any { return judge.Events() })
 	targets := make([]*standin.Target, o.Count)
 	for i := range targets {
-		targets[i] = standin.New(o.info(i), standin.Work(o.Work), standin.Record(judge.Record))
+		targets[i] = standin.New(o.info(i), standin.ServiceTime(o.Work), standin.Record(judge.Record))
 		path := fmt.Sprintf("/t/%d", i)
 		mux.Handle(path+"/", http.StripPrefix(path, targets[i].Handler()))
 	}
-	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterEvery, func() vmlist.List { return listed(targets) })
+	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterInterval, func() vmlist.List { return listed(targets) })
 	if err := endpoint.Serve(o.Listen, mux); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
--- a/cmd/standinworker/main.go
+++ b/cmd/standinworker/main.go
@@ -52,7 +52,7 @@
 		mux.Handle(path+"/", http.StripPrefix(path, w.Handler()))
 		vms.Workers = append(vms.Workers, w.Info())
 	}
-	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterEvery, func() vmlist.List { return vms })
+	go list.KeepRegistered(context.Background(), o.Register, list.DefaultRegisterInterval, func() vmlist.List { return vms })
 	if err := endpoint.Serve(o.Listen, mux); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -76,9 +76,9 @@
 			Accelerators: s.Each.Accelerators,
 		}
 	}
-	opts := []standin.Option{standin.Run(o.Run), standin.Use(use), standin.Record(judge.Record)}
+	opts := []standin.Option{standin.RunTime(o.Run), standin.Usage(use), standin.Record(judge.Record)}
 	if o.Guards {
-		opts = append(opts, standin.Guards())
+		opts = append(opts, standin.RejectInvalid())
 	}
 	return opts
 }
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -42,7 +42,7 @@
 		time.Sleep(4 * time.Second)
 		var begun time.Duration
 		for _, r := range c.floor.History() {
-			begun += r.Begun.Sub(handed[r.Task.Work])
+			begun += r.Started.Sub(handed[r.Task.Work])
 		}
 		mean := begun / time.Duration(len(c.floor.History()))
 		t.Logf("started %v after they were handed in", mean)
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -43,7 +43,7 @@
 type cell struct {
 	t      *testing.T
 	kv     *memory.Service
-	floor  *floor.Floor
+	floor  *floor.Cluster
 	config *job.Config
 	// permits gives the answer of the policy service; nil allows every worker at once.
 	permits func(q *permit.Request) ([]string, time.Duration)
@@ -384,7 +384,7 @@
 // checkHistory fails the test for whatever the history shows to be wrong.
 func (c *cell) checkHistory() {
 	c.t.Helper()
-	for _, fault := range c.floor.Judge() {
+	for _, fault := range c.floor.Violations() {
 		c.t.Error(fault)
 	}
 }
@@ -404,7 +404,7 @@
 
 func runsFor(d time.Duration) func(worker.Task, int64) floor.Behaviour {
 	return func(worker.Task, int64) floor.Behaviour {
-		return floor.Behaviour{Runs: d, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000, MemoryMB: 100}}
+		return floor.Behaviour{Duration: d, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000, MemoryMB: 100}}
 	}
 }
 
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -146,7 +146,7 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Runs: r.step, How: worker.EndingDone, Needs: s.Each, Gang: members(s)}
+		return floor.Behaviour{Duration: r.step, Ending: worker.EndingDone, Resources: s.Each, GangSize: members(s)}
 	}, vms...)
 	c.config.Queues[0].Slack = rosterSlack
 	if o.gangs {
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -103,7 +103,7 @@
 	}
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		s := &byID[task.Work].Steps[task.Step]
-		return floor.Behaviour{Runs: s.Estimate, How: worker.EndingDone, Needs: s.Each, Gang: members(s)}
+		return floor.Behaviour{Duration: s.Estimate, Ending: worker.EndingDone, Resources: s.Each, GangSize: members(s)}
 	}, vms...)
 	roster := &c.config.Queues[0]
 	roster.Priority, roster.Slack = 1, rosterSlack
--- a/dispatch/fault_test.go
+++ b/dispatch/fault_test.go
@@ -22,7 +22,7 @@
 		ws := c.workers(1, 4)
 		v := c.owner()
 		time.Sleep(time.Second)
-		ws[0].Set(floor.Faults{Cut: true})
+		ws[0].SetFaults(floor.Faults{Unreachable: true})
 		c.submit(v, c.work("check", job.Step{Tasks: 1}))
 		for range 5 {
 			time.Sleep(700 * time.Millisecond)
@@ -30,7 +30,7 @@
 			is.NoErr(err)
 			is.Equal(n, 1)
 		}
-		ws[0].Set(floor.Faults{})
+		ws[0].SetFaults(floor.Faults{})
 		c.waitForState(v, "check", job.WorkCompleted, 30*time.Second)
 		n, err := v.front.Waiting(t.Context(), "roster")
 		is.NoErr(err)
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -18,11 +18,11 @@
 // gangOf gives members that fail, or work for a while and end as done together.
 func gangOf(size int, d time.Duration, how worker.Ending) func(worker.Task, int64) floor.Behaviour {
 	return func(task worker.Task, _ int64) floor.Behaviour {
-		b := floor.Behaviour{Runs: d, How: worker.EndingDone, Gang: size, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
+		b := floor.Behaviour{Duration: d, Ending: worker.EndingDone, GangSize: size, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
 		if task.Index == 0 {
-			b.How = how
+			b.Ending = how
 		} else if how == worker.EndingFailed {
-			b.Runs = time.Hour
+			b.Duration = time.Hour
 		}
 		return b
 	}
@@ -64,10 +64,10 @@
 				other = ws[1]
 			}
 		}
-		other.Set(floor.Faults{Cut: true})
+		other.SetFaults(floor.Faults{Unreachable: true})
 		time.Sleep(time.Second)
 		c.kill(first)
-		other.Set(floor.Faults{})
+		other.SetFaults(floor.Faults{})
 		second := c.owner()
 		c.waitForState(second, "gang", job.WorkFailed, 30*time.Second)
 		is.Equal(c.runs("gang"), 4)
@@ -116,9 +116,9 @@
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			if task.Work == "gang" {
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
 			}
-			return floor.Behaviour{Runs: 3 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: 3 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 20, Target: time.Minute})
 		c.workers(3, 4)
@@ -138,7 +138,7 @@
 		var begun time.Time
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				begun = r.Begun
+				begun = r.Started
 			}
 		}
 		is.True(!begun.IsZero())
@@ -160,7 +160,7 @@
 		c.submit(v, c.work("gang", gangStep(2)))
 		time.Sleep(time.Second)
 		for _, w := range ws {
-			if w.Active() > 0 {
+			if w.ActiveRuns() > 0 {
 				w.Crash(false)
 				break
 			}
@@ -188,7 +188,7 @@
 				for _, r := range c.floor.History() {
 					for _, w := range ws {
 						if r.Task.Index == 0 && r.Worker == w.Info().ID {
-							w.Set(floor.Faults{Cut: true})
+							w.SetFaults(floor.Faults{Unreachable: true})
 						}
 					}
 				}
@@ -197,7 +197,7 @@
 					c.kill(v)
 				}
 				for _, w := range ws {
-					w.Set(floor.Faults{})
+					w.SetFaults(floor.Faults{})
 				}
 				c.waitForState(c.owner(), "gang", job.WorkFailed, 40*time.Second)
 				is.Equal(c.runs("gang"), 4)
@@ -224,14 +224,14 @@
 				for _, r := range c.floor.History() {
 					for _, w := range ws {
 						if r.Task.Index < 2 && r.Worker == w.Info().ID {
-							w.Set(floor.Faults{Cut: true})
+							w.SetFaults(floor.Faults{Unreachable: true})
 						}
 					}
 				}
 				time.Sleep(5 * time.Second)
 				is.Equal(c.runs("gang"), 6) // a run that two workers may tell of counts once
 				for _, w := range ws {
-					w.Set(floor.Faults{})
+					w.SetFaults(floor.Faults{})
 				}
 				c.waitForState(v, "gang", job.WorkFailed, 40*time.Second)
 				is.Equal(c.runs("gang"), 6)
@@ -248,10 +248,10 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Gang: 2, Attempts: 2, Needs: job.Resources{Millicores: 3000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, GangSize: 2, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
 		}, "vm1")
 		ws := c.workers(4, 8)
-		ws[3].Set(floor.Faults{Fails: true}) // the first choice among equals
+		ws[3].SetFaults(floor.Faults{FailRuns: true}) // the first choice among equals
 		v := c.owner()
 		time.Sleep(5 * time.Second)
 		for i := range 4 {
@@ -261,7 +261,7 @@
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
-			if r.How == worker.EndingFailed {
+			if r.Ending == worker.EndingFailed {
 				failed++
 			}
 		}
@@ -279,11 +279,11 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
 			case "before":
-				return floor.Behaviour{Runs: 5 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Duration: 5 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
@@ -305,7 +305,7 @@
 		c.waitForState(v, "gang", job.WorkCompleted, 20*time.Second)
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				is.True(r.Begun.Sub(handed) < 6*time.Second)
+				is.True(r.Started.Sub(handed) < 6*time.Second)
 			}
 		}
 		c.checkHistory()
@@ -361,11 +361,11 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Gang: 2, Needs: job.Resources{Millicores: 3000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 3000}}
 			case "long":
-				return floor.Behaviour{Runs: time.Minute, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Duration: time.Minute, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, 20*time.Second
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 200 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
@@ -393,7 +393,7 @@
 		begun := time.Time{}
 		for _, r := range c.floor.History() {
 			if r.Task.Work == "gang" {
-				begun = r.Begun
+				begun = r.Started
 			}
 		}
 		is.True(!begun.IsZero())
--- a/dispatch/path_test.go
+++ b/dispatch/path_test.go
@@ -35,9 +35,9 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, run int64) floor.Behaviour {
-			b := floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Attempts: 2, Needs: job.Resources{Millicores: 1000}}
+			b := floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, MaxAttempts: 2, Resources: job.Resources{Millicores: 1000}}
 			if task.Work == "bad" || (task.Step == 0 && task.Index == 0 && run == 1) {
-				b.How = worker.EndingFailed
+				b.Ending = worker.EndingFailed
 			}
 			return b
 		}, "vm1", "vm2")
@@ -85,7 +85,7 @@
 		v := c.vms["vm2"]
 		c.submit(v, c.work("long", job.Step{Tasks: 10}))
 		time.Sleep(time.Second)
-		is.Equal(ws[0].Active()+ws[1].Active(), 8)
+		is.Equal(ws[0].ActiveRuns()+ws[1].ActiveRuns(), 8)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		is.NoErr(v.front.Cancel(ctx, "long"))
@@ -93,7 +93,7 @@
 		is.NoErr(err)
 		is.Equal(state, job.WorkCancelled)
 		time.Sleep(time.Second)
-		is.Equal(ws[0].Active()+ws[1].Active(), 0)
+		is.Equal(ws[0].ActiveRuns()+ws[1].ActiveRuns(), 0)
 		is.Equal(c.runs("long"), 8)
 		c.checkHistory()
 	})
--- a/dispatch/probe_test.go
+++ b/dispatch/probe_test.go
@@ -19,7 +19,7 @@
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
 		for _, w := range c.workers(16, 16) {
-			w.Set(floor.Faults{LoseHold: 17})
+			w.SetFaults(floor.Faults{DropHoldReplyEvery: 17})
 		}
 		v := c.owner()
 		time.Sleep(time.Second)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -93,7 +93,7 @@
 		}
 		first := make(map[string]time.Time)
 		for _, r := range c.floor.History() {
-			first[r.Task.Work] = laterOf(first[r.Task.Work], r.Begun)
+			first[r.Task.Work] = laterOf(first[r.Task.Work], r.Started)
 		}
 		is.True(first["batch"].Before(first["check"])) // its last task began before the last check
 		is.True(maxConcurrent(c, "sweep") <= 3)
@@ -114,7 +114,7 @@
 	for _, at := range c.floor.History() {
 		n := 0
 		for _, r := range c.floor.History() {
-			if r.Task.Work == id && !r.Begun.After(at.Begun) && r.Ended.After(at.Begun) {
+			if r.Task.Work == id && !r.Started.After(at.Started) && r.Ended.After(at.Started) {
 				n++
 			}
 		}
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -19,7 +19,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: 2 * time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
 		c.config.Queues[0].Slack, c.config.Queues[0].Target = 3, time.Second
 		c.workers(4, 8)
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -225,7 +225,7 @@
 				is.Equal(k.faults, nil)
 				time.Sleep(20 * time.Second)
 				for _, r := range c.floor.History() {
-					is.True(r.How == worker.EndingDone)
+					is.True(r.Ending == worker.EndingDone)
 				}
 				c.checkHistory()
 			})
@@ -239,7 +239,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Runs: time.Hour, How: worker.EndingDone, Lasts: true, Needs: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Hour, Ending: worker.EndingDone, FullProgress: true, Resources: job.Resources{Millicores: 1000}}
 		})
 		ws := c.workers(2, 4)
 		k := newCloud(c, ws, 2)
@@ -346,7 +346,7 @@
 	for _, ended := range history {
 		others := 0
 		for _, r := range history {
-			if r.Begun.Before(ended.Ended) && (r.Ended.IsZero() || r.Ended.After(ended.Ended)) {
+			if r.Started.Before(ended.Ended) && (r.Ended.IsZero() || r.Ended.After(ended.Ended)) {
 				others++
 			}
 		}
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -25,9 +25,9 @@
 				v := c.owner()
 				c.submit(v, c.work("roster", job.Step{Tasks: 8}))
 				time.Sleep(2 * time.Second)
-				ws[0].Set(floor.Faults{Cut: true})
+				ws[0].SetFaults(floor.Faults{Unreachable: true})
 				time.Sleep(cutFor)
-				ws[0].Set(floor.Faults{})
+				ws[0].SetFaults(floor.Faults{})
 				c.waitForState(v, "roster", job.WorkCompleted, 40*time.Second)
 				again := c.runs("roster") - 8
 				is.Equal(again > 0, cutFor > mostHold)
@@ -46,7 +46,7 @@
 		first := c.owner()
 		c.submit(first, c.work("roster", job.Step{Tasks: 8}))
 		time.Sleep(2 * time.Second)
-		ws[1].Set(floor.Faults{Cut: true})
+		ws[1].SetFaults(floor.Faults{Unreachable: true})
 		time.Sleep(100 * time.Millisecond)
 		c.kill(first)
 		c.waitForState(c.owner(), "roster", job.WorkCompleted, time.Minute)
@@ -91,10 +91,10 @@
 				ws := c.workers(1, 2)
 				v := c.owner()
 				time.Sleep(time.Second)
-				ws[0].Set(floor.Faults{LateLaunch: late})
+				ws[0].SetFaults(floor.Faults{LaunchDelay: late})
 				c.submit(v, c.work("check", job.Step{Tasks: 4}))
 				time.Sleep(time.Second)
-				ws[0].Set(floor.Faults{})
+				ws[0].SetFaults(floor.Faults{})
 				c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
 				c.checkHistory()
 			})
@@ -113,7 +113,7 @@
 		c.submit(v, c.work("roster", job.Step{Tasks: 4}))
 		time.Sleep(time.Second)
 		for _, w := range ws {
-			if w.Active() > 0 {
+			if w.ActiveRuns() > 0 {
 				w.Crash(true)
 				break
 			}
@@ -133,7 +133,7 @@
 		v := c.owner()
 		c.submit(v, c.work("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
-		is.Equal(ws[0].Active(), 4)
+		is.Equal(ws[0].ActiveRuns(), 4)
 		c.register(worker.Listing{Info: asLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 8}))
@@ -159,12 +159,12 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
-			b := floor.Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 1000}}
+			b := floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
 			switch task.Work {
 			case "service":
-				b.Runs, b.How = 2*time.Second, worker.EndingFailed
+				b.Duration, b.Ending = 2*time.Second, worker.EndingFailed
 			case "filler":
-				b.Needs = job.Resources{}
+				b.Resources = job.Resources{}
 			}
 			return b
 		}, "vm1")
@@ -213,7 +213,7 @@
 		c.kill(first)
 		c.waitForState(c.owner(), "sweep", job.WorkCompleted, 30*time.Second)
 		for _, r := range c.floor.History() {
-			late := r.Begun.Sub(w.Due(r.Task.Occurrence))
+			late := r.Started.Sub(w.Due(r.Task.Occurrence))
 			is.True(late >= 0)
 			is.True(late < 2500*time.Millisecond)
 		}
@@ -231,7 +231,7 @@
 			if x.Task.Work != a || y.Task.Work != b || x.Worker != y.Worker {
 				continue
 			}
-			if (y.Ended.IsZero() || x.Begun.Before(y.Ended)) && (x.Ended.IsZero() || y.Begun.Before(x.Ended)) {
+			if (y.Ended.IsZero() || x.Started.Before(y.Ended)) && (x.Ended.IsZero() || y.Started.Before(x.Ended)) {
 				n++
 			}
 		}
@@ -249,17 +249,17 @@
 		v := c.owner()
 		time.Sleep(5 * time.Second)
 		for _, w := range ws {
-			w.Set(floor.Faults{Silent: true})
+			w.SetFaults(floor.Faults{DropReplies: true})
 		}
 		c.submit(v, c.work("check", job.Step{Tasks: 1}))
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(c.runs("check"), 1)
 		for _, w := range ws {
-			w.Set(floor.Faults{Unwell: true})
+			w.SetFaults(floor.Faults{Unwell: true})
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, w := range ws {
-			w.Set(floor.Faults{})
+			w.SetFaults(floor.Faults{})
 		}
 		c.waitForState(v, "check", job.WorkCompleted, 20*time.Second)
 		is.Equal(c.runs("check"), 1)
@@ -276,12 +276,12 @@
 		ws := c.workers(2, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
-		ws[0].Set(floor.Faults{Still: true})
+		ws[0].SetFaults(floor.Faults{StallRuns: true})
 		c.submit(v, c.work("check", job.Step{Tasks: 6, Estimate: time.Second}))
 		c.waitForState(v, "check", job.WorkCompleted, 25*time.Second)
 		still := 0
 		for _, r := range c.floor.History() {
-			if r.How == worker.EndingStopped {
+			if r.Ending == worker.EndingStopped {
 				is.Equal(r.Worker, ws[0].Info().ID)
 				still++
 			}
@@ -314,7 +314,7 @@
 				cell.submit(v, cell.work("roster", job.Step{Tasks: 4}))
 				time.Sleep(time.Second)
 				w := ws[0]
-				if ws[1].Active() > 0 {
+				if ws[1].ActiveRuns() > 0 {
 					w = ws[1]
 				}
 				cell.register(worker.Listing{Info: asLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
@@ -322,13 +322,13 @@
 				if c.again > 0 {
 					w.Crash(false)
 				} else {
-					w.Set(floor.Faults{Cut: true})
+					w.SetFaults(floor.Faults{Unreachable: true})
 				}
 				time.Sleep(c.silent)
 				cell.put(store.Op{Delete: true, Key: workersPrefix + w.Info().ID})
 				if c.again == 0 {
 					time.Sleep(2 * time.Second)
-					w.Set(floor.Faults{})
+					w.SetFaults(floor.Faults{})
 				}
 				cell.waitForState(v, "roster", job.WorkCompleted, c.within)
 				is.Equal(cell.runs("roster"), 4+c.again)
@@ -346,7 +346,7 @@
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1")
 		ws := c.workers(4, 4)
-		ws[0].Set(floor.Faults{Fails: true})
+		ws[0].SetFaults(floor.Faults{FailRuns: true})
 		v := c.owner()
 		time.Sleep(5 * time.Second)
 		for i := range 120 {
@@ -358,20 +358,20 @@
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
-			if r.How == worker.EndingFailed {
+			if r.Ending == worker.EndingFailed {
 				failed++
 			}
 		}
 		is.True(failed <= 8) // those before the first rest, and one for each trial
-		ws[0].Set(floor.Faults{})
+		ws[0].SetFaults(floor.Faults{})
 		time.Sleep(5 * time.Second)
 		c.submit(v, c.work("first", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
-		is.Equal(ws[0].Active(), 1)
+		is.Equal(ws[0].ActiveRuns(), 1)
 		c.waitForState(v, "first", job.WorkCompleted, 3*time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 16}))
 		time.Sleep(time.Second / 2)
-		is.Equal(ws[0].Active(), 4)
+		is.Equal(ws[0].ActiveRuns(), 4)
 		c.checkHistory()
 	})
 }
@@ -387,7 +387,7 @@
 		v := c.owner()
 		c.submit(v, c.work("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
-		is.Equal(ws[0].Active(), 4)
+		is.Equal(ws[0].ActiveRuns(), 4)
 		spoiled := []byte{0xc1, 0xff}
 		c.put(store.Op{Key: workersPrefix + ws[0].Info().ID, Value: spoiled})
 		c.put(store.Op{Key: workersPrefix + "nobody", Value: spoiled})
--- a/dispatch/zone_test.go
+++ b/dispatch/zone_test.go
@@ -35,7 +35,7 @@
 		handed := make(map[string]time.Time)
 		time.AfterFunc(1500*time.Millisecond, func() {
 			for _, w := range cut {
-				w.Set(floor.Faults{Cut: true})
+				w.SetFaults(floor.Faults{Unreachable: true})
 			}
 		})
 		for i := range 60 {
--- a/gate/target/contract_test.go
+++ b/gate/target/contract_test.go
@@ -68,7 +68,7 @@
 		for _, c := range cases {
 			t.Run(kind+"/"+c.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					at := standin.New(info, standin.Work(time.Second))
+					at := standin.New(info, standin.ServiceTime(time.Second))
 					client, stop := build(at)
 					defer stop()
 					defer at.SetFault(standin.Fault{})
@@ -207,7 +207,7 @@
 func TestWaitForConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		at := standin.New(info, standin.Work(3*time.Second))
+		at := standin.New(info, standin.ServiceTime(3*time.Second))
 		pipe := endpoint.NewPipe(http.StripPrefix("/t/0", at.Handler()))
 		defer pipe.Close()
 		pool := webcall.New(webcall.Dial(pipe.Dial))
--- a/policy/load.go
+++ b/policy/load.go
@@ -26,10 +26,10 @@
 type Arrival struct {
 	At   time.Time
 	Spec *job.Submission
-	// Runs holds the true run time of each task; a service has none and runs to the end.
-	Runs []time.Duration
-	// Peak is what each task truly uses at its peak.
-	Peak job.Resources
+	// RunTimes holds the true run time of each task; a service has none and runs to the end.
+	RunTimes []time.Duration
+	// PeakUsage is what each task truly uses at its peak.
+	PeakUsage job.Resources
 }
 
 // offered is the larger of the processor and memory shares.
@@ -41,10 +41,10 @@
 	for i := range l.Jobs {
 		a := &l.Jobs[i]
 		seconds := 0
-		for _, run := range a.Runs {
+		for _, run := range a.RunTimes {
 			seconds += int(run.Seconds())
 		}
-		if a.Runs == nil {
+		if a.RunTimes == nil {
 			seconds = a.Spec.Tasks * int(l.To.Sub(a.At).Seconds())
 		}
 		work = work.Plus(a.Spec.Each.Times(seconds))
@@ -124,13 +124,13 @@
 	}
 	// What is declared is off by up to a factor of three either way.
 	s.RunSeconds = int64(k.run.Seconds()*math.Exp(g.Float64()*2.2-1.1)) + 1
-	a := Arrival{At: at, Spec: s, Peak: s.Each}
-	a.Peak.MemoryMB = s.Each.MemoryMB * int64(g.between(30, 100)) / 100
-	a.Peak.Millicores = s.Each.Millicores * int64(g.between(30, 100)) / 100
+	a := Arrival{At: at, Spec: s, PeakUsage: s.Each}
+	a.PeakUsage.MemoryMB = s.Each.MemoryMB * int64(g.between(30, 100)) / 100
+	a.PeakUsage.Millicores = s.Each.Millicores * int64(g.between(30, 100)) / 100
 	if !k.service {
 		for range s.Tasks {
 			run := float64(k.run) * math.Exp(g.NormFloat64()*k.spread)
-			a.Runs = append(a.Runs, max(time.Second/2, time.Duration(run)))
+			a.RunTimes = append(a.RunTimes, max(time.Second/2, time.Duration(run)))
 		}
 	}
 	g.load.Jobs = append(g.load.Jobs, a)
@@ -158,8 +158,8 @@
 
 func (g *generator) scale(factor float64) {
 	for i := range g.load.Jobs {
-		for k := range g.load.Jobs[i].Runs {
-			g.load.Jobs[i].Runs[k] = time.Duration(float64(g.load.Jobs[i].Runs[k]) * factor)
+		for k := range g.load.Jobs[i].RunTimes {
+			g.load.Jobs[i].RunTimes[k] = time.Duration(float64(g.load.Jobs[i].RunTimes[k]) * factor)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -48,7 +48,7 @@
 					r := Replay(l, policy(l))
 					c := classes[l.Name]
 					large, small = large+r.byClass[c[0]].Missed, small+r.byClass[c[1]].Missed
-					packing, wait = packing+r.Packing()/nights, wait+r.Wait(c[2], 0.99).Seconds()/nights
+					packing, wait = packing+r.Packing()/nights, wait+r.WaitQuantile(c[2], 0.99).Seconds()/nights
 				}
 				b.ReportMetric(float64(large)/float64(b.N), "missed-large")
 				b.ReportMetric(float64(small)/float64(b.N), "missed-small")
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -155,7 +155,7 @@
 		}
 		j.done[e.task] = true
 		r.demand = r.demand.Minus(a.Spec.Each)
-		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.Peak})
+		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.PeakUsage})
 		if j.left--; j.left == 0 {
 			r.report.finished(a, now)
 		}
@@ -189,7 +189,7 @@
 	j.started[s.Task] = now
 	r.pending--
 	if a.Spec.Kind != job.Service {
-		r.schedule(event{at: now.Add(a.Runs[s.Task]), job: i, task: s.Task, attempt: j.attempts[s.Task]})
+		r.schedule(event{at: now.Add(a.RunTimes[s.Task]), job: i, task: s.Task, attempt: j.attempts[s.Task]})
 	}
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -16,7 +16,7 @@
 type Report struct {
 	Load      string
 	Policy    string
-	Classes   []*Class
+	Classes   []*ClassReport
 	Refused   int
 	Preempted int
 	// LostCoreSeconds is the work of preempted attempts, as if no checkpoint had helped.
@@ -27,39 +27,39 @@
 
 	has     job.Resources
 	packing []float64
-	byClass map[string]*Class
+	byClass map[string]*ClassReport
 }
 
-// Class is the part of a report about one class of jobs.
-type Class struct {
+// ClassReport is the part of a report about one class of jobs.
+type ClassReport struct {
 	Name   string
 	Starts int
-	// Jobs counts those with a deadline that have finished or were due, Missed the late ones.
-	Jobs   int
-	Missed int
+	// DeadlineJobs counts those with a deadline that have finished or were due, Missed the late ones.
+	DeadlineJobs int
+	Missed       int
 
 	waits []time.Duration
 }
 
 func newReport(l *Load, policy string) *Report {
-	r := &Report{Load: l.Name, Policy: policy, Offered: l.offered(), byClass: map[string]*Class{}}
+	r := &Report{Load: l.Name, Policy: policy, Offered: l.offered(), byClass: map[string]*ClassReport{}}
 	for i := range l.Jobs {
 		s := l.Jobs[i].Spec
 		c := r.class(s.Class)
 		if !s.Deadline.IsZero() {
 			// Missed until it has finished in time.
-			c.Jobs++
+			c.DeadlineJobs++
 			c.Missed++
 		}
 	}
-	slices.SortFunc(r.Classes, func(a, b *Class) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(r.Classes, func(a, b *ClassReport) int { return strings.Compare(a.Name, b.Name) })
 	return r
 }
 
-func (r *Report) class(name string) *Class {
+func (r *Report) class(name string) *ClassReport {
 	c, ok := r.byClass[name]
 	if !ok {
-		c = &Class{Name: name}
+		c = &ClassReport{Name: name}
 		r.byClass[name] = c
 		r.Classes = append(r.Classes, c)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// Missed counts the jobs that ended after their deadline, or never.
-func (r *Report) Missed() int {
+// MissedDeadlines counts the jobs that ended after their deadline, or never.
+func (r *Report) MissedDeadlines() int {
 	n := 0
 	for _, c := range r.Classes {
 		n += c.Missed
@@ -87,8 +87,8 @@
 	return n
 }
 
-// Wait gives a quantile of the waiting times of a class, from zero to one.
-func (r *Report) Wait(class string, q float64) time.Duration {
+// WaitQuantile gives a quantile of the waiting times of a class, from zero to one.
+func (r *Report) WaitQuantile(class string, q float64) time.Duration {
 	c := r.byClass[class]
 	if c == nil || len(c.waits) == 0 {
 		return 0
@@ -121,10 +121,10 @@
 		r.Load, r.Policy, r.Offered, r.Packing(), len(r.packing), samples, r.Preempted, r.LostCoreSeconds, r.Refused)
 	fmt.Fprintf(&b, "  %-12s %8s %12s %12s %12s %9s\n", "class", "starts", "p50", "p99", "max", "missed")
 	for _, c := range r.Classes {
-		at := func(q float64) string { return fmt.Sprintf("%.2fs", r.Wait(c.Name, q).Seconds()) }
+		at := func(q float64) string { return fmt.Sprintf("%.2fs", r.WaitQuantile(c.Name, q).Seconds()) }
 		missed := "-"
-		if c.Jobs > 0 {
-			missed = fmt.Sprintf("%d/%d", c.Missed, c.Jobs)
+		if c.DeadlineJobs > 0 {
+			missed = fmt.Sprintf("%d/%d", c.Missed, c.DeadlineJobs)
 		}
 		fmt.Fprintf(&b, "  %-12s %8d %12s %12s %12s %9s\n", c.Name, c.Starts, at(0.5), at(0.99), at(1), missed)
 	}
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -52,7 +52,7 @@
 	c := &cell{t: t, kv: memory.New(), reported: make(map[string]bool)}
 	parent := func(s string) string { return s[:strings.LastIndexByte(s, '/')] }
 	c.checker = history.New(history.Names(parent, func(task string) string { return parent(task) }))
-	opts = append([]standin.Option{standin.Record(c.checker.Record), standin.Tasks(parent), standin.Run(2 * time.Second)}, opts...)
+	opts = append([]standin.Option{standin.Record(c.checker.Record), standin.TaskOf(parent), standin.RunTime(2 * time.Second)}, opts...)
 	for i := range workers {
 		info := worker.Info{
 			ID: fmt.Sprintf("worker-%d", i), Address: fmt.Sprint(i), Zone: testZone, Rack: fmt.Sprint("rack-", i%2),
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -401,7 +401,7 @@
 func TestOvertime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, 1, standin.Class("stuck", 24*time.Hour))
+		c := newCell(t, 1, standin.ClassRunTime("stuck", 24*time.Hour))
 		rules, err := rule.New(rule.Document{Rules: []rule.Rule{{ID: "all", Then: []rule.Action{
 			{Kind: "retry", With: []byte(`{"timeoutSeconds": 60, "retries": 1}`)},
 		}}}})
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -133,7 +133,7 @@
 	done := make(map[worker.Task]bool)
 	gangs := make(map[int]bool)
 	for _, run := range s.cell.floor.History() {
-		if run.Task.Work == c.work.ID && run.How == worker.EndingDone {
+		if run.Task.Work == c.work.ID && run.Ending == worker.EndingDone {
 			done[run.Task] = true
 			gangs[run.Task.Step] = true
 		}
@@ -158,7 +158,7 @@
 	failed := make(map[attempt]bool)
 	count := make(map[worker.Task]int)
 	for _, r := range history {
-		if r.Task.Work != w.ID || r.How != worker.EndingFailed {
+		if r.Task.Work != w.ID || r.Ending != worker.EndingFailed {
 			continue
 		}
 		t := r.Task
@@ -246,5 +246,5 @@
 	}
 	s.cell.mu.Lock()
 	defer s.cell.mu.Unlock()
-	rep.Findings = append(s.cell.found, s.cell.floor.Judge()...)
+	rep.Findings = append(s.cell.found, s.cell.floor.Violations()...)
 }
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -39,7 +39,7 @@
 type Cell struct {
 	o       *Options
 	standin *platform.Standin
-	floor   *floor.Floor
+	floor   *floor.Cluster
 	vms     []*vm
 	workers []*slot
 	closers []func()
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -55,8 +55,8 @@
 	{"workers are cut off", func(p *plan, _ time.Duration) func() { return p.links(Silencing) }},
 	{"answers of workers are lost", func(p *plan, _ time.Duration) func() { return p.links(Deafening) }},
 	{"workers reset connections", func(p *plan, _ time.Duration) func() { return p.links(Resetting) }},
-	{"orders are carried out late", func(p *plan, lasts time.Duration) func() { return p.workers(floor.Faults{LateLaunch: lasts}) }},
-	{"workers fail all", func(p *plan, _ time.Duration) func() { return p.workers(floor.Faults{Fails: true}) }},
+	{"orders are carried out late", func(p *plan, lasts time.Duration) func() { return p.workers(floor.Faults{LaunchDelay: lasts}) }},
+	{"workers fail all", func(p *plan, _ time.Duration) func() { return p.workers(floor.Faults{FailRuns: true}) }},
 	{"workers decline calls", func(p *plan, _ time.Duration) func() { return p.workers(floor.Faults{Unwell: true}) }},
 	{"a worker crashes", func(p *plan, lasts time.Duration) func() {
 		p.cell.workers[p.r.IntN(len(p.cell.workers))].crash(lasts)
@@ -169,11 +169,11 @@
 func (p *plan) workers(f floor.Faults) func() {
 	slots := p.third()
 	for _, w := range slots {
-		w.worker().Set(f)
+		w.worker().SetFaults(f)
 	}
 	return func() {
 		for _, w := range slots {
-			w.worker().Set(floor.Faults{})
+			w.worker().SetFaults(floor.Faults{})
 		}
 	}
 }
--- a/soak/work_test.go
+++ b/soak/work_test.go
@@ -55,20 +55,20 @@
 	w := c.work(t.Work)
 	if w == nil {
 		c.find("a task that nobody handed in was started: " + fmt.Sprint(t))
-		return floor.Behaviour{Runs: time.Second, How: worker.EndingDone}
+		return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone}
 	}
 	s := &w.Steps[t.Step]
 	h := hash(t.Work, t.Step, t.Index)
 	b := floor.Behaviour{
-		Runs: 200*time.Millisecond + time.Duration(h%1000)*time.Millisecond, How: worker.EndingDone,
-		Needs: s.Each, Attempts: w.Queue.Attempts,
+		Duration: 200*time.Millisecond + time.Duration(h%1000)*time.Millisecond, Ending: worker.EndingDone,
+		Resources: s.Each, MaxAttempts: w.Queue.Attempts,
 	}
 	if s.Gang {
-		b.Gang = s.Tasks
-		b.Runs = 500 * time.Millisecond
+		b.GangSize = s.Tasks
+		b.Duration = 500 * time.Millisecond
 	}
 	if run == 1 && h%12 == 0 {
-		b.How = worker.EndingFailed
+		b.Ending = worker.EndingFailed
 	}
 	return b
 }
--- a/standin/floor/floor_test.go
+++ b/standin/floor/floor_test.go
@@ -17,42 +17,42 @@
 func TestPlantedViolations(t *testing.T) {
 	cases := map[string]struct {
 		want string
-		play func(f *Floor, a, b *worker.Agent, wa *Worker)
+		play func(f *Cluster, a, b *worker.Agent, wa *Worker)
 	}{
-		"none": {"", func(_ *Floor, a, b *worker.Agent, _ *Worker) {
+		"none": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
 			launch(b, "y", 1)
 			time.Sleep(2 * time.Second)
 		}},
-		"two at once": {"twice at once", func(_ *Floor, a, b *worker.Agent, _ *Worker) {
+		"two at once": {"twice at once", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			launch(b, "x", 2)
 		}},
-		"again after a noted end": {"started again after it was done", func(_ *Floor, a, b *worker.Agent, _ *Worker) {
+		"again after a noted end": {"started again after it was done", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"again after an end that lapsed unnoted": {"", func(_ *Floor, a, b *worker.Agent, _ *Worker) {
+		"again after an end that lapsed unnoted": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			time.Sleep(time.Minute)
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"too many attempts": {"last attempt", func(f *Floor, a, b *worker.Agent, _ *Worker) {
-			f.Behave = func(worker.Task, int64) Behaviour {
-				return Behaviour{Runs: time.Second, How: worker.EndingFailed, Attempts: 1}
+		"too many attempts": {"last attempt", func(f *Cluster, a, b *worker.Agent, _ *Worker) {
+			f.BehaviourOf = func(worker.Task, int64) Behaviour {
+				return Behaviour{Duration: time.Second, Ending: worker.EndingFailed, MaxAttempts: 1}
 			}
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"too much": {"too much on worker", func(f *Floor, a, _ *worker.Agent, _ *Worker) {
-			f.Behave = func(worker.Task, int64) Behaviour {
-				return Behaviour{Runs: time.Second, How: worker.EndingDone, Needs: job.Resources{Millicores: 3000}}
+		"too much": {"too much on worker", func(f *Cluster, a, _ *worker.Agent, _ *Worker) {
+			f.BehaviourOf = func(worker.Task, int64) Behaviour {
+				return Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 3000}}
 			}
 			launch(a, "x", 1)
 			launch(a, "y", 1)
@@ -61,14 +61,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := New(func(worker.Task, int64) Behaviour { return Behaviour{Runs: time.Second, How: worker.EndingDone} })
+				f := New(func(worker.Task, int64) Behaviour { return Behaviour{Duration: time.Second, Ending: worker.EndingDone} })
 				info := worker.Info{ID: "a", Has: job.Resources{Millicores: 4000}}
 				wa := f.Add(info)
 				other := info
 				other.ID = "b"
 				f.Add(other)
 				c.play(f, f.Client(info), f.Client(other), wa)
-				found := strings.Join(f.Judge(), "\n")
+				found := strings.Join(f.Violations(), "\n")
 				is.New(t).True(strings.Contains(found, c.want) && (c.want != "" || found == ""))
 				time.Sleep(time.Hour)
 			})
--- a/standin/floor/gang.go
+++ b/standin/floor/gang.go
@@ -3,7 +3,7 @@
 import "turmericgap/worker"
 
 // members gives the runs of one gang that are present, with their workers.
-func (f *Floor) members(key runKey) map[*running]*Worker {
+func (f *Cluster) members(key runKey) map[*running]*Worker {
 	out := make(map[*running]*Worker)
 	for _, w := range f.workers {
 		for k, r := range w.runs {
@@ -18,7 +18,7 @@
 }
 
 // gather lets a gang work once all its members are present.
-func (f *Floor) gather(key runKey, size int) {
+func (f *Cluster) gather(key runKey, size int) {
 	members := f.members(key)
 	if len(members) < size {
 		return
@@ -29,7 +29,7 @@
 }
 
 // endGang ends the other members: as done beside one that is done, else as broken.
-func (f *Floor) endGang(key runKey, how worker.Ending) {
+func (f *Cluster) endGang(key runKey, how worker.Ending) {
 	rest := worker.EndingBroken
 	if how == worker.EndingDone {
 		rest = worker.EndingDone
--- a/standin/floor/hold.go
+++ b/standin/floor/hold.go
@@ -37,7 +37,7 @@
 func (w *Worker) observe(number int64) {
 	for len(w.ended) > 0 && w.ended[0].Number <= number {
 		if r := w.records[0]; r != nil {
-			r.Noted = true
+			r.Acknowledged = true
 		}
 		w.ended, w.records = w.ended[1:], w.records[1:]
 	}
@@ -72,11 +72,11 @@
 
 // percent tells how far a run is.
 func (r *running) percent() int {
-	if r.does.Lasts {
+	if r.does.FullProgress {
 		return 100
 	}
-	if !r.working || r.does.Runs == 0 {
+	if !r.working || r.does.Duration == 0 {
 		return 0
 	}
-	return int(100 * time.Since(r.record.Begun) / r.does.Runs)
+	return int(100 * time.Since(r.record.Started) / r.does.Duration)
 }
--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -31,18 +31,18 @@
 
 // Faults are what goes wrong between one worker and its callers.
 type Faults struct {
-	// Cut makes the worker unreachable; Silent lets orders through and loses their answers.
-	Cut, Silent bool
-	// LateLaunch holds back the next launches that long and gives no answer.
-	LateLaunch time.Duration
+	// Unreachable makes the worker unreachable; DropReplies lets orders through and loses their answers.
+	Unreachable, DropReplies bool
+	// LaunchDelay holds back the next launches that long and gives no answer.
+	LaunchDelay time.Duration
 	// Unwell makes the worker decline calls.
 	Unwell bool
-	// Still makes new runs stand still for good, while the worker answers every call.
-	Still bool
-	// Fails makes all new runs fail at once.
-	Fails bool
-	// LoseHold takes the answer from each hold of so many, which is carried out; zero from none.
-	LoseHold int
+	// StallRuns makes new runs stand still for good, while the worker answers every call.
+	StallRuns bool
+	// FailRuns makes all new runs fail at once.
+	FailRuns bool
+	// DropHoldReplyEvery takes the answer from each hold of so many, which is carried out; zero from none.
+	DropHoldReplyEvery int
 }
 
 // failsAfter is how long a run takes to fail on a worker that fails everything.
@@ -50,7 +50,7 @@
 
 // Worker is one lifetime of a worker.
 type Worker struct {
-	floor    *Floor
+	floor    *Cluster
 	info     worker.Info
 	born     time.Time
 	fence    int64
@@ -74,8 +74,8 @@
 // Clock gives the worker's clock.
 func (w *Worker) Clock() time.Duration { return w.clock() }
 
-// Set changes the faults.
-func (w *Worker) Set(f Faults) {
+// SetFaults changes the faults.
+func (w *Worker) SetFaults(f Faults) {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
 	w.faults = f
@@ -93,8 +93,8 @@
 	w.ended = nil
 }
 
-// Active counts the runs present.
-func (w *Worker) Active() int {
+// ActiveRuns counts the runs present.
+func (w *Worker) ActiveRuns() int {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
 	return len(w.runs)
@@ -128,7 +128,7 @@
 func (w *Worker) takeLate() time.Duration {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
-	return w.faults.LateLaunch
+	return w.faults.LaunchDelay
 }
 
 // order carries an order out, and loses its answer where the faults say so.
@@ -157,14 +157,14 @@
 func (w *Worker) silent() bool {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
-	return w.faults.Silent
+	return w.faults.DropReplies
 }
 
 func (w *Worker) losesHold() bool {
 	w.floor.mu.Lock()
 	defer w.floor.mu.Unlock()
 	w.holds++
-	return w.faults.LoseHold > 0 && w.holds%w.faults.LoseHold == 0
+	return w.faults.DropHoldReplyEvery > 0 && w.holds%w.faults.DropHoldReplyEvery == 0
 }
 
 func (w *Worker) clock() time.Duration { return time.Since(w.born) }
@@ -172,7 +172,7 @@
 // reach is the way of a call to the worker.
 func (w *Worker) reach(ctx context.Context) error {
 	w.floor.mu.Lock()
-	cut, dead, replaced, unwell := w.faults.Cut, w.dead, w.replaced, w.faults.Unwell
+	cut, dead, replaced, unwell := w.faults.Unreachable, w.dead, w.replaced, w.faults.Unwell
 	w.floor.mu.Unlock()
 	switch {
 	case replaced:
@@ -209,26 +209,26 @@
 		return &worker.Refusal{Reason: worker.ReasonLate}
 	}
 	w.extend(l.Until)
-	does := w.floor.Behave(l.Task, l.Run)
-	record := &Run{Task: l.Task, Number: l.Run, Worker: w.info.ID, Begun: time.Now(), gang: does.Gang, attempt: does.Attempts}
+	does := w.floor.BehaviourOf(l.Task, l.Run)
+	record := &Run{Task: l.Task, Number: l.Run, Worker: w.info.ID, Started: time.Now(), gang: does.GangSize, attempt: does.MaxAttempts}
 	w.floor.history = append(w.floor.history, record)
 	r := &running{key: key, does: does, record: record}
 	w.runs[key] = r
 	w.check()
-	if w.faults.Still {
+	if w.faults.StallRuns {
 		return nil
 	}
-	if w.faults.Fails {
-		r.does.Runs, r.does.How = failsAfter, worker.EndingFailed
+	if w.faults.FailRuns {
+		r.does.Duration, r.does.Ending = failsAfter, worker.EndingFailed
 		w.work(r)
 		return nil
 	}
-	if does.Gang == 0 {
+	if does.GangSize == 0 {
 		w.work(r)
 		return nil
 	}
-	r.timer = time.AfterFunc(w.floor.GangWithin, func() { w.finish(r, worker.EndingAlone) })
-	w.floor.gather(r.key, does.Gang)
+	r.timer = time.AfterFunc(w.floor.GangTimeout, func() { w.finish(r, worker.EndingAlone) })
+	w.floor.gather(r.key, does.GangSize)
 	return nil
 }
 
@@ -236,7 +236,7 @@
 func (w *Worker) check() {
 	var sum job.Resources
 	for _, r := range w.runs {
-		sum = sum.Plus(r.does.Needs)
+		sum = sum.Plus(r.does.Resources)
 	}
 	if !sum.Fits(w.info.Has) {
 		w.floor.faults = append(w.floor.faults, fmt.Sprintf("too much on worker %s: %v of %v", w.info.ID, sum, w.info.Has))
@@ -248,7 +248,7 @@
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	r.timer = time.AfterFunc(r.does.Runs, func() { w.finish(r, r.does.How) })
+	r.timer = time.AfterFunc(r.does.Duration, func() { w.finish(r, r.does.Ending) })
 }
 
 func (w *Worker) finish(r *running, how worker.Ending) {
@@ -265,14 +265,14 @@
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	r.record.Ended, r.record.How = time.Now(), how
+	r.record.Ended, r.record.Ending = time.Now(), how
 	w.highest[r.key.task] = max(w.highest[r.key.task], r.key.run)
 	w.last++
 	w.ended = append(w.ended, worker.End{Number: w.last, Task: r.key.task, Run: r.key.run, How: how, Checkpoint: r.checkpoint})
 	w.records = append(w.records, r.record)
 	close(w.changed)
 	w.changed = make(chan struct{})
-	if r.does.Gang > 0 {
+	if r.does.GangSize > 0 {
 		w.floor.endGang(r.key, how)
 	}
 }
--- a/standin/list/handler.go
+++ b/standin/list/handler.go
@@ -25,8 +25,8 @@
 	DownPath       = "/down"
 )
 
-// DefaultRegisterEvery is how often a stand-in registers its VMs again.
-const DefaultRegisterEvery = 2 * time.Second
+// DefaultRegisterInterval is how often a stand-in registers its VMs again.
+const DefaultRegisterInterval = 2 * time.Second
 
 var errRefused = errors.New("refused")
 
@@ -35,19 +35,19 @@
 	IDs []string `json:"ids"`
 }
 
-// Leaving marks VMs as leaving or not.
-type Leaving struct {
+// LeavingRequest marks VMs as leaving or not.
+type LeavingRequest struct {
 	IDs     []string `json:"ids"`
 	Leaving bool     `json:"leaving"`
 }
 
-// Lagging sets how old the shown state is.
-type Lagging struct {
+// LagRequest sets how old the shown state is.
+type LagRequest struct {
 	LagMillis int64 `json:"lagMillis"`
 }
 
-// Down makes the list unreadable.
-type Down struct {
+// DownRequest makes the list unreadable.
+type DownRequest struct {
 	Down bool `json:"down"`
 }
 
@@ -57,9 +57,9 @@
 	post(mux, RegisterPath, func(in *vmlist.List) { l.Register(*in) })
 	post(mux, DeregisterPath, func(in *IDs) { l.Deregister(in.IDs...) })
 	post(mux, ReadmitPath, func(in *IDs) { l.Readmit(in.IDs...) })
-	post(mux, LeavingPath, func(in *Leaving) { l.SetLeaving(in.Leaving, in.IDs...) })
-	post(mux, LagPath, func(in *Lagging) { l.SetLag(time.Duration(in.LagMillis) * time.Millisecond) })
-	post(mux, DownPath, func(in *Down) { l.SetDown(in.Down) })
+	post(mux, LeavingPath, func(in *LeavingRequest) { l.SetLeaving(in.Leaving, in.IDs...) })
+	post(mux, LagPath, func(in *LagRequest) { l.SetLag(time.Duration(in.LagMillis) * time.Millisecond) })
+	post(mux, DownPath, func(in *DownRequest) { l.SetDown(in.Down) })
 	mux.HandleFunc("GET "+web.ListPath, l.serveList)
 	return mux
 }
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -16,8 +16,8 @@
 	StatePath   = "/state"
 )
 
-// Leaving announces that a target leaves.
-type Leaving struct {
+// LeavingRequest announces that a target leaves.
+type LeavingRequest struct {
 	Leaving bool `json:"leaving"`
 }
 
@@ -51,7 +51,7 @@
 		t.SetFault(*in)
 		return t.State(), nil
 	})
-	endpoint.Post(mux, LeavingPath, target.ErrRefused, func(_ context.Context, in *Leaving) (any, error) {
+	endpoint.Post(mux, LeavingPath, target.ErrRefused, func(_ context.Context, in *LeavingRequest) (any, error) {
 		t.SetLeaving(in.Leaving)
 		return t.State(), nil
 	})
--- a/standin/target/options.go
+++ b/standin/target/options.go
@@ -10,9 +10,9 @@
 // Options are what a Target is made of.
 type Options struct {
 	Info target.Info
-	// Work is how long a request takes whose method is not in Methods.
-	Work         time.Duration
-	Methods      map[string]time.Duration
+	// ServiceTime is how long a request takes whose method is not in Methods.
+	ServiceTime  time.Duration
+	MethodTimes  map[string]time.Duration
 	LeavingGrace time.Duration
 	// Record hears what happens, under the target's lock.
 	Record func(history.Event)
@@ -21,16 +21,16 @@
 // Option sets up a Target.
 type Option func(*Options)
 
-// Work sets how long a request takes.
-func Work(d time.Duration) Option { return func(o *Options) { o.Work = d } }
+// ServiceTime sets how long a request takes.
+func ServiceTime(d time.Duration) Option { return func(o *Options) { o.ServiceTime = d } }
 
-// Method sets how long requests of one method take.
-func Method(method string, d time.Duration) Option {
+// MethodTime sets how long requests of one method take.
+func MethodTime(method string, d time.Duration) Option {
 	return func(o *Options) {
-		if o.Methods == nil {
-			o.Methods = make(map[string]time.Duration)
+		if o.MethodTimes == nil {
+			o.MethodTimes = make(map[string]time.Duration)
 		}
-		o.Methods[method] = d
+		o.MethodTimes[method] = d
 	}
 }
 
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -13,8 +13,8 @@
 
 // Defaults.
 const (
-	// DefaultWork is how long a request takes.
-	DefaultWork = 5 * time.Millisecond
+	// DefaultServiceTime is how long a request takes.
+	DefaultServiceTime = 5 * time.Millisecond
 	// DefaultLeavingGrace is how long after its leaving was announced new work is still no violation.
 	DefaultLeavingGrace = 5 * time.Second
 	// MaxAnswers and MaxSessions bound what a target remembers.
@@ -57,7 +57,7 @@
 
 // New returns a target that is what info says.
 func New(info target.Info, opts ...Option) *Target {
-	o := Options{Info: info, Work: DefaultWork, LeavingGrace: DefaultLeavingGrace, Record: func(history.Event) {}}
+	o := Options{Info: info, ServiceTime: DefaultServiceTime, LeavingGrace: DefaultLeavingGrace, Record: func(history.Event) {}}
 	for _, f := range opts {
 		f(&o)
 	}
@@ -216,10 +216,10 @@
 }
 
 func (t *Target) workTime(r *target.Request) time.Duration {
-	if d, ok := t.opts.Methods[r.Method]; ok {
+	if d, ok := t.opts.MethodTimes[r.Method]; ok {
 		return d
 	}
-	return t.opts.Work
+	return t.opts.ServiceTime
 }
 
 func (t *Target) take(r *target.Request) bool {
--- a/standin/worker/attempt.go
+++ b/standin/worker/attempt.go
@@ -79,7 +79,7 @@
 
 func (w *Worker) guard(s *worker.Start) error {
 	switch {
-	case !w.opts.Guards:
+	case !w.opts.RejectInvalid:
 		return nil
 	case s.Epoch < w.epoch:
 		return fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, s.Epoch, w.epoch)
@@ -97,30 +97,30 @@
 	if _, ok := w.ever.state[s.Attempt]; ok {
 		w.violate("attempt ran twice: " + s.Attempt)
 	}
-	if w.opts.Task == nil {
+	if w.opts.TaskOf == nil {
 		return
 	}
-	task := w.opts.Task(s.Attempt)
+	task := w.opts.TaskOf(s.Attempt)
 	for id, a := range w.attempts {
-		if a.state == worker.Running && w.opts.Task(id) == task {
+		if a.state == worker.Running && w.opts.TaskOf(id) == task {
 			w.violate("two attempts of one task at a time: " + id + " and " + s.Attempt)
 		}
 	}
 }
 
 func (w *Worker) runTime(s *worker.Start) time.Duration {
-	if d, ok := w.opts.Classes[s.Class]; ok {
+	if d, ok := w.opts.ClassRunTimes[s.Class]; ok {
 		return d
 	}
 	if s.RunSeconds > 0 {
 		return time.Duration(s.RunSeconds) * time.Second
 	}
-	return w.opts.Run
+	return w.opts.RunTime
 }
 
 // usage is what the attempt truly uses, under its throttle.
 func (w *Worker) usage(a *attempt) job.Resources {
-	u := w.opts.Use(&a.start)
+	u := w.opts.Usage(&a.start)
 	if a.millicores > 0 {
 		u.Millicores = min(u.Millicores, a.millicores)
 	}
@@ -154,7 +154,7 @@
 }
 
 func (w *Worker) doAct(act *worker.Act, now time.Time) (*worker.Report, error) {
-	if w.opts.Guards && act.Epoch < w.epoch {
+	if w.opts.RejectInvalid && act.Epoch < w.epoch {
 		return nil, fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, act.Epoch, w.epoch)
 	}
 	r := w.known(act.Attempt)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -12,13 +12,13 @@
 
 // Defaults.
 const (
-	// DefaultRun is how long a batch task runs when its start does not say.
-	DefaultRun = 50 * time.Millisecond
+	// DefaultRunTime is how long a batch task runs when its start does not say.
+	DefaultRunTime = 50 * time.Millisecond
 	// DefaultUsageLag is how late usage is reported.
 	DefaultUsageLag = time.Second
 	// MaxForgotten and ForgottenFor bound the memory of forgotten attempts.
-	MaxForgotten = 4096
-	ForgottenFor = 10 * time.Minute
+	MaxForgotten       = 4096
+	ForgottenRetention = 10 * time.Minute
 	// MaxReplyBytes is about how many bytes of answers one heartbeat's reply holds.
 	MaxReplyBytes = 1 << 20
 
@@ -77,7 +77,7 @@
 // New returns a worker that has what info says and guards nothing.
 func New(info worker.Info, opts ...Option) *Worker {
 	o := Options{
-		Info: info, Run: DefaultRun, UsageLag: DefaultUsageLag, Use: useAll, Answer: say,
+		Info: info, RunTime: DefaultRunTime, UsageLag: DefaultUsageLag, Usage: useAll, Answer: say,
 		Record: func(history.Event) {},
 	}
 	for _, f := range opts {
@@ -107,7 +107,7 @@
 	w.seq = max(w.seq+1, time.Now().UnixNano())
 	w.firstSeq = w.seq
 	w.attempts = make(map[string]*attempt)
-	w.forgotten = newMemory(MaxForgotten, ForgottenFor)
+	w.forgotten = newMemory(MaxForgotten, ForgottenRetention)
 	w.used = job.Resources{}
 	w.epoch = 0
 }
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -33,7 +33,7 @@
 		// rapid asks for the deadline of its test, which a paused clock has not.
 		rapid.Check(struct{ rapid.TB }{t}, func(t *rapid.T) {
 			judge := history.New()
-			w := New(info, Guards(), Record(judge.Record))
+			w := New(info, RejectInvalid(), Record(judge.Record))
 			defer w.Close()
 			for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 				id := fmt.Sprintf("j%d/0/%d", rapid.IntRange(0, 5).Draw(t, "job"), w.State().Starts)
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -25,7 +25,7 @@
 		y := len(rows) - 1 - i
 		names[y] = rows[i].Name
 		points.XYs[i] = plotter.XY{X: rows[i].Mean, Y: float64(y)}
-		points.XErrors[i].Low, points.XErrors[i].High = rows[i].Half, rows[i].Half
+		points.XErrors[i].Low, points.XErrors[i].High = rows[i].HalfWidth, rows[i].HalfWidth
 	}
 	dots, err := plotter.NewScatter(points)
 	if err != nil {
--- a/trial/print.go
+++ b/trial/print.go
@@ -26,12 +26,12 @@
 	for _, u := range c.Unpaired {
 		fmt.Fprintln(w, "without its counterpart:", u)
 	}
-	for _, b := range c.Broken {
+	for _, b := range c.Violations {
 		fmt.Fprintln(w, "broken:", b)
 	}
 	return nil
 }
 
 func line(w io.Writer, d *Difference) {
-	fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%d\t\n", d.Name, d.Pairs, d.Old, d.New, d.Mean, d.Half, d.Needs)
+	fmt.Fprintf(w, "%s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%d\t\n", d.Name, d.Pairs, d.Old, d.New, d.Mean, d.HalfWidth, d.PairsNeeded)
 }
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -17,16 +17,16 @@
 	Seed string `json:"seed"`
 }
 
-// Play is the outcome of one day.
-type Play struct {
+// Result is the outcome of one day.
+type Result struct {
 	Key Key `json:"key"`
 	// Worth is what the day earned of what it could, less prices.
 	Worth float64 `json:"worth"`
 	// Figures holds the parts of Worth by name: "kind/NAME", "zone/NAME", "window/SECOND", "part/NAME"
 	// and "price/NAME", all as shares of one.
 	Figures map[string]float64 `json:"figures"`
-	// Broken lists the rules that the play broke, and faults of the processes.
-	Broken []string `json:"broken,omitempty"`
+	// Violations lists the rules that the play broke, and faults of the processes.
+	Violations []string `json:"broken,omitempty"`
 }
 
 // Difference is how a figure differs between the two versions, new less old.
@@ -37,10 +37,10 @@
 	Old float64 `json:"old"`
 	New float64 `json:"new"`
 	// Mean is the mean difference, Half half of the width of its interval of 95 %.
-	Mean float64 `json:"mean"`
-	Half float64 `json:"half"`
-	// Needs is how many pairs would make Half one hundredth.
-	Needs int `json:"needs"`
+	Mean      float64 `json:"mean"`
+	HalfWidth float64 `json:"half"`
+	// PairsNeeded is how many pairs would make Half one hundredth.
+	PairsNeeded int `json:"needs"`
 }
 
 // Comparison is what two sets of plays show.
@@ -53,8 +53,8 @@
 	// Spread is the standard deviation of the old version's plays of one day, by day.
 	Spread map[string]float64 `json:"spread"`
 	// Unpaired lists plays whose counterpart is missing, Broken those that broke a rule.
-	Unpaired []string `json:"unpaired,omitempty"`
-	Broken   []string `json:"broken,omitempty"`
+	Unpaired   []string `json:"unpaired,omitempty"`
+	Violations []string `json:"broken,omitempty"`
 }
 
 const (
@@ -65,9 +65,9 @@
 )
 
 // Compare pairs the plays of two versions.
-func Compare(old, changed []Play) *Comparison {
+func Compare(old, changed []Result) *Comparison {
 	c := &Comparison{Spread: make(map[string]float64)}
-	counterpart := make(map[Key]*Play, len(changed))
+	counterpart := make(map[Key]*Result, len(changed))
 	for i := range changed {
 		counterpart[changed[i].Key] = &changed[i]
 	}
@@ -100,7 +100,7 @@
 			c.Spread[day] = stat.StdDev(values, nil)
 		}
 	}
-	c.Broken = append(broken("old", old), broken("new", changed)...)
+	c.Violations = append(broken("old", old), broken("new", changed)...)
 	sort.Strings(c.Unpaired)
 	return c
 }
@@ -108,10 +108,10 @@
 // String gives a key as it is printed.
 func (k Key) String() string { return k.Site + " " + k.Day + " seed " + k.Seed }
 
-func broken(side string, plays []Play) []string {
+func broken(side string, plays []Result) []string {
 	var out []string
 	for i := range plays {
-		for _, b := range plays[i].Broken {
+		for _, b := range plays[i].Violations {
 			out = append(out, side+" "+plays[i].Key.String()+": "+b)
 		}
 	}
@@ -149,8 +149,8 @@
 		return d
 	}
 	deviation := stat.StdDev(s.differ, nil)
-	d.Half = quantile(n) * deviation / math.Sqrt(float64(n))
-	d.Needs = pairsFor(deviation)
+	d.HalfWidth = quantile(n) * deviation / math.Sqrt(float64(n))
+	d.PairsNeeded = pairsFor(deviation)
 	return d
 }
 
--- a/worker/contract_test.go
+++ b/worker/contract_test.go
@@ -190,7 +190,7 @@
 			time.Sleep(1100 * time.Millisecond)
 			b.Equal(b.start(worker.Start{Attempt: "j/0/2"}).State, worker.Ended)
 		}},
-		{"guards refuse what does not fit and old epochs", []standin.Option{standin.Guards()}, func(b *bench) {
+		{"guards refuse what does not fit and old epochs", []standin.Option{standin.RejectInvalid()}, func(b *bench) {
 			b.start(worker.Start{Attempt: "j/0/1", Each: small.Times(3), Epoch: 7})
 			for _, s := range []worker.Start{
 				{Attempt: "j/1/1", Each: small.Times(2), Epoch: 7}, {Attempt: "j/2/1", Each: small, Epoch: 6},
@@ -200,7 +200,7 @@
 			}
 			b.Equal(b.at.State().Starts, int64(1))
 		}},
-		{"without guards what must not be is done and told", []standin.Option{standin.Tasks(cut)}, func(b *bench) {
+		{"without guards what must not be is done and told", []standin.Option{standin.TaskOf(cut)}, func(b *bench) {
 			b.start(worker.Start{Attempt: "j/0/1", Each: small.Times(3), Epoch: 7})
 			b.start(worker.Start{Attempt: "j/0/2", Each: small.Times(2), Epoch: 6})
 			b.Equal(b.at.State().Starts, int64(2))
@@ -373,7 +373,7 @@
 		b.beat(0, ids...)
 		b.Equal(b.at.State().Kept, 0)
 		b.Equal(b.at.State().Forgotten, standin.MaxForgotten)
-		time.Sleep(standin.ForgottenFor + time.Second)
+		time.Sleep(standin.ForgottenRetention + time.Second)
 		b.stop("last")
 		b.beat(0, "last")
 		b.Equal(b.at.State().Forgotten, 1)
