--- a/standin/endpoint/doc.go
+++ b/standin/endpoint/doc.go
@@ -1,2 +1,2 @@
-// Package endpoint serves typed JSON calls for the stand-ins of the platform.
+// Package endpoint provides typed JSON-over-HTTP handlers for the stand-ins of the platform.
 package endpoint
--- a/standin/endpoint/pipe.go
+++ b/standin/endpoint/pipe.go
@@ -7,34 +7,35 @@
 	"sync"
 )
 
-// Pipe serves a handler over connections in memory, which let a paused clock advance.
+// Pipe serves an HTTP handler over in-memory connections. Goroutines that wait on them do not block the fake
+// clock of a synctest bubble, unlike those that wait on sockets.
 type Pipe struct {
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-	server *http.Server
-	ended  chan struct{}
+	conns     chan net.Conn
+	closed    chan struct{}
+	once      sync.Once
+	server    *http.Server
+	serveDone chan struct{}
 }
 
-// NewPipe starts to serve h.
+// NewPipe starts a server for h.
 func NewPipe(h http.Handler) *Pipe {
 	p := &Pipe{
-		conns: make(chan net.Conn), closed: make(chan struct{}), ended: make(chan struct{}),
+		conns: make(chan net.Conn), closed: make(chan struct{}), serveDone: make(chan struct{}),
 		server: &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout},
 	}
 	go func() {
-		defer close(p.ended)
+		defer close(p.serveDone)
 		_ = p.server.Serve(listener{p})
 	}()
 	return p
 }
 
-// Dial opens a connection, whatever the address.
+// Dial opens a connection to the server and ignores the address.
 func (p *Pipe) Dial(ctx context.Context, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case p.conns <- far:
-		return near, nil
+	case p.conns <- server:
+		return client, nil
 	case <-p.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -42,14 +43,14 @@
 	}
 }
 
-// Close cuts all connections and refuses new ones.
+// Close closes all connections and rejects new ones.
 func (p *Pipe) Close() {
 	p.once.Do(func() { close(p.closed) })
 	_ = p.server.Close()
-	<-p.ended
+	<-p.serveDone
 }
 
-// listener accepts the far ends of the pipe's connections.
+// listener accepts the server ends of the connections.
 type listener struct{ *Pipe }
 
 func (l listener) Accept() (net.Conn, error) {
--- a/standin/floor/doc.go
+++ b/standin/floor/doc.go
@@ -1,4 +1,4 @@
-// Package floor is a stand-in for the workers of a cell: programs that run tasks under leases and fences,
-// with gangs over several workers, and faults between them and their callers. It keeps the history of
-// what ran where and judges it.
+// Package floor simulates the workers of a cell in memory. The workers run tasks under leases and fencing tokens,
+// form gangs, and can be given faults. The package records which run was on which worker, and checks that history
+// for violations.
 package floor
--- a/standin/floor/floor.go
+++ b/standin/floor/floor.go
@@ -8,35 +8,35 @@
 	"turmericgap/worker"
 )
 
-// Behaviour is what a task does once it runs.
+// Behaviour defines what a run of a task does.
 type Behaviour struct {
-	// Duration is how long it works, How how it ends then.
+	// Duration is the run time, Ending the result after it.
 	Duration time.Duration
 	Ending   worker.Ending
-	// Resources is charged to its worker.
+	// Resources are allocated on the worker while the run is present.
 	Resources job.Resources
-	// GangSize is how many tasks must be present together; zero stands for none.
+	// GangSize is the number of tasks that must be present before any of them starts; zero is no gang.
 	GangSize int
-	// MaxAttempts is how often it may fail; zero stands for no bound.
+	// MaxAttempts is the number of failures after which the task must not be started again; zero is no limit.
 	MaxAttempts int
-	// FullProgress says that it is at work as long as it runs.
+	// FullProgress makes the run report a progress of 100 percent at any time.
 	FullProgress bool
 }
 
-// Cluster is all workers of a cell.
+// Cluster holds the simulated workers of a cell and the history of their runs.
 type Cluster struct {
-	// BehaviourOf tells what a run of a task does.
+	// BehaviourOf returns the behaviour of a run of a task.
 	BehaviourOf func(t worker.Task, run int64) Behaviour
-	// GangTimeout is how long members of a gang wait for each other.
+	// GangTimeout is how long a member of a gang waits for the others.
 	GangTimeout time.Duration
 
-	mu      sync.Mutex
-	workers map[string]*Worker
-	history []*Run
-	faults  []string
+	mu         sync.Mutex
+	workers    map[string]*Worker
+	history    []*Run
+	violations []string
 }
 
-// Run is one run in the history.
+// Run is an entry of the history.
 type Run struct {
 	Task         worker.Task
 	Number       int64
@@ -46,66 +46,66 @@
 	Ending       worker.Ending
 	Acknowledged bool
 	gang         int
-	attempt      int
+	maxAttempts  int
 }
 
-// New returns a floor without workers.
-func New(behave func(worker.Task, int64) Behaviour) *Cluster {
-	return &Cluster{BehaviourOf: behave, GangTimeout: 3 * time.Second, workers: make(map[string]*Worker)}
+// New returns a cluster without workers.
+func New(behaviourOf func(worker.Task, int64) Behaviour) *Cluster {
+	return &Cluster{BehaviourOf: behaviourOf, GangTimeout: 3 * time.Second, workers: make(map[string]*Worker)}
 }
 
-// Add puts a worker on the floor.
-func (f *Cluster) Add(info worker.Info) *Worker {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	w := &Worker{floor: f, info: info, born: time.Now(), runs: make(map[runKey]*running), highest: make(map[worker.Task]int64), changed: make(chan struct{})}
-	f.workers[info.ID] = w
+// Add adds a worker to the cluster. A worker with the same id is replaced.
+func (c *Cluster) Add(info worker.Info) *Worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := &Worker{cluster: c, info: info, startedAt: time.Now(), runs: make(map[runKey]*activeRun), maxRun: make(map[worker.Task]int64), changed: make(chan struct{})}
+	c.workers[info.ID] = w
 	return w
 }
 
-// Client gives the calls to a worker; of one that is not there they fail unsent.
-func (f *Cluster) Client(info worker.Info) *worker.Agent {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if w := f.workers[info.ID]; w != nil {
+// Client returns a client of a worker. Calls to an unknown worker fail with worker.ErrNotSent.
+func (c *Cluster) Client(info worker.Info) *worker.Agent {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w := c.workers[info.ID]; w != nil {
 		return w.client()
 	}
-	return gone()
+	return unreachableAgent()
 }
 
-// History gives all runs in the order in which they began.
-func (f *Cluster) History() []Run {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := make([]Run, len(f.history))
-	for i, r := range f.history {
+// History returns copies of all runs in start order.
+func (c *Cluster) History() []Run {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]Run, len(c.history))
+	for i, r := range c.history {
 		out[i] = *r
 	}
 	return out
 }
 
-// Violations gives what the history shows to be wrong: too much on a worker, a task in two places at once,
-// a start after an end that was taken note of, or after the last allowed attempt.
-func (f *Cluster) Violations() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := append([]string(nil), f.faults...)
+// Violations returns the violations in the history: a worker above its capacity, two concurrent runs of a task,
+// and a start after an acknowledged completion or after the last permitted failure.
+func (c *Cluster) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := append([]string(nil), c.violations...)
 	earlier := make(map[worker.Task][]*Run)
-	for _, r := range f.history {
+	for _, r := range c.history {
 		fails := 0
 		for _, before := range earlier[r.Task] {
 			if before.Ended.IsZero() || before.Ended.After(r.Started) {
-				out = append(out, "twice at once: "+r.name()+" beside "+before.name())
+				out = append(out, "twice at once: "+r.describe()+" beside "+before.describe())
 			}
 			if before.Ending == worker.EndingDone && before.Acknowledged {
-				out = append(out, "started again after it was done: "+r.name()+" after "+before.name())
+				out = append(out, "started again after it was done: "+r.describe()+" after "+before.describe())
 			}
 			if before.Ending == worker.EndingFailed && before.Acknowledged {
 				fails++
 			}
 		}
-		if r.attempt > 0 && fails >= r.attempt {
-			out = append(out, "started after its last attempt had failed: "+r.name())
+		if r.maxAttempts > 0 && fails >= r.maxAttempts {
+			out = append(out, "started after its last attempt had failed: "+r.describe())
 		}
 		earlier[r.Task] = append(earlier[r.Task], r)
 	}
--- a/standin/floor/floor_test.go
+++ b/standin/floor/floor_test.go
@@ -13,11 +13,12 @@
 	"turmericgap/worker"
 )
 
-// The judge finds a planted violation of each kind, and nothing in a run without one.
+// Guards against checks that miss a violation: each kind is produced on purpose and must be reported, and a
+// history without one must be clean.
 func TestPlantedViolations(t *testing.T) {
 	cases := map[string]struct {
 		want string
-		play func(f *Cluster, a, b *worker.Agent, wa *Worker)
+		run  func(f *Cluster, a, b *worker.Agent, wa *Worker)
 	}{
 		"none": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
@@ -25,17 +26,17 @@
 			launch(b, "y", 1)
 			time.Sleep(2 * time.Second)
 		}},
-		"two at once": {"twice at once", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
+		"concurrent runs": {"twice at once", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			launch(b, "x", 2)
 		}},
-		"again after a noted end": {"started again after it was done", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
+		"restart after an acknowledged completion": {"started again after it was done", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"again after an end that lapsed unnoted": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
+		"restart after a completion lost with the lease": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
 			time.Sleep(time.Minute)
 			hold(a, 1)
@@ -50,7 +51,7 @@
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"too much": {"too much on worker", func(f *Cluster, a, _ *worker.Agent, _ *Worker) {
+		"capacity exceeded": {"too much on worker", func(f *Cluster, a, _ *worker.Agent, _ *Worker) {
 			f.BehaviourOf = func(worker.Task, int64) Behaviour {
 				return Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 3000}}
 			}
@@ -67,9 +68,9 @@
 				other := info
 				other.ID = "b"
 				f.Add(other)
-				c.play(f, f.Client(info), f.Client(other), wa)
-				found := strings.Join(f.Violations(), "\n")
-				is.New(t).True(strings.Contains(found, c.want) && (c.want != "" || found == ""))
+				c.run(f, f.Client(info), f.Client(other), wa)
+				violations := strings.Join(f.Violations(), "\n")
+				is.New(t).True(strings.Contains(violations, c.want) && (c.want != "" || violations == ""))
 				time.Sleep(time.Hour)
 			})
 		})
--- a/standin/floor/gang.go
+++ b/standin/floor/gang.go
@@ -2,14 +2,14 @@
 
 import "turmericgap/worker"
 
-// members gives the runs of one gang that are present, with their workers.
-func (f *Cluster) members(key runKey) map[*running]*Worker {
-	out := make(map[*running]*Worker)
-	for _, w := range f.workers {
+// members returns the present runs of a gang and their workers.
+func (c *Cluster) members(key runKey) map[*activeRun]*Worker {
+	out := make(map[*activeRun]*Worker)
+	for _, w := range c.workers {
 		for k, r := range w.runs {
-			same := k.task
-			same.Index = key.task.Index
-			if same == key.task && k.run == key.run {
+			task := k.task
+			task.Index = key.task.Index
+			if task == key.task && k.run == key.run {
 				out[r] = w
 			}
 		}
@@ -17,26 +17,26 @@
 	return out
 }
 
-// gather lets a gang work once all its members are present.
-func (f *Cluster) gather(key runKey, size int) {
-	members := f.members(key)
+// startGang starts the work of a gang once all its members are present.
+func (c *Cluster) startGang(key runKey, size int) {
+	members := c.members(key)
 	if len(members) < size {
 		return
 	}
 	for r, w := range members {
-		w.work(r)
+		w.startWork(r)
 	}
 }
 
-// endGang ends the other members: as done beside one that is done, else as broken.
-func (f *Cluster) endGang(key runKey, how worker.Ending) {
-	rest := worker.EndingBroken
-	if how == worker.EndingDone {
-		rest = worker.EndingDone
+// endGang ends the other members of a gang: as done if one is done, otherwise as broken.
+func (c *Cluster) endGang(key runKey, ending worker.Ending) {
+	memberEnding := worker.EndingBroken
+	if ending == worker.EndingDone {
+		memberEnding = worker.EndingDone
 	}
-	for r, w := range f.members(key) {
+	for r, w := range c.members(key) {
 		if w.runs[r.key] == r {
-			w.end(r, rest)
+			w.endRun(r, memberEnding)
 		}
 	}
 }
--- a/standin/floor/hold.go
+++ b/standin/floor/hold.go
@@ -8,50 +8,50 @@
 )
 
 func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
-	if err := w.reach(ctx); err != nil {
+	if err := w.checkReachable(ctx); err != nil {
 		return nil, err
 	}
-	_, err := w.locked(func() error {
-		if err := w.raise(h.Fence); err != nil {
+	_, err := w.withLock(func() error {
+		if err := w.checkFence(h.Fence); err != nil {
 			return err
 		}
-		w.extend(h.Until)
-		w.observe(h.Observed)
+		w.extendLease(h.Until)
+		w.acknowledge(h.Observed)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	w.await(ctx, h.Wait)
-	if err := w.reach(ctx); err != nil {
+	w.awaitEnd(ctx, h.Wait)
+	if err := w.checkReachable(ctx); err != nil {
 		return nil, err
 	}
-	if w.silent() || w.losesHold() {
+	if w.dropsReplies() || w.dropsHoldReply() {
 		<-ctx.Done()
 		return nil, errNoAnswer
 	}
-	return w.held(), nil
+	return w.holdReply(), nil
 }
 
-// observe forgets the ends up to a number and notes them in the history.
-func (w *Worker) observe(number int64) {
-	for len(w.ended) > 0 && w.ended[0].Number <= number {
-		if r := w.records[0]; r != nil {
+// acknowledge drops the ends up to a number and marks their runs as acknowledged in the history.
+func (w *Worker) acknowledge(number int64) {
+	for len(w.pendingEnds) > 0 && w.pendingEnds[0].Number <= number {
+		if r := w.pendingRuns[0]; r != nil {
 			r.Acknowledged = true
 		}
-		w.ended, w.records = w.ended[1:], w.records[1:]
+		w.pendingEnds, w.pendingRuns = w.pendingEnds[1:], w.pendingRuns[1:]
 	}
 }
 
-// await waits for an end that is not taken note of.
-func (w *Worker) await(ctx context.Context, most time.Duration) {
-	w.floor.mu.Lock()
-	changed, listed := w.changed, len(w.ended)
-	w.floor.mu.Unlock()
-	if listed > 0 || most <= 0 {
+// awaitEnd waits until there is an unacknowledged end, at most for the timeout.
+func (w *Worker) awaitEnd(ctx context.Context, timeout time.Duration) {
+	w.cluster.mu.Lock()
+	changed, pending := w.changed, len(w.pendingEnds)
+	w.cluster.mu.Unlock()
+	if pending > 0 || timeout <= 0 {
 		return
 	}
-	t := time.NewTimer(most)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case <-changed:
@@ -60,23 +60,23 @@
 	}
 }
 
-func (w *Worker) held() *worker.Held {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	h := &worker.Held{Clock: w.clock(), Ended: append([]worker.End(nil), w.ended[:min(len(w.ended), mostEnds)]...)}
+func (w *Worker) holdReply() *worker.Held {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	h := &worker.Held{Clock: w.clock(), Ended: append([]worker.End(nil), w.pendingEnds[:min(len(w.pendingEnds), maxEnds)]...)}
 	for key, r := range w.runs {
 		h.Active = append(h.Active, worker.Active{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
 	}
 	return h
 }
 
-// percent tells how far a run is.
-func (r *running) percent() int {
-	if r.does.FullProgress {
+// percent returns the progress of a run.
+func (r *activeRun) percent() int {
+	if r.behaviour.FullProgress {
 		return 100
 	}
-	if !r.working || r.does.Duration == 0 {
+	if !r.started || r.behaviour.Duration == 0 {
 		return 0
 	}
-	return int(100 * time.Since(r.record.Started) / r.does.Duration)
+	return int(100 * time.Since(r.record.Started) / r.behaviour.Duration)
 }
--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -10,8 +10,8 @@
 	"turmericgap/worker"
 )
 
-// mostEnds is how many ends one answer lists.
-const mostEnds = 500
+// maxEnds is the maximum number of ends in one reply.
+const maxEnds = 500
 
 var errNoAnswer = errors.New("no answer")
 
@@ -20,87 +20,87 @@
 	run  int64
 }
 
-type running struct {
+type activeRun struct {
 	key        runKey
-	does       Behaviour
+	behaviour  Behaviour
 	record     *Run
 	timer      *time.Timer
 	checkpoint string
-	working    bool
+	started    bool
 }
 
-// Faults are what goes wrong between one worker and its callers.
+// Faults define how calls to one worker, and its runs, fail.
 type Faults struct {
-	// Unreachable makes the worker unreachable; DropReplies lets orders through and loses their answers.
+	// Unreachable lets no call reach the worker. DropReplies carries calls out and loses their replies.
 	Unreachable, DropReplies bool
-	// LaunchDelay holds back the next launches that long and gives no answer.
+	// LaunchDelay carries launches out after this delay and loses their replies.
 	LaunchDelay time.Duration
-	// Unwell makes the worker decline calls.
+	// Unwell makes the worker reject all calls with worker.ErrUnwell.
 	Unwell bool
-	// StallRuns makes new runs stand still for good, while the worker answers every call.
+	// StallRuns makes new runs neither progress nor end, while the worker answers all calls.
 	StallRuns bool
-	// FailRuns makes all new runs fail at once.
+	// FailRuns makes all new runs fail after failureDelay.
 	FailRuns bool
-	// DropHoldReplyEvery takes the answer from each hold of so many, which is carried out; zero from none.
+	// DropHoldReplyEvery loses the reply to every n-th hold, which is still carried out; zero loses none.
 	DropHoldReplyEvery int
 }
 
-// failsAfter is how long a run takes to fail on a worker that fails everything.
-const failsAfter = 30 * time.Millisecond
+// failureDelay is the run time under Faults.FailRuns.
+const failureDelay = 30 * time.Millisecond
 
-// Worker is one lifetime of a worker.
+// Worker is one instance of a worker, from its start to its crash.
 type Worker struct {
-	floor    *Cluster
-	info     worker.Info
-	born     time.Time
-	fence    int64
-	runs     map[runKey]*running
-	highest  map[worker.Task]int64
-	ended    []worker.End
-	records  []*Run // of ended, in the same order
-	last     int64
-	until    time.Duration
-	lapse    *time.Timer
-	changed  chan struct{}
-	dead     bool
-	replaced bool
-	faults   Faults
-	holds    int
+	cluster     *Cluster
+	info        worker.Info
+	startedAt   time.Time
+	fence       int64
+	runs        map[runKey]*activeRun
+	maxRun      map[worker.Task]int64
+	pendingEnds []worker.End
+	pendingRuns []*Run // the runs of pendingEnds, in the same order
+	lastEnd     int64
+	leaseEnd    time.Duration
+	leaseTimer  *time.Timer
+	changed     chan struct{}
+	crashed     bool
+	replaced    bool
+	faults      Faults
+	holdCount   int
 }
 
-// Info tells about the worker.
+// Info returns the description of the worker.
 func (w *Worker) Info() worker.Info { return w.info }
 
-// Clock gives the worker's clock.
+// Clock returns the time since the instance started.
 func (w *Worker) Clock() time.Duration { return w.clock() }
 
-// SetFaults changes the faults.
+// SetFaults replaces the faults.
 func (w *Worker) SetFaults(f Faults) {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	w.faults = f
 }
 
-// Crash ends the lifetime: all that runs is gone. With replaced set a new lifetime answers at the same
-// address, so that calls meant for this one are refused for certain.
+// Crash ends the instance and all its runs. If replaced is set, a new instance has the same address, and calls to
+// this one are rejected with worker.ErrReplaced.
 func (w *Worker) Crash(replaced bool) {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	w.dead, w.replaced = true, replaced
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	w.crashed, w.replaced = true, replaced
 	for _, r := range w.runs {
-		w.end(r, worker.EndingLapsed)
+		w.endRun(r, worker.EndingLapsed)
 	}
-	w.ended = nil
+	w.pendingEnds = nil
 }
 
-// ActiveRuns counts the runs present.
+// ActiveRuns returns the number of present runs.
 func (w *Worker) ActiveRuns() int {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	return len(w.runs)
 }
 
-func gone() *worker.Agent {
+func unreachableAgent() *worker.Agent {
 	return &worker.Agent{
 		Launch: func(context.Context, *worker.Launch) (time.Duration, error) { return 0, worker.ErrNotSent },
 		Halt:   func(context.Context, *worker.Halt) (time.Duration, error) { return 0, worker.ErrNotSent },
@@ -111,73 +111,73 @@
 func (w *Worker) client() *worker.Agent {
 	return &worker.Agent{
 		Launch: func(ctx context.Context, l *worker.Launch) (time.Duration, error) {
-			if late := w.takeLate(); late > 0 {
-				time.AfterFunc(late, func() { _, _ = w.locked(func() error { return w.launch(l) }) })
+			if delay := w.launchDelay(); delay > 0 {
+				time.AfterFunc(delay, func() { _, _ = w.withLock(func() error { return w.launch(l) }) })
 				<-ctx.Done()
 				return 0, errNoAnswer
 			}
-			return w.order(ctx, func() error { return w.launch(l) })
+			return w.call(ctx, func() error { return w.launch(l) })
 		},
 		Halt: func(ctx context.Context, h *worker.Halt) (time.Duration, error) {
-			return w.order(ctx, func() error { return w.halt(h) })
+			return w.call(ctx, func() error { return w.halt(h) })
 		},
 		Hold: w.hold,
 	}
 }
 
-func (w *Worker) takeLate() time.Duration {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
+func (w *Worker) launchDelay() time.Duration {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	return w.faults.LaunchDelay
 }
 
-// order carries an order out, and loses its answer where the faults say so.
-func (w *Worker) order(ctx context.Context, do func() error) (time.Duration, error) {
-	if err := w.reach(ctx); err != nil {
+// call carries out a call and loses its reply under Faults.DropReplies.
+func (w *Worker) call(ctx context.Context, do func() error) (time.Duration, error) {
+	if err := w.checkReachable(ctx); err != nil {
 		return 0, err
 	}
-	clock, err := w.locked(do)
-	if w.silent() {
+	clock, err := w.withLock(do)
+	if w.dropsReplies() {
 		<-ctx.Done()
 		return 0, errNoAnswer
 	}
 	return clock, err
 }
 
-func (w *Worker) locked(do func() error) (time.Duration, error) {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	if w.dead {
+func (w *Worker) withLock(do func() error) (time.Duration, error) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	if w.crashed {
 		return 0, errNoAnswer
 	}
 	err := do()
 	return w.clock(), err
 }
 
-func (w *Worker) silent() bool {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
+func (w *Worker) dropsReplies() bool {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	return w.faults.DropReplies
 }
 
-func (w *Worker) losesHold() bool {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	w.holds++
-	return w.faults.DropHoldReplyEvery > 0 && w.holds%w.faults.DropHoldReplyEvery == 0
+func (w *Worker) dropsHoldReply() bool {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	w.holdCount++
+	return w.faults.DropHoldReplyEvery > 0 && w.holdCount%w.faults.DropHoldReplyEvery == 0
 }
 
-func (w *Worker) clock() time.Duration { return time.Since(w.born) }
+func (w *Worker) clock() time.Duration { return time.Since(w.startedAt) }
 
-// reach is the way of a call to the worker.
-func (w *Worker) reach(ctx context.Context) error {
-	w.floor.mu.Lock()
-	cut, dead, replaced, unwell := w.faults.Unreachable, w.dead, w.replaced, w.faults.Unwell
-	w.floor.mu.Unlock()
+// checkReachable applies the faults that keep a call from reaching the worker.
+func (w *Worker) checkReachable(ctx context.Context) error {
+	w.cluster.mu.Lock()
+	unreachable, crashed, replaced, unwell := w.faults.Unreachable, w.crashed, w.replaced, w.faults.Unwell
+	w.cluster.mu.Unlock()
 	switch {
 	case replaced:
 		return worker.ErrReplaced
-	case cut || dead:
+	case unreachable || crashed:
 		<-ctx.Done()
 		return errNoAnswer
 	case unwell:
@@ -186,7 +186,8 @@
 	return nil
 }
 
-func (w *Worker) raise(fence int64) error {
+// checkFence rejects a call with an older fencing token and stores a newer one.
+func (w *Worker) checkFence(fence int64) error {
 	if fence < w.fence {
 		return &worker.Refusal{Reason: worker.ReasonFenced}
 	}
@@ -195,123 +196,123 @@
 }
 
 func (w *Worker) launch(l *worker.Launch) error {
-	if err := w.raise(l.Fence); err != nil {
+	if err := w.checkFence(l.Fence); err != nil {
 		return err
 	}
 	key := runKey{l.Task, l.Run}
 	if w.runs[key] != nil {
 		return nil
 	}
-	if l.Run <= w.highest[l.Task] {
+	if l.Run <= w.maxRun[l.Task] {
 		return &worker.Refusal{Reason: worker.ReasonOld}
 	}
 	if l.Until < w.clock() {
 		return &worker.Refusal{Reason: worker.ReasonLate}
 	}
-	w.extend(l.Until)
-	does := w.floor.BehaviourOf(l.Task, l.Run)
-	record := &Run{Task: l.Task, Number: l.Run, Worker: w.info.ID, Started: time.Now(), gang: does.GangSize, attempt: does.MaxAttempts}
-	w.floor.history = append(w.floor.history, record)
-	r := &running{key: key, does: does, record: record}
+	w.extendLease(l.Until)
+	behaviour := w.cluster.BehaviourOf(l.Task, l.Run)
+	record := &Run{Task: l.Task, Number: l.Run, Worker: w.info.ID, Started: time.Now(), gang: behaviour.GangSize, maxAttempts: behaviour.MaxAttempts}
+	w.cluster.history = append(w.cluster.history, record)
+	r := &activeRun{key: key, behaviour: behaviour, record: record}
 	w.runs[key] = r
-	w.check()
+	w.checkCapacity()
 	if w.faults.StallRuns {
 		return nil
 	}
 	if w.faults.FailRuns {
-		r.does.Duration, r.does.Ending = failsAfter, worker.EndingFailed
-		w.work(r)
+		r.behaviour.Duration, r.behaviour.Ending = failureDelay, worker.EndingFailed
+		w.startWork(r)
 		return nil
 	}
-	if does.GangSize == 0 {
-		w.work(r)
+	if behaviour.GangSize == 0 {
+		w.startWork(r)
 		return nil
 	}
-	r.timer = time.AfterFunc(w.floor.GangTimeout, func() { w.finish(r, worker.EndingAlone) })
-	w.floor.gather(r.key, does.GangSize)
+	r.timer = time.AfterFunc(w.cluster.GangTimeout, func() { w.finishRun(r, worker.EndingAlone) })
+	w.cluster.startGang(r.key, behaviour.GangSize)
 	return nil
 }
 
-// check notes a worker that holds more than it has.
-func (w *Worker) check() {
+// checkCapacity records a violation if the runs use more than the worker has.
+func (w *Worker) checkCapacity() {
 	var sum job.Resources
 	for _, r := range w.runs {
-		sum = sum.Plus(r.does.Resources)
+		sum = sum.Plus(r.behaviour.Resources)
 	}
 	if !sum.Fits(w.info.Has) {
-		w.floor.faults = append(w.floor.faults, fmt.Sprintf("too much on worker %s: %v of %v", w.info.ID, sum, w.info.Has))
+		w.cluster.violations = append(w.cluster.violations, fmt.Sprintf("too much on worker %s: %v of %v", w.info.ID, sum, w.info.Has))
 	}
 }
 
-func (w *Worker) work(r *running) {
-	r.working = true
+func (w *Worker) startWork(r *activeRun) {
+	r.started = true
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	r.timer = time.AfterFunc(r.does.Duration, func() { w.finish(r, r.does.Ending) })
+	r.timer = time.AfterFunc(r.behaviour.Duration, func() { w.finishRun(r, r.behaviour.Ending) })
 }
 
-func (w *Worker) finish(r *running, how worker.Ending) {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
+func (w *Worker) finishRun(r *activeRun, ending worker.Ending) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	if w.runs[r.key] == r {
-		w.end(r, how)
+		w.endRun(r, ending)
 	}
 }
 
-// end lists the end of a run; those of its gang end with it.
-func (w *Worker) end(r *running, how worker.Ending) {
+// endRun records the end of a run and ends the other members of its gang.
+func (w *Worker) endRun(r *activeRun, ending worker.Ending) {
 	delete(w.runs, r.key)
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	r.record.Ended, r.record.Ending = time.Now(), how
-	w.highest[r.key.task] = max(w.highest[r.key.task], r.key.run)
-	w.last++
-	w.ended = append(w.ended, worker.End{Number: w.last, Task: r.key.task, Run: r.key.run, How: how, Checkpoint: r.checkpoint})
-	w.records = append(w.records, r.record)
+	r.record.Ended, r.record.Ending = time.Now(), ending
+	w.maxRun[r.key.task] = max(w.maxRun[r.key.task], r.key.run)
+	w.lastEnd++
+	w.pendingEnds = append(w.pendingEnds, worker.End{Number: w.lastEnd, Task: r.key.task, Run: r.key.run, How: ending, Checkpoint: r.checkpoint})
+	w.pendingRuns = append(w.pendingRuns, r.record)
 	close(w.changed)
 	w.changed = make(chan struct{})
-	if r.does.GangSize > 0 {
-		w.floor.endGang(r.key, how)
+	if r.behaviour.GangSize > 0 {
+		w.cluster.endGang(r.key, ending)
 	}
 }
 
 func (w *Worker) halt(h *worker.Halt) error {
-	if err := w.raise(h.Fence); err != nil {
+	if err := w.checkFence(h.Fence); err != nil {
 		return err
 	}
-	w.highest[h.Task] = max(w.highest[h.Task], h.Run)
+	w.maxRun[h.Task] = max(w.maxRun[h.Task], h.Run)
 	if r := w.runs[runKey{h.Task, h.Run}]; r != nil {
-		w.end(r, worker.EndingStopped)
+		w.endRun(r, worker.EndingStopped)
 	}
 	return nil
 }
 
-func (w *Worker) extend(until time.Duration) {
-	if until <= w.until {
+func (w *Worker) extendLease(until time.Duration) {
+	if until <= w.leaseEnd {
 		return
 	}
-	w.until = until
-	if w.lapse != nil {
-		w.lapse.Stop()
+	w.leaseEnd = until
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(until-w.clock(), w.lapsed)
+	w.leaseTimer = time.AfterFunc(until-w.clock(), w.expireLease)
 }
 
-func (w *Worker) lapsed() {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	if w.clock() < w.until {
+func (w *Worker) expireLease() {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	if w.clock() < w.leaseEnd {
 		return
 	}
 	for _, r := range w.runs {
-		w.end(r, worker.EndingLapsed)
+		w.endRun(r, worker.EndingLapsed)
 	}
-	// What was not taken note of before the lapse is not held against a later start.
-	w.records = make([]*Run, len(w.records))
+	// Ends that were not acknowledged before the lease expired are not violations when the task starts again.
+	w.pendingRuns = make([]*Run, len(w.pendingRuns))
 }
 
-func (r *Run) name() string {
+func (r *Run) describe() string {
 	return fmt.Sprintf("%s.%d.%d.%d run %d on %s", r.Task.Work, r.Task.Occurrence, r.Task.Step, r.Task.Index, r.Number, r.Worker)
 }
--- a/standin/golden/doc.go
+++ b/standin/golden/doc.go
@@ -1,2 +1,2 @@
-// Package golden compares what a test has made with a file that was read and found right.
+// Package golden compares the output of a test with a reviewed golden file.
 package golden
--- a/standin/golden/golden.go
+++ b/standin/golden/golden.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// updateVariable is the environment variable that has the files written anew, for all packages of a run.
+// updateVariable is the environment variable that makes Equal rewrite the golden files, in all packages of a test run.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Equal fails the test unless got is what the file holds, byte for byte.
+// Equal fails the test unless got is identical to the content of the golden file.
 func Equal(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if os.Getenv(updateVariable) != "" {
@@ -22,6 +22,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs; %s=1 writes it anew. Got:\n%s\nwant:\n%s", path, updateVariable, got, want)
+		t.Errorf("%s differs; set %s=1 to rewrite it. Got:\n%s\nwant:\n%s", path, updateVariable, got, want)
 	}
 }
--- a/standin/list/handler.go
+++ b/standin/list/handler.go
@@ -15,7 +15,7 @@
 	"turmericgap/webcall"
 )
 
-// Paths of the stand-in itself.
+// Paths that control the stand-in.
 const (
 	RegisterPath   = "/register"
 	DeregisterPath = "/deregister"
@@ -25,33 +25,33 @@
 	DownPath       = "/down"
 )
 
-// DefaultRegisterInterval is how often a stand-in registers its VMs again.
+// DefaultRegisterInterval is the interval at which a stand-in renews the registration of its VMs.
 const DefaultRegisterInterval = 2 * time.Second
 
 var errRefused = errors.New("refused")
 
-// IDs names VMs.
+// IDs is a request that applies to the VMs with these ids.
 type IDs struct {
 	IDs []string `json:"ids"`
 }
 
-// LeavingRequest marks VMs as leaving or not.
+// LeavingRequest is a request to set whether VMs are leaving.
 type LeavingRequest struct {
 	IDs     []string `json:"ids"`
 	Leaving bool     `json:"leaving"`
 }
 
-// LagRequest sets how old the shown state is.
+// LagRequest is a request to set the age of the returned state.
 type LagRequest struct {
 	LagMillis int64 `json:"lagMillis"`
 }
 
-// DownRequest makes the list unreadable.
+// DownRequest is a request to make the list unreadable, or readable again.
 type DownRequest struct {
 	Down bool `json:"down"`
 }
 
-// Handler serves the list over HTTP.
+// Handler returns an HTTP handler for the list and the requests that control it.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	post(mux, RegisterPath, func(in *vmlist.List) { l.Register(*in) })
@@ -64,9 +64,9 @@
 	return mux
 }
 
-func post[In any](mux *http.ServeMux, path string, do func(*In)) {
+func post[In any](mux *http.ServeMux, path string, handle func(*In)) {
 	endpoint.Post(mux, path, errRefused, func(_ context.Context, in *In) (any, error) {
-		do(in)
+		handle(in)
 		return struct{}{}, nil
 	})
 }
@@ -74,7 +74,7 @@
 func (l *List) serveList(rw http.ResponseWriter, r *http.Request) {
 	list, err := l.read(r.Context())
 	if err != nil {
-		panic(http.ErrAbortHandler) // The connection is cut, as by a service that is gone.
+		panic(http.ErrAbortHandler) // Closes the connection, as an unavailable service would.
 	}
 	after, err := strconv.ParseInt(r.URL.Query().Get(web.AfterQuery), 10, 64)
 	if err == nil && after == list.Version && after > 0 {
@@ -85,16 +85,16 @@
 	_ = json.NewEncoder(rw).Encode(list)
 }
 
-// SetLag sets how old the shown state is.
+// SetLag sets the age of the returned state.
 func (l *List) SetLag(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.opts.Lag = d
 }
 
-// KeepRegistered registers VMs at the list behind address again and again until ctx ends. An empty
-// address registers nothing.
-func KeepRegistered(ctx context.Context, address string, every time.Duration, vms func() vmlist.List) {
+// KeepRegistered registers VMs with the list at address at each interval until ctx ends. It does nothing if
+// address is empty.
+func KeepRegistered(ctx context.Context, address string, interval time.Duration, vms func() vmlist.List) {
 	if address == "" {
 		return
 	}
@@ -103,10 +103,10 @@
 	defer pool.Close()
 	for ctx.Err() == nil {
 		call := &webcall.Call{Address: address, Path: RegisterPath, In: vms()}
-		_ = pool.Do(ctx, call) // The next round tries again.
+		_ = pool.Do(ctx, call) // The next iteration retries.
 		select {
 		case <-ctx.Done():
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxStates bounds how many past states are kept within the lag.
+	// maxStates is the maximum number of past states kept within the lag.
 	maxStates = 256
-	// maxRemoved bounds how many deregistered VMs are remembered.
+	// maxRemoved is the maximum number of deregistered VMs that are remembered.
 	maxRemoved = 4096
 )
 
@@ -29,29 +29,29 @@
 	mu      sync.Mutex
 	version int64
 	vms     map[string]vm
-	// leaving names the VMs that were announced as leaving here, whatever they register.
+	// leaving holds the VMs marked by SetLeaving; it overrides what they register.
 	leaving map[string]bool
-	// removed names the VMs that stay out, although their programs register them again.
+	// removed holds the deregistered VMs, whose registrations are ignored.
 	removed map[string]bool
 	states  []state
 	down    bool
 }
 
-// vm is one VM under its kind and id.
+// vm is a registered VM; exactly one of worker, target and entry is set.
 type vm struct {
-	worker *worker.Info
-	target *target.Info
-	entry  *vmlist.Entry
-	seen   time.Time
+	worker         *worker.Info
+	target         *target.Info
+	entry          *vmlist.Entry
+	lastRegistered time.Time
 }
 
-// state is the list from a moment on.
+// state is the content of the list since a point in time.
 type state struct {
 	since time.Time
 	list  vmlist.List
 }
 
-// New returns an empty list without lag.
+// New returns an empty list.
 func New(opts ...Option) *List {
 	l := &List{vms: make(map[string]vm), leaving: make(map[string]bool), removed: make(map[string]bool)}
 	for _, f := range opts {
@@ -61,7 +61,7 @@
 	return l
 }
 
-// Source gives a source that reads the list within the process.
+// Source returns a source that reads the list in process.
 func (l *List) Source() *vmlist.Source { return &vmlist.Source{Read: l.read} }
 
 func (l *List) read(ctx context.Context) (vmlist.List, error) {
@@ -75,21 +75,21 @@
 	}
 	now := time.Now()
 	l.expire(now)
-	l.trim(now)
+	l.dropStates(now)
 	return l.states[0].list, nil
 }
 
-// Register adds VMs, or says again that they live; those that were deregistered stay out.
+// Register adds VMs or renews their registration. Deregistered VMs are ignored.
 func (l *List) Register(vms vmlist.List) {
-	l.change(func(now time.Time) {
+	l.update(func(now time.Time) {
 		for _, w := range vms.Workers {
-			l.add("worker/", vm{worker: &w, seen: now})
+			l.add("worker/", vm{worker: &w, lastRegistered: now})
 		}
 		for _, t := range vms.Targets {
-			l.add("target/", vm{target: &t, seen: now})
+			l.add("target/", vm{target: &t, lastRegistered: now})
 		}
 		for _, e := range vms.Entries {
-			l.add("entry/", vm{entry: &e, seen: now})
+			l.add("entry/", vm{entry: &e, lastRegistered: now})
 		}
 	})
 }
@@ -102,7 +102,7 @@
 
 // Deregister removes the VMs with these ids until they are readmitted.
 func (l *List) Deregister(ids ...string) {
-	l.change(func(time.Time) {
+	l.update(func(time.Time) {
 		maps.DeleteFunc(l.vms, func(_ string, v vm) bool { return slices.Contains(ids, v.id()) })
 		for _, id := range ids {
 			delete(l.leaving, id)
@@ -115,16 +115,16 @@
 
 // Readmit lets deregistered VMs register again.
 func (l *List) Readmit(ids ...string) {
-	l.change(func(time.Time) {
+	l.update(func(time.Time) {
 		for _, id := range ids {
 			delete(l.removed, id)
 		}
 	})
 }
 
-// SetLeaving marks the VMs with these ids as leaving or not.
+// SetLeaving sets whether the VMs with these ids are leaving.
 func (l *List) SetLeaving(leaving bool, ids ...string) {
-	l.change(func(time.Time) {
+	l.update(func(time.Time) {
 		for _, id := range ids {
 			if leaving {
 				l.leaving[id] = true
@@ -142,30 +142,30 @@
 	l.down = down
 }
 
-func (l *List) change(f func(now time.Time)) {
+func (l *List) update(f func(now time.Time)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	f(now)
 	l.expire(now)
-	l.trim(now)
-	l.push(now)
+	l.dropStates(now)
+	l.recordState(now)
 }
 
-// expire removes the VMs that have not registered for too long.
+// expire removes the VMs whose registration has expired.
 func (l *List) expire(now time.Time) {
 	if l.opts.Expiry <= 0 {
 		return
 	}
 	before := len(l.vms)
-	maps.DeleteFunc(l.vms, func(_ string, v vm) bool { return now.Sub(v.seen) > l.opts.Expiry })
+	maps.DeleteFunc(l.vms, func(_ string, v vm) bool { return now.Sub(v.lastRegistered) > l.opts.Expiry })
 	if len(l.vms) != before {
-		l.push(now)
+		l.recordState(now)
 	}
 }
 
-// push keeps the present state if it differs from the newest that is kept.
-func (l *List) push(now time.Time) {
+// recordState appends the current state if it differs from the newest one.
+func (l *List) recordState(now time.Time) {
 	list := l.build()
 	newest := l.states[len(l.states)-1].list
 	if slices.Equal(list.Workers, newest.Workers) && slices.Equal(list.Targets, newest.Targets) &&
@@ -179,11 +179,11 @@
 		return
 	}
 	l.states = append(l.states, state{since: now, list: list})
-	l.trim(now)
+	l.dropStates(now)
 }
 
-// trim drops the states that are no longer shown.
-func (l *List) trim(now time.Time) {
+// dropStates drops the states that are older than the lag.
+func (l *List) dropStates(now time.Time) {
 	for len(l.states) > 1 && !now.Before(l.states[1].since.Add(l.opts.Lag)) {
 		l.states = slices.Delete(l.states, 0, 1)
 	}
--- a/standin/list/options.go
+++ b/standin/list/options.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Options are what a List is made of.
+// Options configure a List.
 type Options struct {
-	// Lag is how old the shown state is.
+	// Lag is the age of the returned state.
 	Lag time.Duration
-	// Expiry removes a VM that has not registered for that long; zero keeps it.
+	// Expiry is how long a VM stays listed without a renewed registration; zero is forever.
 	Expiry time.Duration
 }
 
-// Option sets up a List.
+// Option configures a List.
 type Option func(*Options)
 
-// Lag sets how old the shown state is.
+// Lag sets the age of the returned state.
 func Lag(d time.Duration) Option { return func(o *Options) { o.Lag = d } }
 
-// Expiry removes a VM that has not registered for that long.
+// Expiry sets how long a VM stays listed without a renewed registration.
 func Expiry(d time.Duration) Option { return func(o *Options) { o.Expiry = d } }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -13,20 +13,19 @@
 	"turmericgap/store/memory"
 )
 
-// maxRequestBytes bounds one request.
 const maxRequestBytes = 4 << 20
 
-// Server answers the gateway's calls.
+// Server is an HTTP handler for the gateway.
 type Server struct {
 	faults *memory.Faults
-	inner  *store.Store
+	store  *store.Store
 	mux    *http.ServeMux
 }
 
-// New returns a server of s.
+// New returns a server for s.
 func New(s *memory.Service) *Server {
 	faults := &memory.Faults{}
-	srv := &Server{faults: faults, inner: s.Client(faults), mux: http.NewServeMux()}
+	srv := &Server{faults: faults, store: s.Client(faults), mux: http.NewServeMux()}
 	handle(srv, wire.PathRange, srv.rangeKeys)
 	handle(srv, wire.PathTxn, srv.txn)
 	handle(srv, wire.PathGrant, srv.grant)
@@ -38,19 +37,19 @@
 	return srv
 }
 
-// Faults gives the faults that all callers of the server share.
+// Faults returns the faults, which apply to all callers of the server.
 func (s *Server) Faults() *memory.Faults { return s.faults }
 
-// ServeHTTP answers one call.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func handle[Req, Resp any](s *Server, path string, do func(context.Context, Req) (Resp, error)) {
+func handle[Req, Resp any](s *Server, path string, method func(context.Context, Req) (Resp, error)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		var req Req
 		if !decode(w, r, &req) {
 			return
 		}
-		resp, err := do(r.Context(), req)
+		resp, err := method(r.Context(), req)
 		if err != nil {
 			fail(w, err)
 			return
@@ -70,8 +69,8 @@
 	return err == nil
 }
 
-// fail answers with an error. One whose outcome is open has no answer: the connection is cut, as a
-// caller of a real service would see it.
+// fail responds with an error. If the outcome of the request is unknown, it aborts the connection instead, as a
+// real service that fails would.
 func fail(w http.ResponseWriter, err error) {
 	e := wire.Error{Error: err.Error(), Message: err.Error()}
 	switch {
@@ -96,12 +95,12 @@
 }
 
 func write(w http.ResponseWriter, body any) {
-	// The caller may be gone; then there is nobody to tell.
+	// A failed write means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
 func (s *Server) rangeKeys(ctx context.Context, req wire.RangeRequest) (wire.RangeResponse, error) {
-	res, err := s.inner.Range(ctx, store.Range{Key: string(req.Key), End: string(req.RangeEnd), Limit: req.Limit})
+	res, err := s.store.Range(ctx, store.Range{Key: string(req.Key), End: string(req.RangeEnd), Limit: req.Limit})
 	if err != nil {
 		return wire.RangeResponse{}, err
 	}
@@ -124,7 +123,7 @@
 	if err != nil {
 		return wire.TxnResponse{}, err
 	}
-	res, err := s.inner.Txn(ctx, t)
+	res, err := s.store.Txn(ctx, t)
 	return wire.TxnResponse{Header: wire.Header{Revision: res.Revision}, Succeeded: res.Succeeded}, err
 }
 
@@ -156,21 +155,21 @@
 }
 
 func (s *Server) grant(ctx context.Context, req wire.LeaseRequest) (wire.LeaseResponse, error) {
-	id, err := s.inner.Grant(ctx, time.Duration(req.TTL)*time.Second)
+	id, err := s.store.Grant(ctx, time.Duration(req.TTL)*time.Second)
 	return wire.LeaseResponse{ID: id, TTL: req.TTL}, err
 }
 
 func (s *Server) keepAlive(ctx context.Context, req wire.LeaseRequest) (wire.StreamMessage[wire.LeaseResponse], error) {
-	ttl, err := s.inner.KeepAlive(ctx, req.ID)
+	ttl, err := s.store.KeepAlive(ctx, req.ID)
 	if errors.Is(err, store.ErrLeaseGone) {
-		err = nil // The gateway tells a lapsed lease by the missing TTL.
+		err = nil // The gateway reports an expired lease by a missing TTL.
 	}
 	res := wire.LeaseResponse{ID: req.ID, TTL: int64(ttl / time.Second)}
 	return wire.StreamMessage[wire.LeaseResponse]{Result: res}, err
 }
 
 func (s *Server) revoke(ctx context.Context, req wire.LeaseRequest) (wire.LeaseResponse, error) {
-	return wire.LeaseResponse{}, s.inner.Revoke(ctx, req.ID)
+	return wire.LeaseResponse{}, s.store.Revoke(ctx, req.ID)
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -188,7 +187,7 @@
 		return
 	}
 	stream(w, wire.WatchResponse{Created: true})
-	err := s.inner.Watch(r.Context(), string(c.Key), c.StartRevision, func(b store.Batch) { stream(w, watchResponse(b)) })
+	err := s.store.Watch(r.Context(), string(c.Key), c.StartRevision, func(b store.Batch) { stream(w, watchResponse(b)) })
 	if errors.Is(err, store.ErrCompacted) {
 		stream(w, wire.WatchResponse{Canceled: true, CompactRevision: c.StartRevision + 1})
 		return
@@ -198,7 +197,7 @@
 
 func stream(w http.ResponseWriter, m wire.WatchResponse) {
 	write(w, wire.StreamMessage[wire.WatchResponse]{Result: m})
-	// A writer that cannot flush delivers when the handler ends.
+	// A writer that cannot flush sends its data when the handler returns.
 	_ = http.NewResponseController(w).Flush()
 }
 
--- a/standin/target/doc.go
+++ b/standin/target/doc.go
@@ -1,3 +1,3 @@
-// Package target is a stand-in of the platform's targets: it answers requests within its slots,
-// keeps sessions and first answers, and fails on demand.
+// Package target is a stand-in for the platform's targets. It answers requests within its slots, keeps sessions,
+// returns the first answer to repeated keys, and fails on demand.
 package target
--- a/standin/target/fault.go
+++ b/standin/target/fault.go
@@ -8,33 +8,33 @@
 	"turmericgap/job"
 )
 
-// Fault says how the target fails; the zero value is a sound target.
+// Fault defines how the target fails; the zero value is a healthy target.
 type Fault struct {
-	// Down gives no request an effect or an answer.
+	// Down makes all requests fail without effect.
 	Down bool `json:"down"`
-	// DelayMillis passes before a request takes effect, LateMillis before its answer leaves.
+	// DelayMillis is the delay before a request takes effect, LateMillis the delay of its answer.
 	DelayMillis int64 `json:"delayMillis"`
 	LateMillis  int64 `json:"lateMillis"`
-	// LoseAnswers is how many requests take effect without an answer.
+	// LoseAnswers is the number of further requests that take effect and whose answers are lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// Frozen stops the VM until it is thawed.
+	// Frozen suspends the VM until it is reset.
 	Frozen bool `json:"frozen"`
-	// FailAll answers with exit code 1.
+	// FailAll makes all requests end with exit code 1.
 	FailAll bool `json:"failAll"`
-	// Truncate is how many answers are cut while their length and sum stay.
+	// Truncate is the number of further answers whose body is cut, while their length and checksum are kept.
 	Truncate int `json:"truncate"`
-	// Stale is how many requests get the answer of the request before them.
+	// Stale is the number of further requests that get the answer to the previous request.
 	Stale int `json:"stale"`
-	// Refuse is how many requests are refused without effect.
+	// Refuse is the number of further requests that are rejected without effect.
 	Refuse int `json:"refuse"`
 }
 
-// Result is the body of an answer.
+// Result is the body of an answer, as JSON.
 type Result struct {
 	Target  string `json:"target"`
 	Method  string `json:"method"`
 	Session string `json:"session,omitempty"`
-	// Count is how many requests of the session this target has answered.
+	// Count is the number of requests of the session that this target has answered.
 	Count int64  `json:"count,omitempty"`
 	Echo  []byte `json:"echo,omitempty"`
 }
@@ -52,27 +52,27 @@
 	t.fault = f
 }
 
-// Fault gives the present fault.
+// Fault returns the current fault.
 func (t *Target) Fault() Fault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fault
 }
 
-// Violations lists what callers asked for that a target must never be asked for.
+// Violations returns the requests that callers must never send to a target.
 func (t *Target) Violations() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]string(nil), t.violations...)
 }
 
-// result makes the answer of a request that has run.
+// result returns the response to a request that has run.
 func (t *Target) result(r *target.Request) *target.Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	res := Result{Target: t.opts.Info.ID, Method: r.Method, Session: r.Session, Echo: r.Body}
 	if r.Session != "" {
-		res.Count = t.count(r.Session)
+		res.Count = t.countRequest(r.Session)
 	}
 	exit := 0
 	if t.fault.FailAll {
@@ -85,8 +85,8 @@
 	return &target.Response{ID: r.ID, Answer: job.NewAnswer(exit, body)}
 }
 
-// count counts a request of a session, and forgets the oldest session when there are too many.
-func (t *Target) count(session string) int64 {
+// countRequest counts a request of a session and evicts the oldest session beyond MaxSessions.
+func (t *Target) countRequest(session string) int64 {
 	if _, ok := t.sessions[session]; !ok {
 		t.sessionOrder = append(t.sessionOrder, session)
 	}
@@ -98,36 +98,37 @@
 	return t.sessions[session]
 }
 
-// answer spoils a response as the fault says.
-func (t *Target) answer(r *target.Request, out *target.Response) (*target.Response, error) {
+// applyAnswerFault applies the fault to a response.
+func (t *Target) applyAnswerFault(r *target.Request, out *target.Response) (*target.Response, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out.Leaving = !t.leavingSince.IsZero()
-	before := t.last
-	t.last = copied(out, out.ID)
+	previous := t.lastResponse
+	t.lastResponse = copyResponse(out, out.ID)
 	switch {
-	case spend(&t.fault.LoseAnswers):
+	case consume(&t.fault.LoseAnswers):
 		return nil, errLost
-	case before != nil && spend(&t.fault.Stale):
-		return before, nil
-	case spend(&t.fault.Truncate):
-		out = copied(out, r.ID)
+	case previous != nil && consume(&t.fault.Stale):
+		return previous, nil
+	case consume(&t.fault.Truncate):
+		out = copyResponse(out, r.ID)
 		out.Answer.Body = out.Answer.Body[:len(out.Answer.Body)/2]
 	}
 	return out, nil
 }
 
-// refuse refuses a request if the fault says so.
-func (t *Target) refuse(r *target.Request) error {
+// applyRefusal rejects a request if the fault requires it.
+func (t *Target) applyRefusal(r *target.Request) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if spend(&t.fault.Refuse) {
+	if consume(&t.fault.Refuse) {
 		return fmt.Errorf("%w: request %s", target.ErrRefused, r.ID)
 	}
 	return nil
 }
 
-func spend(n *int) bool {
+// consume decrements a counter and returns false if it was zero.
+func consume(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
--- a/standin/target/handler.go
+++ b/standin/target/handler.go
@@ -9,19 +9,19 @@
 	"turmericgap/standin/endpoint"
 )
 
-// Paths of the stand-in itself.
+// Paths that control the stand-in.
 const (
 	FaultPath   = "/fault"
 	LeavingPath = "/leaving"
 	StatePath   = "/state"
 )
 
-// LeavingRequest announces that a target leaves.
+// LeavingRequest is a request to set whether the target is leaving.
 type LeavingRequest struct {
 	Leaving bool `json:"leaving"`
 }
 
-// State is what tests may read of a target.
+// State is the state of a target that tests inspect.
 type State struct {
 	Info       target.Info `json:"info"`
 	InUse      int         `json:"inUse"`
@@ -33,17 +33,17 @@
 	Violations []string    `json:"violations"`
 }
 
-// State gives what tests may read.
+// State returns the state that tests inspect.
 func (t *Target) State() State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return State{
-		Info: t.opts.Info, InUse: t.inUse, Most: t.most, Ran: t.ran, Sessions: len(t.sessions),
+		Info: t.opts.Info, InUse: t.inUse, Most: t.maxInUse, Ran: t.startCount, Sessions: len(t.sessions),
 		Leaving: !t.leavingSince.IsZero(), Fault: t.fault, Violations: append([]string{}, t.violations...),
 	}
 }
 
-// Handler serves the target over HTTP.
+// Handler returns an HTTP handler for the target and the requests that control it.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	endpoint.Post(mux, web.DoPath, target.ErrRefused, func(ctx context.Context, in *target.Request) (any, error) { return t.do(ctx, in) })
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -15,9 +15,9 @@
 const (
 	// DefaultServiceTime is how long a request takes.
 	DefaultServiceTime = 5 * time.Millisecond
-	// DefaultLeavingGrace is how long after its leaving was announced new work is still no violation.
+	// DefaultLeavingGrace is how long new work is no violation after the target has announced that it is leaving.
 	DefaultLeavingGrace = 5 * time.Second
-	// MaxAnswers and MaxSessions bound what a target remembers.
+	// MaxAnswers and MaxSessions are the maximum numbers of remembered first answers and sessions.
 	MaxAnswers  = 4096
 	MaxSessions = 1 << 16
 
@@ -29,48 +29,48 @@
 	errLost = errors.New("the answer was lost")
 )
 
-// Target is one target that exists only in memory.
+// Target is an in-memory target.
 type Target struct {
 	opts Options
 
 	mu           sync.Mutex
 	inUse        int
-	most         int
-	ran          int64
-	answers      map[string]*first
+	maxInUse     int
+	startCount   int64
+	answers      map[string]*keyedAnswer
 	answerOrder  []string
 	sessions     map[string]int64
 	sessionOrder []string
-	last         *target.Response
+	lastResponse *target.Response
 	fault        Fault
 	thawed       chan struct{}
 	leavingSince time.Time
 	violations   []string
 }
 
-// first is the first answer to a key, or the work on it.
-type first struct {
+// keyedAnswer is the first answer to a key. It is valid once done is closed.
+type keyedAnswer struct {
 	done     chan struct{}
 	response *target.Response
 	err      error
 }
 
-// New returns a target that is what info says.
+// New returns a target that is described by info.
 func New(info target.Info, opts ...Option) *Target {
 	o := Options{Info: info, ServiceTime: DefaultServiceTime, LeavingGrace: DefaultLeavingGrace, Record: func(history.Event) {}}
 	for _, f := range opts {
 		f(&o)
 	}
-	t := &Target{opts: o, answers: make(map[string]*first), sessions: make(map[string]int64), thawed: make(chan struct{})}
+	t := &Target{opts: o, answers: make(map[string]*keyedAnswer), sessions: make(map[string]int64), thawed: make(chan struct{})}
 	close(t.thawed)
 	t.record(history.Event{Kind: history.TargetHas, Slots: info.Slots})
 	return t
 }
 
-// Client gives a client that calls the target within the process.
+// Client returns a client that calls the target in process.
 func (t *Target) Client() *target.Client { return &target.Client{Do: t.Do} }
 
-// Info gives the target's entry in the VM list.
+// Info returns the target's entry for the VM list.
 func (t *Target) Info() target.Info {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,7 +79,7 @@
 	return info
 }
 
-// Do answers a request.
+// Do answers a request and checks the response as a client does.
 func (t *Target) Do(ctx context.Context, r *target.Request) (*target.Response, error) {
 	out, err := t.do(ctx, r)
 	if err != nil {
@@ -91,30 +91,30 @@
 	return out, nil
 }
 
-// do answers without the checks that a client makes.
+// do answers a request without the checks of a client.
 func (t *Target) do(ctx context.Context, r *target.Request) (*target.Response, error) {
 	fault := t.Fault()
 	if fault.Down {
 		return nil, errDown
 	}
-	if err := t.pause(ctx, time.Duration(fault.DelayMillis)*time.Millisecond); err != nil {
+	if err := t.delay(ctx, time.Duration(fault.DelayMillis)*time.Millisecond); err != nil {
 		return nil, err
 	}
-	if err := t.refuse(r); err != nil {
+	if err := t.applyRefusal(r); err != nil {
 		return nil, err
 	}
-	out, err := t.once(ctx, r)
+	out, err := t.answerOnce(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.pause(ctx, time.Duration(fault.LateMillis)*time.Millisecond); err != nil {
+	if err := t.delay(ctx, time.Duration(fault.LateMillis)*time.Millisecond); err != nil {
 		return nil, err
 	}
-	return t.answer(r, out)
+	return t.applyAnswerFault(r, out)
 }
 
-// pause waits, and then until the VM is thawed.
-func (t *Target) pause(ctx context.Context, d time.Duration) error {
+// delay waits for the duration and then until the VM is not frozen.
+func (t *Target) delay(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -133,57 +133,57 @@
 	}
 }
 
-// once gives the first answer to the request's key, and works on the request if there is none.
-func (t *Target) once(ctx context.Context, r *target.Request) (*target.Response, error) {
+// answerOnce returns the first answer to the request's key, or runs the request if there is none.
+func (t *Target) answerOnce(ctx context.Context, r *target.Request) (*target.Response, error) {
 	if r.Key == "" {
-		return t.work(ctx, r)
+		return t.run(ctx, r)
 	}
 	for {
-		f, mine := t.claim(r.Key)
-		if mine {
-			return t.first(ctx, r, f)
+		a, claimed := t.claim(r.Key)
+		if claimed {
+			return t.runFirst(ctx, r, a)
 		}
 		select {
-		case <-f.done:
+		case <-a.done:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		if f.runs() {
-			return copied(f.response, r.ID), nil
+		if a.completed() {
+			return copyResponse(a.response, r.ID), nil
 		}
 	}
 }
 
-// claim gives what is known of the key; mine says that its work falls to the caller.
-func (t *Target) claim(key string) (f *first, mine bool) {
+// claim returns the answer to a key; claimed reports that the caller has to run the request.
+func (t *Target) claim(key string) (a *keyedAnswer, claimed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if f, ok := t.answers[key]; ok {
-		return f, false
+	if a, ok := t.answers[key]; ok {
+		return a, false
 	}
-	f = &first{done: make(chan struct{})}
-	t.answers[key] = f
+	a = &keyedAnswer{done: make(chan struct{})}
+	t.answers[key] = a
 	t.answerOrder = append(t.answerOrder, key)
 	t.trimAnswers()
-	return f, true
+	return a, true
 }
 
-// first works on the first request with a key.
-func (t *Target) first(ctx context.Context, r *target.Request, f *first) (*target.Response, error) {
-	f.response, f.err = t.work(ctx, r)
-	if !f.runs() {
+// runFirst runs the first request with a key.
+func (t *Target) runFirst(ctx context.Context, r *target.Request, a *keyedAnswer) (*target.Response, error) {
+	a.response, a.err = t.run(ctx, r)
+	if !a.completed() {
 		t.mu.Lock()
-		delete(t.answers, r.Key) // It did not run to its end, so there is no first answer.
+		delete(t.answers, r.Key) // The request did not complete, so the key has no answer yet.
 		t.mu.Unlock()
 	}
-	close(f.done)
-	return copied(f.response, r.ID), f.err
+	close(a.done)
+	return copyResponse(a.response, r.ID), a.err
 }
 
-// runs tells whether the work ran to its end.
-func (f *first) runs() bool { return f.err == nil && !f.response.Busy }
+// completed reports whether the request ran to completion.
+func (a *keyedAnswer) completed() bool { return a.err == nil && !a.response.Busy }
 
-func copied(r *target.Response, id string) *target.Response {
+func copyResponse(r *target.Response, id string) *target.Response {
 	if r == nil {
 		return nil
 	}
@@ -199,13 +199,13 @@
 	}
 }
 
-// work takes a slot and the time that the request needs.
-func (t *Target) work(ctx context.Context, r *target.Request) (*target.Response, error) {
-	if !t.take(r) {
+// run occupies a slot for the service time of the request. Without a free slot it returns a busy response.
+func (t *Target) run(ctx context.Context, r *target.Request) (*target.Response, error) {
+	if !t.acquireSlot(r) {
 		return &target.Response{ID: r.ID, Busy: true}, nil
 	}
-	defer t.give(r)
-	timer := time.NewTimer(t.workTime(r))
+	defer t.releaseSlot(r)
+	timer := time.NewTimer(t.serviceTime(r))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -215,33 +215,33 @@
 	return t.result(r), nil
 }
 
-func (t *Target) workTime(r *target.Request) time.Duration {
+func (t *Target) serviceTime(r *target.Request) time.Duration {
 	if d, ok := t.opts.MethodTimes[r.Method]; ok {
 		return d
 	}
 	return t.opts.ServiceTime
 }
 
-func (t *Target) take(r *target.Request) bool {
+func (t *Target) acquireSlot(r *target.Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inUse >= t.opts.Info.Slots {
-		t.violate(fmt.Sprintf("request %s exceeds %d slots", r.ID, t.opts.Info.Slots))
+		t.addViolation(fmt.Sprintf("request %s exceeds %d slots", r.ID, t.opts.Info.Slots))
 		return false
 	}
 	_, known := t.sessions[r.Session]
 	continues := r.Session != "" && known
 	if !t.leavingSince.IsZero() && !continues && time.Since(t.leavingSince) > t.opts.LeavingGrace {
-		t.violate("new work while leaving: " + r.ID)
+		t.addViolation("new work while leaving: " + r.ID)
 	}
 	t.inUse++
-	t.most = max(t.most, t.inUse)
-	t.ran++
+	t.maxInUse = max(t.maxInUse, t.inUse)
+	t.startCount++
 	t.record(history.Event{Kind: history.RequestBegan, Attempt: r.ID, Key: r.Key, Session: continues})
 	return true
 }
 
-func (t *Target) give(r *target.Request) {
+func (t *Target) releaseSlot(r *target.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.inUse--
@@ -253,13 +253,13 @@
 	t.opts.Record(e)
 }
 
-func (t *Target) violate(reason string) {
+func (t *Target) addViolation(reason string) {
 	if len(t.violations) < maxViolations {
 		t.violations = append(t.violations, reason)
 	}
 }
 
-// SetLeaving announces that the target leaves, or that it stays after all.
+// SetLeaving sets whether the target is leaving.
 func (t *Target) SetLeaving(leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/worker/attempt.go
+++ b/standin/worker/attempt.go
@@ -12,53 +12,54 @@
 	"turmericgap/worker"
 )
 
-// All functions of this file run under the worker's lock.
+// All functions of this file except runTimer and changes require the worker's lock.
 
 func (w *Worker) doStart(s *worker.Start, now time.Time) (*worker.Report, error) {
-	if r := w.known(s.Attempt); r != nil {
+	if r := w.knownReport(s.Attempt); r != nil {
 		return r, nil
 	}
-	if err := w.guard(s); err != nil {
+	if err := w.validate(s); err != nil {
 		return nil, err
 	}
-	w.judge(s)
+	w.checkViolations(s)
 	w.epoch = max(w.epoch, s.Epoch)
-	w.ever.add(s.Attempt, worker.Running, now)
+	w.everStarted.add(s.Attempt, worker.Running, now)
 	w.starts++
-	a := &attempt{start: *s, state: worker.Running, began: now, checkpoint: s.Checkpoint}
+	a := &attempt{start: *s, state: worker.Running, startedAt: now, checkpoint: s.Checkpoint}
 	a.start.Payload = nil
 	w.attempts[s.Attempt] = a
 	w.used = w.used.Plus(s.Each)
 	w.record(history.Started, s.Attempt, a, now)
-	w.touch(a)
+	w.markChanged(a)
 	w.schedule(s, a, now)
 	return w.report(s.Attempt, a), nil
 }
 
-// schedule sets when the attempt ends, lapses and tells its usage.
+// schedule sets the timers for the end of the attempt, the expiry of its lease and its usage report.
 func (w *Worker) schedule(s *worker.Start, a *attempt, now time.Time) {
-	w.renewOne(s.Attempt, a, s.LeaseMillis, now)
+	w.renewLease(s.Attempt, a, s.LeaseMillis, now)
 	if w.fault.FailAll {
-		w.finish(s.Attempt, a, worker.Ended, noAnswerExit, now)
+		w.finish(s.Attempt, a, worker.Ended, failedExitCode, now)
 		return
 	}
 	if !s.Service {
-		left := w.runTime(s) - elapsed(s.Checkpoint)
-		a.ends = now.Add(left)
-		a.end = time.AfterFunc(left, func() { w.locked(func(now time.Time) { w.endIfDue(s.Attempt, a, now) }) })
+		remaining := w.runTime(s) - checkpointProgress(s.Checkpoint)
+		a.endsAt = now.Add(remaining)
+		a.endTimer = time.AfterFunc(remaining, func() { w.runTimer(func(now time.Time) { w.endIfDue(s.Attempt, a, now) }) })
 	}
 	a.usageDue = now.Add(w.opts.UsageLag)
-	time.AfterFunc(w.opts.UsageLag, func() { w.locked(func(now time.Time) { w.tellUsageIfDue(s.Attempt, a, now) }) })
+	time.AfterFunc(w.opts.UsageLag, func() { w.runTimer(func(now time.Time) { w.reportUsageIfDue(s.Attempt, a, now) }) })
 }
 
-func (w *Worker) tellUsageIfDue(id string, a *attempt, now time.Time) {
+func (w *Worker) reportUsageIfDue(id string, a *attempt, now time.Time) {
 	if a.state == worker.Running && w.attempts[id] == a && !a.usageDue.IsZero() && !now.Before(a.usageDue) {
 		a.usage, a.usageDue = w.usage(a), time.Time{}
-		w.touch(a)
+		w.markChanged(a)
 	}
 }
 
-func (w *Worker) locked(f func(now time.Time)) {
+// runTimer runs the callback of a timer, unless the VM is frozen or the worker is closed.
+func (w *Worker) runTimer(f func(now time.Time)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.fault.Frozen && !w.closed {
@@ -66,18 +67,18 @@
 	}
 }
 
-// known gives the report of an attempt that this boot has met, or nil.
-func (w *Worker) known(id string) *worker.Report {
+// knownReport returns the report of an attempt, or nil if the attempt is unknown since the last restart.
+func (w *Worker) knownReport(id string) *worker.Report {
 	if a, ok := w.attempts[id]; ok {
 		return w.report(id, a)
 	}
-	if state, ok := w.forgotten.state[id]; ok {
+	if state, ok := w.forgotten.states[id]; ok {
 		return &worker.Report{Attempt: id, State: state}
 	}
 	return nil
 }
 
-func (w *Worker) guard(s *worker.Start) error {
+func (w *Worker) validate(s *worker.Start) error {
 	switch {
 	case !w.opts.RejectInvalid:
 		return nil
@@ -89,13 +90,13 @@
 	return nil
 }
 
-// judge records what a start breaks.
-func (w *Worker) judge(s *worker.Start) {
+// checkViolations records the violations that a start causes.
+func (w *Worker) checkViolations(s *worker.Start) {
 	if used := w.used.Plus(s.Each); !used.Fits(w.opts.Info.Has) {
-		w.violate(fmt.Sprintf("overfilled by %s: %+v of %+v", s.Attempt, used, w.opts.Info.Has))
+		w.addViolation(fmt.Sprintf("overfilled by %s: %+v of %+v", s.Attempt, used, w.opts.Info.Has))
 	}
-	if _, ok := w.ever.state[s.Attempt]; ok {
-		w.violate("attempt ran twice: " + s.Attempt)
+	if _, ok := w.everStarted.states[s.Attempt]; ok {
+		w.addViolation("attempt ran twice: " + s.Attempt)
 	}
 	if w.opts.TaskOf == nil {
 		return
@@ -103,7 +104,7 @@
 	task := w.opts.TaskOf(s.Attempt)
 	for id, a := range w.attempts {
 		if a.state == worker.Running && w.opts.TaskOf(id) == task {
-			w.violate("two attempts of one task at a time: " + id + " and " + s.Attempt)
+			w.addViolation("two attempts of one task at a time: " + id + " and " + s.Attempt)
 		}
 	}
 }
@@ -118,7 +119,7 @@
 	return w.opts.RunTime
 }
 
-// usage is what the attempt truly uses, under its throttle.
+// usage returns the actual usage of the attempt, limited by its throttle.
 func (w *Worker) usage(a *attempt) job.Resources {
 	u := w.opts.Usage(&a.start)
 	if a.millicores > 0 {
@@ -128,19 +129,19 @@
 }
 
 func (w *Worker) endIfDue(id string, a *attempt, now time.Time) {
-	if a.state == worker.Running && w.attempts[id] == a && !a.ends.IsZero() && !now.Before(a.ends) {
+	if a.state == worker.Running && w.attempts[id] == a && !a.endsAt.IsZero() && !now.Before(a.endsAt) {
 		w.finish(id, a, worker.Ended, 0, now)
 	}
 }
 
-func (w *Worker) lapseIfDue(id string, a *attempt, now time.Time) {
-	if a.state == worker.Running && w.attempts[id] == a && !a.expires.IsZero() && !now.Before(a.expires) {
-		// A frozen VM learns late that the lease has lapsed, but nothing ran in the meantime.
-		w.finish(id, a, worker.Stopped, 0, a.expires)
+func (w *Worker) expireIfDue(id string, a *attempt, now time.Time) {
+	if a.state == worker.Running && w.attempts[id] == a && !a.leaseEnd.IsZero() && !now.Before(a.leaseEnd) {
+		// A frozen VM notices the expiry late, but the attempt did not run after it.
+		w.finish(id, a, worker.Stopped, 0, a.leaseEnd)
 	}
 }
 
-// finish gives the attempt its last state, and its answer if it ended by itself.
+// finish sets the final state of the attempt, and its answer if it ended by itself.
 func (w *Worker) finish(id string, a *attempt, state worker.State, exit int, at time.Time) {
 	w.stopTimers(a)
 	a.state = state
@@ -150,46 +151,46 @@
 		a.answer = &answer
 	}
 	w.record(history.Ended, id, a, at)
-	w.touch(a)
+	w.markChanged(a)
 }
 
 func (w *Worker) doAct(act *worker.Act, now time.Time) (*worker.Report, error) {
 	if w.opts.RejectInvalid && act.Epoch < w.epoch {
 		return nil, fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, act.Epoch, w.epoch)
 	}
-	r := w.known(act.Attempt)
+	r := w.knownReport(act.Attempt)
 	switch {
 	case r == nil && act.Verb == worker.Stop:
 		a := &attempt{start: worker.Start{Attempt: act.Attempt}, state: worker.Forbidden}
 		w.attempts[act.Attempt] = a
-		w.touch(a)
+		w.markChanged(a)
 		return w.report(act.Attempt, a), nil
 	case r == nil:
 		return nil, fmt.Errorf("%w: attempt %s is not known", worker.ErrRefused, act.Attempt)
 	case r.State != worker.Running:
 		return r, nil
 	}
-	w.doRunning(act, w.attempts[act.Attempt], now)
+	w.actOnRunning(act, w.attempts[act.Attempt], now)
 	return w.report(act.Attempt, w.attempts[act.Attempt]), nil
 }
 
-func (w *Worker) doRunning(act *worker.Act, a *attempt, now time.Time) {
+func (w *Worker) actOnRunning(act *worker.Act, a *attempt, now time.Time) {
 	switch act.Verb {
 	case worker.Stop:
 		w.finish(act.Attempt, a, worker.Stopped, 0, now)
 	case worker.Throttle:
 		a.millicores = act.Millicores
 		a.usage = w.usage(a)
-		w.touch(a)
+		w.markChanged(a)
 	case worker.Checkpoint:
-		done := now.Sub(a.began) + elapsed(a.start.Checkpoint)
-		a.checkpoint = strconv.AppendInt(nil, done.Milliseconds(), 10)
-		w.touch(a)
+		progress := now.Sub(a.startedAt) + checkpointProgress(a.start.Checkpoint)
+		a.checkpoint = strconv.AppendInt(nil, progress.Milliseconds(), 10)
+		w.markChanged(a)
 	}
 }
 
-// elapsed reads how much of the run a checkpoint has behind it.
-func elapsed(checkpoint []byte) time.Duration {
+// checkpointProgress returns the run time that a checkpoint covers.
+func checkpointProgress(checkpoint []byte) time.Duration {
 	ms, err := strconv.ParseInt(string(checkpoint), 10, 64)
 	if err != nil {
 		return 0
@@ -197,12 +198,12 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// renew renews every attempt and drops those whose end its owner has made durable.
+// renew renews the leases of all attempts and forgets those whose end the owner has stored.
 func (w *Worker) renew(h *worker.Heartbeat, now time.Time) {
 	for id, a := range w.attempts {
 		if a.state == worker.Running {
-			w.lapseIfDue(id, a, now)
-			w.renewOne(id, a, h.LeaseMillis, now)
+			w.expireIfDue(id, a, now)
+			w.renewLease(id, a, h.LeaseMillis, now)
 		}
 	}
 	for _, id := range h.Forget {
@@ -213,21 +214,21 @@
 	}
 }
 
-// renewOne sets when the attempt's lease lapses; zero milliseconds set nothing.
-func (w *Worker) renewOne(id string, a *attempt, leaseMillis int64, now time.Time) {
+// renewLease extends the lease of a running attempt. A lease of zero leaves it unchanged.
+func (w *Worker) renewLease(id string, a *attempt, leaseMillis int64, now time.Time) {
 	if leaseMillis <= 0 || a.state != worker.Running {
 		return
 	}
 	lease := time.Duration(leaseMillis) * time.Millisecond
-	a.expires = now.Add(lease)
-	if a.lapse == nil {
-		a.lapse = time.AfterFunc(lease, func() { w.locked(func(now time.Time) { w.lapseIfDue(id, a, now) }) })
+	a.leaseEnd = now.Add(lease)
+	if a.leaseTimer == nil {
+		a.leaseTimer = time.AfterFunc(lease, func() { w.runTimer(func(now time.Time) { w.expireIfDue(id, a, now) }) })
 		return
 	}
-	a.lapse.Reset(lease)
+	a.leaseTimer.Reset(lease)
 }
 
-// changes gives what changed after the cursor, or nil while the VM is frozen, and what to wait for.
+// changes returns the changes after the cursor, or nil while the VM is frozen, and the channel to wait on.
 func (w *Worker) changes(cursor int64) (reply *worker.HeartbeatReply, changed, thawed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,35 +236,36 @@
 		return nil, nil, w.thawed
 	}
 	reply = &worker.HeartbeatReply{Boot: w.boot, Cursor: w.seq, Whole: cursor < w.firstSeq || cursor > w.seq}
-	told := 0
+	answerBytes := 0
 	for _, id := range w.changedAfter(cursor, reply.Whole) {
 		a := w.attempts[id]
-		if a.answer != nil && told >= MaxReplyBytes {
-			w.putOff(reply, id, a)
+		if a.answer != nil && answerBytes >= MaxReplyBytes {
+			w.deferEnd(reply, id, a)
 			continue
 		}
 		r := w.report(id, a)
 		if r.Answer != nil {
-			told += len(r.Answer.Body)
+			answerBytes += len(r.Answer.Body)
 		}
 		reply.Reports = append(reply.Reports, *r)
 	}
 	return reply, w.changed, nil
 }
 
-// putOff leaves an end to a later reply, by a cursor that stands before it. A whole reply still names
-// the attempt, as running: it is here, and its answer has not been told.
+// deferEnd leaves an end to a later reply by setting the cursor before it. A whole reply still lists the attempt,
+// as running, since it is present and its answer has not been reported.
 //
-// Failure: answers pile up at a worker while the store is out, and a new owner asks for all of them.
-// Symptom: a reply beyond the owner's bound, for ever, while each heartbeat renews all leases.
-func (w *Worker) putOff(reply *worker.HeartbeatReply, id string, a *attempt) {
+// Without this, answers that accumulate at a worker during an outage of the store make the whole reply to a new
+// owner exceed the owner's limit. The owner would reject each such reply forever, while each heartbeat renews all
+// leases.
+func (w *Worker) deferEnd(reply *worker.HeartbeatReply, id string, a *attempt) {
 	reply.Cursor = min(reply.Cursor, a.seq-1)
 	if reply.Whole {
 		reply.Reports = append(reply.Reports, worker.Report{Attempt: id, State: worker.Running, Usage: a.usage})
 	}
 }
 
-// changedAfter lists the attempts that changed after the cursor, or all, the oldest change first.
+// changedAfter returns the attempts that changed after the cursor, or all attempts, by time of their last change.
 func (w *Worker) changedAfter(cursor int64, all bool) []string {
 	var ids []string
 	for id, a := range w.attempts {
--- a/standin/worker/call.go
+++ b/standin/worker/call.go
@@ -7,22 +7,22 @@
 	"turmericgap/worker"
 )
 
-// Client gives a client that calls the worker within the process.
+// Client returns a client that calls the worker in process.
 func (w *Worker) Client() *worker.Client {
 	return &worker.Client{Start: w.Start, Heartbeat: w.Heartbeat, Act: w.Act}
 }
 
-// Start runs an attempt.
+// Start starts an attempt. It has no effect if the attempt is already known.
 func (w *Worker) Start(ctx context.Context, s *worker.Start) (*worker.Report, error) {
-	return reported(call(ctx, w, func() (*worker.Report, error) { return w.doStart(s, time.Now()) }))
+	return checkReport(call(ctx, w, func() (*worker.Report, error) { return w.doStart(s, time.Now()) }))
 }
 
-// Act does something to an attempt.
+// Act applies an action to an attempt: stop, throttle or checkpoint.
 func (w *Worker) Act(ctx context.Context, a *worker.Act) (*worker.Report, error) {
-	return reported(call(ctx, w, func() (*worker.Report, error) { return w.doAct(a, time.Now()) }))
+	return checkReport(call(ctx, w, func() (*worker.Report, error) { return w.doAct(a, time.Now()) }))
 }
 
-func reported(r *worker.Report, err error) (*worker.Report, error) {
+func checkReport(r *worker.Report, err error) (*worker.Report, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -32,13 +32,13 @@
 	return r, nil
 }
 
-// Heartbeat renews the leases of all attempts and waits for a change after the cursor.
+// Heartbeat renews the leases of all attempts and waits for a change after the cursor, at most for the given time.
 func (w *Worker) Heartbeat(ctx context.Context, h *worker.Heartbeat) (*worker.HeartbeatReply, error) {
 	reply, err := w.heartbeat(ctx, h)
 	if err != nil {
 		return nil, err
 	}
-	if err := w.cuts.Check(reply); err != nil {
+	if err := w.cutReplies.Check(reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
@@ -52,37 +52,37 @@
 	wait := min(time.Duration(h.WaitMillis)*time.Millisecond, maxWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for waited := wait <= 0; ; {
+	for timedOut := wait <= 0; ; {
 		reply, changed, thawed := w.changes(h.Cursor)
-		if reply != nil && (waited || reply.Whole || len(reply.Reports) > 0) {
+		if reply != nil && (timedOut || reply.Whole || len(reply.Reports) > 0) {
 			return reply, nil
 		}
 		select {
 		case <-changed:
 		case <-thawed:
 		case <-timer.C:
-			waited = true
+			timedOut = true
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// call runs effect under the present fault. As in a network, a delayed or frozen call takes effect
-// later even when its caller no longer waits; a restart cuts the connections of all calls before it.
+// call runs effect under the current fault. As in a network, a delayed or frozen call takes effect later even if
+// its caller has given up. A restart fails all earlier calls.
 func call[T any](ctx context.Context, w *Worker, effect func() (T, error)) (T, error) {
 	type outcome struct {
 		value T
 		err   error
 	}
 	var none T
-	fault, boot, ok := w.enter()
+	fault, boot, ok := w.beginCall()
 	if !ok {
 		return none, errDown
 	}
 	done := make(chan outcome, 1)
 	go func() {
-		defer w.leave()
+		defer w.endCall()
 		time.Sleep(time.Duration(fault.DelayMillis) * time.Millisecond)
 		w.awaitThaw()
 		w.mu.Lock()
@@ -111,20 +111,20 @@
 	}
 }
 
-func (w *Worker) enter() (fault Fault, boot string, ok bool) {
+func (w *Worker) beginCall() (fault Fault, boot string, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.fault.Down || w.closed || w.waiting >= maxFrozenCalls {
+	if w.fault.Down || w.closed || w.inFlight >= maxFrozenCalls {
 		return Fault{}, "", false
 	}
-	w.waiting++
+	w.inFlight++
 	w.calls.Add(1)
 	return w.fault, w.boot, true
 }
 
-func (w *Worker) leave() {
+func (w *Worker) endCall() {
 	w.mu.Lock()
-	w.waiting--
+	w.inFlight--
 	w.mu.Unlock()
 	w.calls.Done()
 }
--- a/standin/worker/fault.go
+++ b/standin/worker/fault.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Fault says how the worker fails; the zero value is a sound worker.
+// Fault defines how the worker fails; the zero value is a healthy worker.
 type Fault struct {
-	// Down gives no call an effect or an answer.
+	// Down makes all calls fail without effect.
 	Down bool `json:"down"`
-	// DelayMillis passes before a call takes effect, also when its caller has given up by then.
+	// DelayMillis is the delay before a call takes effect, even if its caller has given up by then.
 	DelayMillis int64 `json:"delayMillis"`
-	// LoseAnswers is how many calls take effect without an answer.
+	// LoseAnswers is the number of further calls that take effect and whose answers are lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// Frozen stops the VM: no call, end or lapse happens before it is thawed.
+	// Frozen suspends the VM: calls, ends and lease expiries are delayed until it is reset.
 	Frozen bool `json:"frozen"`
-	// FailAll ends at once, with exit code 1, every task that starts.
+	// FailAll makes each task end with exit code 1 when it starts.
 	FailAll bool `json:"failAll"`
-	// Truncate is how many answers of tasks are cut while their length and sum stay.
+	// Truncate is the number of further task answers whose body is cut, while their length and checksum are kept.
 	Truncate int `json:"truncate"`
 }
 
 var (
 	errDown = errors.New("worker is down")
 	errLost = errors.New("the answer was lost")
-	// errRestarted is the cut connection of a call that was on its way during a restart.
+	// errRestarted is the result of a call that was in flight during a restart.
 	errRestarted = errors.New("worker restarted")
 )
 
@@ -43,27 +43,27 @@
 	}
 }
 
-// Fault gives the present fault.
+// Fault returns the current fault.
 func (w *Worker) Fault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault
 }
 
-// thaw does what became due while the VM was frozen, lapses first: they came before any call that
-// waits, and a renewal that waits must not revive them.
+// thaw processes what became due while the VM was frozen. Expired leases come first, since they precede all pending
+// calls: a pending renewal must not revive an expired attempt.
 func (w *Worker) thaw(now time.Time) {
 	for id, a := range w.attempts {
-		w.lapseIfDue(id, a, now)
+		w.expireIfDue(id, a, now)
 	}
 	for id, a := range w.attempts {
 		w.endIfDue(id, a, now)
-		w.tellUsageIfDue(id, a, now)
+		w.reportUsageIfDue(id, a, now)
 	}
 	close(w.thawed)
 }
 
-// Violations lists what callers asked for that a worker must never be asked for.
+// Violations returns the requests that callers must never send to a worker.
 func (w *Worker) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/worker/handler.go
+++ b/standin/worker/handler.go
@@ -11,14 +11,14 @@
 	"turmericgap/worker/web"
 )
 
-// Paths of the stand-in itself.
+// Paths that control the stand-in.
 const (
 	FaultPath   = "/fault"
 	RestartPath = "/restart"
 	StatePath   = "/state"
 )
 
-// State is what tests may read of a worker.
+// State is the state of a worker that tests inspect.
 type State struct {
 	Info       worker.Info       `json:"info"`
 	Boot       string            `json:"boot"`
@@ -32,12 +32,12 @@
 	Attempts   map[string]string `json:"attempts"`
 }
 
-// State gives what tests may read.
+// State returns the state that tests inspect.
 func (w *Worker) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := State{
-		Info: w.opts.Info, Boot: w.boot, Used: w.used, Starts: w.starts, Kept: len(w.attempts), Forgotten: len(w.forgotten.state),
+		Info: w.opts.Info, Boot: w.boot, Used: w.used, Starts: w.starts, Kept: len(w.attempts), Forgotten: len(w.forgotten.states),
 		Fault: w.fault, Violations: append([]string{}, w.violations...), Attempts: make(map[string]string),
 	}
 	for id, a := range w.attempts {
@@ -49,7 +49,7 @@
 	return s
 }
 
-// Handler serves the worker over HTTP.
+// Handler returns an HTTP handler for the worker and the requests that control it.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	endpoint.Post(mux, web.StartPath, worker.ErrRefused, func(ctx context.Context, in *worker.Start) (any, error) {
--- a/standin/worker/options.go
+++ b/standin/worker/options.go
@@ -8,34 +8,34 @@
 	"turmericgap/worker"
 )
 
-// Options are what a Worker is made of.
+// Options configure a Worker.
 type Options struct {
 	Info worker.Info
-	// RunTime is how long a task runs whose start does not say and whose class is not in Classes.
+	// RunTime is the run time of tasks whose start does not set one and whose class is not in ClassRunTimes.
 	RunTime time.Duration
-	// ClassRunTimes tells the true run times of classes, whatever their starts say.
+	// ClassRunTimes holds actual run times by class; they override those of the starts.
 	ClassRunTimes map[string]time.Duration
-	// Usage tells what a task truly uses.
+	// Usage returns the actual usage of a task.
 	Usage func(*worker.Start) job.Resources
-	// Answer makes the body of a task's answer.
+	// Answer returns the body of a task's answer.
 	Answer func(s *worker.Start, exit int) []byte
-	// UsageLag is how late usage is reported.
+	// UsageLag is the delay of the usage report after a start.
 	UsageLag time.Duration
-	// RejectInvalid refuses starts of older epochs and starts that do not fit.
+	// RejectInvalid rejects calls with an older epoch and starts that exceed the capacity.
 	RejectInvalid bool
-	// TaskOf gives the task of an attempt; two attempts of one task at a time are a violation.
+	// TaskOf returns the task of an attempt; two concurrent attempts of a task are a violation.
 	TaskOf func(attempt string) string
-	// Record hears what happens, under the worker's lock.
+	// Record receives all events; it is called with the worker's lock held.
 	Record func(history.Event)
 }
 
-// Option sets up a Worker.
+// Option configures a Worker.
 type Option func(*Options)
 
-// RunTime sets how long a task runs that does not say.
+// RunTime sets the run time of tasks whose start does not set one.
 func RunTime(d time.Duration) Option { return func(o *Options) { o.RunTime = d } }
 
-// ClassRunTime sets the true run time of a class.
+// ClassRunTime sets the actual run time of a class.
 func ClassRunTime(class string, d time.Duration) Option {
 	return func(o *Options) {
 		if o.ClassRunTimes == nil {
@@ -45,22 +45,22 @@
 	}
 }
 
-// Usage sets what a task truly uses.
+// Usage sets the function that returns the actual usage of a task.
 func Usage(f func(*worker.Start) job.Resources) Option { return func(o *Options) { o.Usage = f } }
 
-// Answer sets the body of a task's answer.
+// Answer sets the function that returns the body of a task's answer.
 func Answer(f func(s *worker.Start, exit int) []byte) Option {
 	return func(o *Options) { o.Answer = f }
 }
 
-// UsageLag sets how late usage is reported.
+// UsageLag sets the delay of the usage report after a start.
 func UsageLag(d time.Duration) Option { return func(o *Options) { o.UsageLag = d } }
 
-// RejectInvalid refuses starts of older epochs and starts that do not fit.
+// RejectInvalid makes the worker reject calls with an older epoch and starts that exceed its capacity.
 func RejectInvalid() Option { return func(o *Options) { o.RejectInvalid = true } }
 
-// TaskOf sets how the task of an attempt is found.
+// TaskOf sets the function that returns the task of an attempt.
 func TaskOf(f func(attempt string) string) Option { return func(o *Options) { o.TaskOf = f } }
 
-// Record sets who hears what happens.
+// Record sets the function that receives all events.
 func Record(f func(history.Event)) Option { return func(o *Options) { o.Record = f } }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -12,52 +12,53 @@
 
 // Defaults.
 const (
-	// DefaultRunTime is how long a batch task runs when its start does not say.
+	// DefaultRunTime is the run time of a batch task whose start does not set one.
 	DefaultRunTime = 50 * time.Millisecond
-	// DefaultUsageLag is how late usage is reported.
+	// DefaultUsageLag is the delay of the usage report after a start.
 	DefaultUsageLag = time.Second
-	// MaxForgotten and ForgottenFor bound the memory of forgotten attempts.
+	// MaxForgotten and ForgottenRetention limit how many forgotten attempts are remembered, and for how long.
 	MaxForgotten       = 4096
 	ForgottenRetention = 10 * time.Minute
-	// MaxReplyBytes is about how many bytes of answers one heartbeat's reply holds.
+	// MaxReplyBytes is the approximate limit for answers in a heartbeat reply; the last answer may exceed it.
 	MaxReplyBytes = 1 << 20
 
 	maxEverStarted = 1 << 16
 	maxViolations  = 256
 	maxWait        = 30 * time.Second
 	maxFrozenCalls = 1024
-	noAnswerExit   = 1
+	failedExitCode = 1
 )
 
-// Worker is one worker that exists only in memory.
+// Worker is an in-memory worker.
 type Worker struct {
 	opts Options
-	// cuts is that of the client within the process.
-	cuts worker.CutReplies
+	// cutReplies belongs to the in-process client.
+	cutReplies worker.CutReplies
 
 	mu   sync.Mutex
 	boot string
-	// seq numbers the changes; it never falls, so that a cursor of an earlier boot is recognized.
+	// seq numbers the changes. It never decreases, even over restarts, so that cursors from before a restart are
+	// recognized.
 	seq       int64
 	firstSeq  int64
 	attempts  map[string]*attempt
-	forgotten memory
+	forgotten attemptStates
 	used      job.Resources
 	epoch     int64
 	fault     Fault
 	changed   chan struct{}
 	thawed    chan struct{}
-	waiting   int
+	inFlight  int
 	closed    bool
 	calls     sync.WaitGroup
 
-	// What follows outlives a restart: it is the judge's, not the worker's.
-	ever       memory
-	starts     int64
-	violations []string
+	// The following fields serve the checks of tests and survive a restart.
+	everStarted attemptStates
+	starts      int64
+	violations  []string
 }
 
-// attempt is one run of one task.
+// attempt is an attempt to run a task.
 type attempt struct {
 	start      worker.Start
 	state      worker.State
@@ -66,18 +67,18 @@
 	usageDue   time.Time
 	checkpoint []byte
 	millicores int64
-	began      time.Time
-	expires    time.Time
-	ends       time.Time
-	end        *time.Timer
-	lapse      *time.Timer
+	startedAt  time.Time
+	leaseEnd   time.Time
+	endsAt     time.Time
+	endTimer   *time.Timer
+	leaseTimer *time.Timer
 	seq        int64
 }
 
-// New returns a worker that has what info says and guards nothing.
+// New returns a worker that is described by info and by default rejects no start.
 func New(info worker.Info, opts ...Option) *Worker {
 	o := Options{
-		Info: info, RunTime: DefaultRunTime, UsageLag: DefaultUsageLag, Usage: useAll, Answer: say,
+		Info: info, RunTime: DefaultRunTime, UsageLag: DefaultUsageLag, Usage: declaredUsage, Answer: defaultAnswer,
 		Record: func(history.Event) {},
 	}
 	for _, f := range opts {
@@ -85,37 +86,37 @@
 	}
 	w := &Worker{opts: o, changed: make(chan struct{}), thawed: make(chan struct{})}
 	close(w.thawed)
-	w.ever = newMemory(maxEverStarted, 0)
-	w.begin()
+	w.everStarted = newAttemptStates(maxEverStarted, 0)
+	w.startBoot()
 	o.Record(history.Event{At: time.Now(), Kind: history.WorkerHas, Worker: info.ID, Resources: info.Has})
 	return w
 }
 
-func useAll(s *worker.Start) job.Resources { return s.Each }
+func declaredUsage(s *worker.Start) job.Resources { return s.Each }
 
-// say is the default answer.
-func say(s *worker.Start, exit int) []byte {
+// defaultAnswer is the default for Options.Answer.
+func defaultAnswer(s *worker.Start, exit int) []byte {
 	if exit != 0 {
 		return []byte(s.Class + " failed attempt " + s.Attempt)
 	}
 	return []byte(s.Class + " done attempt " + s.Attempt)
 }
 
-// begin starts a boot without any memory of attempts.
-func (w *Worker) begin() {
+// startBoot begins a new boot without attempts.
+func (w *Worker) startBoot() {
 	w.boot = rand.Text()
 	w.seq = max(w.seq+1, time.Now().UnixNano())
 	w.firstSeq = w.seq
 	w.attempts = make(map[string]*attempt)
-	w.forgotten = newMemory(MaxForgotten, ForgottenRetention)
+	w.forgotten = newAttemptStates(MaxForgotten, ForgottenRetention)
 	w.used = job.Resources{}
 	w.epoch = 0
 }
 
-// Info gives the worker's entry in the VM list.
+// Info returns the worker's entry for the VM list.
 func (w *Worker) Info() worker.Info { return w.opts.Info }
 
-// Restart ends everything that runs and loses all memory of attempts, as a reboot does.
+// Restart ends and forgets all attempts, as a reboot does.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,11 +126,11 @@
 			w.record(history.Ended, id, a, time.Now())
 		}
 	}
-	w.begin()
-	w.wake()
+	w.startBoot()
+	w.wakeWaiters()
 }
 
-// Close ends all timers and waits until all calls have returned.
+// Close stops all timers and waits until all calls have returned.
 func (w *Worker) Close() {
 	w.SetFault(Fault{})
 	w.mu.Lock()
@@ -137,30 +138,30 @@
 	for _, a := range w.attempts {
 		w.stopTimers(a)
 	}
-	w.wake()
+	w.wakeWaiters()
 	w.mu.Unlock()
 	w.calls.Wait()
 }
 
 func (w *Worker) stopTimers(a *attempt) {
-	for _, t := range []*time.Timer{a.end, a.lapse} {
+	for _, t := range []*time.Timer{a.endTimer, a.leaseTimer} {
 		if t != nil {
 			t.Stop()
 		}
 	}
 }
 
-// wake ends the waits of all heartbeats.
-func (w *Worker) wake() {
+// wakeWaiters wakes all waiting heartbeats.
+func (w *Worker) wakeWaiters() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// touch marks the attempt as changed.
-func (w *Worker) touch(a *attempt) {
+// markChanged gives the attempt a new sequence number and wakes all waiting heartbeats.
+func (w *Worker) markChanged(a *attempt) {
 	w.seq++
 	a.seq = w.seq
-	w.wake()
+	w.wakeWaiters()
 }
 
 func (w *Worker) record(kind history.Kind, id string, a *attempt, at time.Time) {
@@ -169,7 +170,7 @@
 	})
 }
 
-func (w *Worker) violate(reason string) {
+func (w *Worker) addViolation(reason string) {
 	if len(w.violations) < maxViolations {
 		w.violations = append(w.violations, reason)
 	}
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -25,15 +25,15 @@
 
 var info = worker.Info{ID: "w", Has: job.Resources{Millicores: 4000, MemoryMB: 4000, Accelerators: 1}}
 
-// A worker with guards takes starts, repeats, stops and forgets in any order, freezes and restarts.
-// What it used is always the sum of what runs, and the judge finds neither overfilling nor a task
-// that ran twice at a time; repeats of an attempt after a restart are told as what they are.
+// Guards against accounting errors after starts, repeats, stops and forgets in any order, and after freezes. The
+// usage must be the sum of the running attempts, and the checker must find neither an exceeded capacity nor
+// concurrent attempts of a task.
 func TestAnyOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// rapid asks for the deadline of its test, which a paused clock has not.
+		// The struct hides T.Deadline from rapid, since it must not be called in a synctest bubble.
 		rapid.Check(struct{ rapid.TB }{t}, func(t *rapid.T) {
-			judge := history.New()
-			w := New(info, RejectInvalid(), Record(judge.Record))
+			checker := history.New()
+			w := New(info, RejectInvalid(), Record(checker.Record))
 			defer w.Close()
 			for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 				id := fmt.Sprintf("j%d/0/%d", rapid.IntRange(0, 5).Draw(t, "job"), w.State().Starts)
@@ -48,10 +48,10 @@
 				}
 				w.mu.Unlock()
 				if s := w.State(); s.Used != running || s.Kept > i+1 {
-					t.Fatalf("uses %+v, runs %+v, keeps %d", s.Used, running, s.Kept)
+					t.Fatalf("worker reports usage %+v, running attempts use %+v, %d attempts are kept", s.Used, running, s.Kept)
 				}
 			}
-			for _, f := range judge.Check() {
+			for _, f := range checker.Check() {
 				if f.Place == "worker w" {
 					t.Fatal(f)
 				}
@@ -79,25 +79,24 @@
 	}
 }
 
-// Two starts of one worker without guards are more than it holds: the judge sees what it recorded.
-func TestJudgeHearsWorker(t *testing.T) {
+// Guards against events that do not reach the checker: two starts that exceed the capacity of a worker must be found.
+func TestCheckerReceivesEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		judge := history.New()
-		w := New(info, Record(judge.Record))
+		checker := history.New()
+		w := New(info, Record(checker.Record))
 		defer w.Close()
 		for _, id := range []string{"j1/0/1", "j2/0/1"} {
 			_, err := w.Start(t.Context(), &worker.Start{Attempt: id, Each: job.Resources{Millicores: 3000}})
 			is.NoErr(err)
 		}
-		is.Equal(len(judge.Check()), 1)
-		is.Equal(judge.Check()[0].Place, "worker w")
+		is.Equal(len(checker.Check()), 1)
+		is.Equal(checker.Check()[0].Place, "worker w")
 	})
 }
 
-// The worker's process is paused until after the lease, and wakes with a renewal in its queue that
-// is read before the lease's timer runs. The owner has given the attempt up by then.
-// The renewal must end the attempt instead of reviving it.
+// Guards against a renewal that revives an expired attempt. It happens if a process is paused beyond the lease and
+// then reads a queued renewal before the timer of the lease runs; the owner has given the attempt up by then.
 func TestRenewalBeforeLateTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,7 +105,7 @@
 		_, err := w.Start(t.Context(), &worker.Start{Attempt: "j/0/1", Service: true, LeaseMillis: 1000})
 		is.NoErr(err)
 		w.mu.Lock()
-		w.attempts["j/0/1"].lapse.Stop()
+		w.attempts["j/0/1"].leaseTimer.Stop()
 		w.mu.Unlock()
 		time.Sleep(time.Second)
 		h, err := w.Heartbeat(t.Context(), &worker.Heartbeat{LeaseMillis: 1000})
