--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -17,78 +17,78 @@
 )
 
 const (
-	// callDeadline is how long a caller waits for an answer, tries how often it hands a work in, tryPause
-	// what is between two tries.
+	// callDeadline is the timeout of a call.
 	callDeadline = 3 * time.Second
-	tries        = 5
-	tryPause     = 400 * time.Millisecond
-	// pollPause is what is between two questions for a work's state.
-	pollPause = 250 * time.Millisecond
+	// maxTries is the maximum number of attempts to submit a work, retryDelay the minimum delay between them.
+	maxTries   = 5
+	retryDelay = 400 * time.Millisecond
+	// pollInterval is the interval at which the state of a work is read.
+	pollInterval = 250 * time.Millisecond
 )
 
-// callers hand works in and follow them.
+// callers submit works and poll their states.
 type callers struct {
 	cell   *Cell
 	caller platform.Caller
 	wg     sync.WaitGroup
 	mu     sync.Mutex
 	calls  []*call
-	// until ends the following of what does not end.
-	until time.Time
+	// deadline is when callers stop polling works that have not ended.
+	deadline time.Time
 }
 
-// call is one work as its caller sees it.
+// call is a work as its caller sees it.
 type call struct {
 	work *job.Work
-	// accepted, refused and open say how it was answered: open means that no answer was final.
-	accepted, refused, open bool
-	state                   job.WorkState
-	// took is the time from the first try to a final state.
-	took time.Duration
+	// accepted and refused are final answers to a submission; unknown is set if a submission had none.
+	accepted, refused, unknown bool
+	state                      job.WorkState
+	// latency is the time from the first submission to a final state.
+	latency time.Duration
 }
 
 func newCallers(c *Cell) *callers {
-	// Connections are kept and used until the process behind them is gone.
+	// Idle connections are kept, so that calls also use connections to processes that have failed since.
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	return &callers{cell: c, caller: platform.Caller{Client: &http.Client{Transport: transport}, Deadline: callDeadline}}
 }
 
-// boot waits until a first work is done.
-func (s *callers) boot() error {
-	w := s.cell.draw(rand.New(rand.NewPCG(0, s.cell.o.Seed)), -1)
-	for deadline := time.Now().Add(bootWithin); time.Now().Before(deadline); time.Sleep(pollPause) {
-		if s.caller.Submit(s.cell.o.Context, s.cell.vms[0].callers, w) != nil {
+// awaitFirstWork waits until the cell has completed a first work.
+func (s *callers) awaitFirstWork() error {
+	w := s.cell.newWork(rand.New(rand.NewPCG(0, s.cell.opts.Seed)), -1)
+	for deadline := time.Now().Add(bootTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if s.caller.Submit(s.cell.opts.Context, s.cell.vms[0].callers, w) != nil {
 			continue
 		}
-		if state, err := s.caller.State(s.cell.o.Context, s.cell.vms[0].callers, &w.Queue, w.ID); err == nil && state == job.WorkCompleted {
+		if state, err := s.caller.State(s.cell.opts.Context, s.cell.vms[0].callers, &w.Queue, w.ID); err == nil && state == job.WorkCompleted {
 			return nil
 		}
 	}
-	return fmt.Errorf("the cell does not serve a first work within %v; see %s", bootWithin, s.cell.o.Dir)
+	return fmt.Errorf("the cell does not serve a first work within %v; see %s", bootTimeout, s.cell.opts.Dir)
 }
 
-// run hands works in until the time is over.
-func (s *callers) run(r *rand.Rand) {
-	s.until = time.Now().Add(s.cell.o.Lasts + settleWithin)
-	tick := time.NewTicker(time.Second / time.Duration(s.cell.o.Rate))
+// submitAll submits works at a constant rate for the duration of the run.
+func (s *callers) submitAll(r *rand.Rand) {
+	s.deadline = time.Now().Add(s.cell.opts.Duration + settleTimeout)
+	tick := time.NewTicker(time.Second / time.Duration(s.cell.opts.Rate))
 	defer tick.Stop()
-	for end := time.Now().Add(s.cell.o.Lasts); time.Now().Before(end); <-tick.C {
-		c := &call{work: s.cell.draw(r, len(s.calls))}
+	for end := time.Now().Add(s.cell.opts.Duration); time.Now().Before(end); <-tick.C {
+		c := &call{work: s.cell.newWork(r, len(s.calls))}
 		s.mu.Lock()
 		s.calls = append(s.calls, c)
 		s.mu.Unlock()
-		own := rand.New(rand.NewPCG(r.Uint64(), 0))
-		s.wg.Go(func() { s.serve(c, own) })
+		callRand := rand.New(rand.NewPCG(r.Uint64(), 0))
+		s.wg.Go(func() { s.submitAndFollow(c, callRand) })
 	}
 }
 
-func (s *callers) any(r *rand.Rand) string { return s.cell.vms[r.IntN(len(s.cell.vms))].callers }
+func (s *callers) randomVM(r *rand.Rand) string { return s.cell.vms[r.IntN(len(s.cell.vms))].callers }
 
-// serve hands one work in, and follows it if it may have been accepted.
-func (s *callers) serve(c *call, r *rand.Rand) {
-	begun := time.Now()
-	for range tries {
-		err := s.caller.Submit(s.cell.o.Context, s.any(r), c.work)
+// submitAndFollow submits a work and polls its state if it may have been accepted.
+func (s *callers) submitAndFollow(c *call, r *rand.Rand) {
+	start := time.Now()
+	for range maxTries {
+		err := s.caller.Submit(s.cell.opts.Context, s.randomVM(r), c.work)
 		var refused *platform.RefusedError
 		switch {
 		case err == nil:
@@ -96,43 +96,43 @@
 		case errors.As(err, &refused):
 			c.refused = true
 		default:
-			c.open = true
+			c.unknown = true
 		}
 		if c.accepted {
 			break
 		}
-		time.Sleep(tryPause + time.Duration(r.IntN(200))*time.Millisecond)
+		time.Sleep(retryDelay + time.Duration(r.IntN(200))*time.Millisecond)
 	}
-	if !c.accepted && !c.open {
+	if !c.accepted && !c.unknown {
 		return
 	}
-	for time.Now().Before(s.until) && s.cell.o.Context.Err() == nil {
-		state, err := s.caller.State(s.cell.o.Context, s.any(r), &c.work.Queue, c.work.ID)
+	for time.Now().Before(s.deadline) && s.cell.opts.Context.Err() == nil {
+		state, err := s.caller.State(s.cell.opts.Context, s.randomVM(r), &c.work.Queue, c.work.ID)
 		if errors.Is(err, platform.ErrNoWork) && !c.accepted {
 			return
 		}
 		if errors.Is(err, platform.ErrNoWork) {
-			s.cell.find(c.work.ID + " was accepted and is said not to be known")
+			s.cell.addFinding(c.work.ID + " was accepted and is said not to be known")
 		}
 		if err == nil {
 			c.state = state
 		}
 		if c.state == job.WorkCompleted {
-			s.complete(c)
+			s.checkCompleted(c)
 		}
 		if c.state.Final() {
-			c.took = time.Since(begun)
+			c.latency = time.Since(start)
 			return
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// complete checks that all tasks of a work that is shown as completed are done.
-func (s *callers) complete(c *call) {
+// checkCompleted checks that all tasks of a work are done once its state is completed.
+func (s *callers) checkCompleted(c *call) {
 	done := make(map[worker.Task]bool)
 	gangs := make(map[int]bool)
-	for _, run := range s.cell.floor.History() {
+	for _, run := range s.cell.cluster.History() {
 		if run.Task.Work == c.work.ID && run.Ending == worker.EndingDone {
 			done[run.Task] = true
 			gangs[run.Task.Step] = true
@@ -141,16 +141,16 @@
 	for i := range c.work.Steps {
 		for k := range c.work.Steps[i].Tasks {
 			t := worker.Task{Work: c.work.ID, Step: i, Index: k}
-			one := done[t] || c.work.Steps[i].Gang && gangs[i] // one member's end stands for all
-			if !one {
-				s.cell.find(fmt.Sprint("shown as completed with a task that is not done: ", t))
+			taskDone := done[t] || c.work.Steps[i].Gang && gangs[i] // a gang is done as soon as one member is
+			if !taskDone {
+				s.cell.addFinding(fmt.Sprint("shown as completed with a task that is not done: ", t))
 			}
 		}
 	}
 }
 
-// usedUp reports whether a task of a work, or one of its gangs, has failed as often as it may.
-func usedUp(w *job.Work, history []floor.Run) bool {
+// attemptsExhausted reports whether a task or gang of a work has used all its attempts.
+func attemptsExhausted(w *job.Work, history []floor.Run) bool {
 	type attempt struct {
 		task worker.Task
 		run  int64
@@ -163,7 +163,7 @@
 		}
 		t := r.Task
 		if w.Steps[t.Step].Gang {
-			t.Index = 0 // a run of a gang fails once, whoever of its members did
+			t.Index = 0 // a failed run of a gang counts once, whichever members failed
 		}
 		if a := (attempt{t, r.Number}); !failed[a] {
 			failed[a] = true
@@ -178,9 +178,9 @@
 	return false
 }
 
-// settle waits for all callers.
-func (s *callers) settle() {
-	ctx, cancel := context.WithDeadline(s.cell.o.Context, s.until.Add(2*callDeadline))
+// awaitCalls waits until all calls have ended or the deadline has passed.
+func (s *callers) awaitCalls() {
+	ctx, cancel := context.WithDeadline(s.cell.opts.Context, s.deadline.Add(2*callDeadline))
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
@@ -193,10 +193,10 @@
 	}
 }
 
-// served tells how the works of a queue were served.
-func (s *callers) served(queue string) Queue {
-	q := Queue{Name: queue}
-	var took []time.Duration
+// queueStats returns the statistics of a queue.
+func (s *callers) queueStats(queue string) QueueStats {
+	q := QueueStats{Name: queue}
+	var latencies []time.Duration
 	for _, c := range s.calls {
 		if c.work.Queue.Name != queue {
 			continue
@@ -204,47 +204,47 @@
 		q.Works++
 		if c.state == job.WorkCompleted {
 			q.Completed++
-			took = append(took, c.took)
+			latencies = append(latencies, c.latency)
 		}
 	}
-	slices.Sort(took)
-	if n := len(took); n > 0 {
-		q.Median, q.Worst = took[n/2], took[n-1]
+	slices.Sort(latencies)
+	if n := len(latencies); n > 0 {
+		q.Median, q.Worst = latencies[n/2], latencies[n-1]
 	}
 	return q
 }
 
-// judge fills the report.
-func (s *callers) judge(rep *Report) {
+// fillReport checks what the callers saw against the history of the workers, and fills the report.
+func (s *callers) fillReport(rep *Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	begun := make(map[string]bool)
-	history := s.cell.floor.History()
+	started := make(map[string]bool)
+	history := s.cell.cluster.History()
 	for _, r := range history {
-		begun[r.Task.Work] = true
+		started[r.Task.Work] = true
 	}
-	rep.Handed, rep.Runs = len(s.calls), len(history)
+	rep.Submitted, rep.Runs = len(s.calls), len(history)
 	for _, c := range s.calls {
 		switch {
 		case c.accepted:
 			rep.Accepted++
-			rightly := c.state == job.WorkCompleted || c.state == job.WorkFailed && usedUp(c.work, history)
-			if !rightly {
-				s.cell.find(fmt.Sprintf("%s (%s) was accepted and is shown as %q in the end", c.work.ID, c.work.Queue.Name, c.state))
+			valid := c.state == job.WorkCompleted || c.state == job.WorkFailed && attemptsExhausted(c.work, history)
+			if !valid {
+				s.cell.addFinding(fmt.Sprintf("%s (%s) was accepted and is shown as %q in the end", c.work.ID, c.work.Queue.Name, c.state))
 			}
-		case c.open:
-			rep.Open++
+		case c.unknown:
+			rep.Unknown++
 		default:
 			rep.Refused++
-			if begun[c.work.ID] {
-				s.cell.find(c.work.ID + " was refused at every try and has run")
+			if started[c.work.ID] {
+				s.cell.addFinding(c.work.ID + " was refused at every try and has run")
 			}
 		}
 	}
 	for i := range s.cell.queues {
-		rep.Queues = append(rep.Queues, s.served(s.cell.queues[i].Name))
+		rep.Queues = append(rep.Queues, s.queueStats(s.cell.queues[i].Name))
 	}
 	s.cell.mu.Lock()
 	defer s.cell.mu.Unlock()
-	rep.Findings = append(s.cell.found, s.cell.floor.Violations()...)
+	rep.Findings = append(s.cell.findings, s.cell.cluster.Violations()...)
 }
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -18,9 +18,9 @@
 	"turmericgap/worker"
 )
 
-// Ports of each VM and of the stand-ins, each on an IP number of the loopback interface of its own.
+// Ports of the VMs and stand-ins. Each of them has its own loopback address.
 const (
-	portCallers = 7801 + iota
+	portIngress = 7801 + iota
 	portReady
 	portPeers
 	portMetrics
@@ -28,52 +28,52 @@
 )
 
 const (
-	// mostHold is the longest lease that the workers grant: short, so that lapses are part of each run.
-	mostHold = 4 * time.Second
-	// lapseOfEntry is how long after a crash a worker's entry is removed.
-	lapseOfEntry = 4500 * time.Millisecond
+	// maxHold is the longest lease of the workers; it is short so that leases expire in each run.
+	maxHold = 4 * time.Second
+	// entryRemovalDelay is the delay between a crash of a worker and the removal of its entry from the store.
+	entryRemovalDelay = 4500 * time.Millisecond
 )
 
-// Cell is a whole cell on one machine: stand-ins of the platform in this process, entry VMs as processes of
-// their own, and links between them.
+// Cell is a cell on one machine: stand-ins of the platform run in this process, entry VMs run in processes of their
+// own, and proxies connect them.
 type Cell struct {
-	o       *Options
+	opts    *Options
 	standin *platform.Standin
-	floor   *floor.Cluster
+	cluster *floor.Cluster
 	vms     []*vm
-	workers []*slot
+	workers []*workerSlot
 	closers []func()
 	queues  []job.Queue
 
-	mu    sync.Mutex
-	works map[string]*job.Work
-	found []string
+	mu       sync.Mutex
+	works    map[string]*job.Work
+	findings []string
 }
 
-// vm is an entry VM with its links to the platform.
+// vm is an entry VM with its proxies to the platform.
 type vm struct {
 	process        *Process
 	callers        string
-	store, permits *Link
+	store, permits *Proxy
 }
 
-// slot is the place of a worker: one lifetime after the other at the same address.
-type slot struct {
+// workerSlot is an address that hosts successive instances of a worker.
+type workerSlot struct {
 	cell    *Cell
 	name    string
-	link    *Link
+	proxy   *Proxy
 	handler atomic.Pointer[http.Handler]
 
-	mu   sync.Mutex
-	life int
-	now  *floor.Worker
+	mu        sync.Mutex
+	instances int
+	current   *floor.Worker
 }
 
 // NewCell starts a cell.
 func NewCell(o *Options) (*Cell, error) {
-	c := &Cell{o: o, standin: platform.NewStandin(), works: make(map[string]*job.Work), queues: queues()}
-	c.floor = floor.New(c.behave)
-	c.standin.AllowWorkers = func(q *permit.Request) []string { return allowed(q.Work, q.Workers) }
+	c := &Cell{opts: o, standin: platform.NewStandin(), works: make(map[string]*job.Work), queues: queues()}
+	c.cluster = floor.New(c.behave)
+	c.standin.AllowWorkers = func(q *permit.Request) []string { return allowedWorkers(q.Work, q.Workers) }
 	if err := c.build(); err != nil {
 		c.Close()
 		return nil, err
@@ -90,11 +90,11 @@
 	}
 }
 
-// allowed lets a step run on two of three workers, always the same.
-func allowed(step string, workers []string) []string {
+// allowedWorkers allows a step on about two thirds of the workers, always the same ones.
+func allowedWorkers(step string, workers []string) []string {
 	var out []string
 	for _, id := range workers {
-		if hash(step, id)%3 > 0 {
+		if hashOf(step, id)%3 > 0 {
 			out = append(out, id)
 		}
 	}
@@ -113,12 +113,12 @@
 	if err := c.Configure(1); err != nil {
 		return err
 	}
-	for i := range c.o.Workers {
+	for i := range c.opts.Workers {
 		if err := c.addWorker(i); err != nil {
 			return err
 		}
 	}
-	for i := range c.o.VMs {
+	for i := range c.opts.VMs {
 		if err := c.addVM(i, storeAt, permitsAt); err != nil {
 			return err
 		}
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// address gives a place on the loopback interface; host 0 is that of the stand-ins.
+// address returns a loopback address; host 0 belongs to the stand-ins.
 func (c *Cell) address(host, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", c.o.Net/256, c.o.Net%256, host+1, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", c.opts.Net/256, c.opts.Net%256, host+1, port)
 }
 
 func (c *Cell) serve(address string, h http.Handler) (string, error) {
@@ -137,20 +137,20 @@
 		return "", err
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	c.closers = append(c.closers, func() { _ = s.Close() })
 	return l.Addr().String(), nil
 }
 
-func (c *Cell) link(listen, target string) (*Link, error) {
-	k, err := NewLink(listen, target)
+func (c *Cell) newProxy(listen, target string) (*Proxy, error) {
+	p, err := NewProxy(listen, target)
 	if err == nil {
-		c.closers = append(c.closers, k.Close)
+		c.closers = append(c.closers, p.Close)
 	}
-	return k, err
+	return p, err
 }
 
-// Configure puts a version of the configuration in force.
+// Configure stores a version of the configuration.
 func (c *Cell) Configure(version int64) error {
 	raw, err := platform.EncodeConfig(&job.Config{Version: version, Queues: c.queues})
 	if err != nil {
@@ -160,38 +160,38 @@
 }
 
 func (c *Cell) put(op store.Op) error {
-	_, err := c.standin.KV.Store().Txn(c.o.Context, store.Txn{Then: []store.Op{op}})
+	_, err := c.standin.KV.Store().Txn(c.opts.Context, store.Txn{Then: []store.Op{op}})
 	return err
 }
 
 func (c *Cell) addWorker(i int) error {
-	w := &slot{cell: c, name: fmt.Sprintf("w%02d", i)}
-	none := http.NotFoundHandler()
-	w.handler.Store(&none)
-	at, err := c.serve(c.address(100+i, portStandin), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w := &workerSlot{cell: c, name: fmt.Sprintf("w%02d", i)}
+	notFound := http.NotFoundHandler()
+	w.handler.Store(&notFound)
+	address, err := c.serve(c.address(100+i, portStandin), http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		(*w.handler.Load()).ServeHTTP(rw, r)
 	}))
 	if err != nil {
 		return err
 	}
-	if w.link, err = c.link(c.address(100+i, portStandin+1), at); err != nil {
+	if w.proxy, err = c.newProxy(c.address(100+i, portStandin+1), address); err != nil {
 		return err
 	}
 	c.workers = append(c.workers, w)
-	return w.begin()
+	return w.startInstance()
 }
 
-// begin starts a new lifetime of a worker.
-func (w *slot) begin() error {
+// startInstance starts a new instance of the worker.
+func (w *workerSlot) startInstance() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.life++
+	w.instances++
 	info := worker.Info{
-		ID: fmt.Sprintf("%s-%d", w.name, w.life), Address: w.link.Address(), Zone: "kochi-hall", Rack: "r1",
+		ID: fmt.Sprintf("%s-%d", w.name, w.instances), Address: w.proxy.Address(), Zone: "kochi-hall", Rack: "r1",
 		Has: job.Resources{Millicores: 8000, MemoryMB: 32000},
 	}
-	w.now = w.cell.floor.Add(info)
-	h := platform.WorkerHandler(info.ID, w.cell.floor.Client(info))
+	w.current = w.cell.cluster.Add(info)
+	h := platform.WorkerHandler(info.ID, w.cell.cluster.Client(info))
 	w.handler.Store(&h)
 	key, raw, err := platform.EncodeWorker(&worker.Listing{Info: info, Pool: "desk", Labels: []string{"a", "r1"}})
 	if err != nil {
@@ -200,32 +200,32 @@
 	return w.cell.put(store.Op{Key: key, Value: raw})
 }
 
-// crash ends the present lifetime, and begins another one after a while.
-func (w *slot) crash(after time.Duration) {
+// crash crashes the current instance and starts another one after the delay.
+func (w *workerSlot) crash(restartDelay time.Duration) {
 	w.mu.Lock()
-	old := w.now
+	old := w.current
 	w.mu.Unlock()
 	old.Crash(false)
 	key := platform.WorkersPrefix + old.Info().ID
-	time.AfterFunc(lapseOfEntry, func() { w.cell.note(w.cell.put(store.Op{Delete: true, Key: key})) })
-	time.AfterFunc(after, func() { w.cell.note(w.begin()) })
+	time.AfterFunc(entryRemovalDelay, func() { w.cell.addError(w.cell.put(store.Op{Delete: true, Key: key})) })
+	time.AfterFunc(restartDelay, func() { w.cell.addError(w.startInstance()) })
 }
 
-// worker gives the present lifetime.
-func (w *slot) worker() *floor.Worker {
+// currentWorker returns the current instance.
+func (w *workerSlot) currentWorker() *floor.Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.now
+	return w.current
 }
 
 func (c *Cell) addVM(i int, storeAt, permitsAt string) error {
 	host := i + 1
-	v := &vm{callers: c.address(host, portCallers)}
+	v := &vm{callers: c.address(host, portIngress)}
 	var err error
-	if v.store, err = c.link(c.address(host, portStandin), storeAt); err != nil {
+	if v.store, err = c.newProxy(c.address(host, portStandin), storeAt); err != nil {
 		return err
 	}
-	if v.permits, err = c.link(c.address(host, portStandin+1), permitsAt); err != nil {
+	if v.permits, err = c.newProxy(c.address(host, portStandin+1), permitsAt); err != nil {
 		return err
 	}
 	name := fmt.Sprintf("vm%d", host)
@@ -236,41 +236,41 @@
 	raw, err := platform.EncodeSettings(&platform.Settings{
 		ID: name, Zone: "kochi-hall", Callers: v.callers, Ready: c.address(host, portReady), Fresh: true,
 		Store: v.store.Address(), Permits: v.permits.Address(), Cloud: v.store.Address(),
-		MostHold: mostHold, StopWithin: 200 * time.Millisecond, GangWithin: 3 * time.Second, Contact: 3 * time.Second,
+		MostHold: maxHold, StopWithin: 200 * time.Millisecond, GangWithin: 3 * time.Second, Contact: 3 * time.Second,
 		KeepEnded: 2 * time.Minute, ShutdownWithin: 6 * time.Second, Millicores: 400, LinkMbps: 1000,
 	}, ip, portPeers)
 	if err != nil {
 		return err
 	}
-	settings := filepath.Join(c.o.Dir, name+".json")
+	settings := filepath.Join(c.opts.Dir, name+".json")
 	if err := os.WriteFile(settings, raw, 0o600); err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(c.o.Dir, name+".log"))
+	log, err := os.Create(filepath.Join(c.opts.Dir, name+".log"))
 	if err != nil {
 		return err
 	}
-	v.process = &Process{name: name, program: c.o.Program, settings: settings, log: log, found: c.find}
+	v.process = &Process{name: name, program: c.opts.Program, settings: settings, log: log, onFinding: c.addFinding}
 	v.process.start()
 	c.vms = append(c.vms, v)
 	return nil
 }
 
-// find notes something that is wrong.
-func (c *Cell) find(what string) {
+// addFinding records a violation.
+func (c *Cell) addFinding(finding string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.found = append(c.found, what)
+	c.findings = append(c.findings, finding)
 }
 
-// note notes an error of the soak's own.
-func (c *Cell) note(err error) {
-	if err != nil && c.o.Context.Err() == nil {
-		c.find("the soak itself: " + err.Error())
+// addError records an error of the soak test itself, unless the run has been canceled.
+func (c *Cell) addError(err error) {
+	if err != nil && c.opts.Context.Err() == nil {
+		c.addFinding("the soak itself: " + err.Error())
 	}
 }
 
-// Close ends all processes that the cell has started, then the stand-ins.
+// Close ends the processes of the cell, then the proxies and stand-ins.
 func (c *Cell) Close() {
 	for _, v := range c.vms {
 		v.process.close()
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak runs the program for the users' platform as separate processes on one machine, beside
-// stand-ins of the platform, injects faults from outside them by a seed, and checks what callers and workers
-// see. All of it is test code: no program of ours starts a process.
+// Package soak is a soak test of the entry program. It runs entry VMs as separate processes on one machine, with
+// stand-ins of the platform, injects faults from a seed from outside, and checks what callers and workers see. It
+// consists of test code only, since no production program starts processes.
 package soak
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -11,104 +11,106 @@
 )
 
 const (
-	// faultPauseMost is the longest time between two faults; they last up to faultMost, so that they come in
-	// series and overlap.
-	faultPauseMost = 2500 * time.Millisecond
-	faultMost      = 4 * time.Second
+	// maxFaultInterval is the longest time between two faults. It is shorter than maxFaultDuration, so that faults
+	// overlap.
+	maxFaultInterval = 2500 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
 )
 
-// plan draws faults and undoes them.
-type plan struct {
-	cell    *Cell
-	r       *rand.Rand
-	began   time.Time
-	done    []string
-	version int64
-	wg      sync.WaitGroup
+// faultPlan injects random faults and reverts them.
+type faultPlan struct {
+	cell      *Cell
+	rand      *rand.Rand
+	startedAt time.Time
+	injected  []string
+	version   int64
+	wg        sync.WaitGroup
 }
 
-func newPlan(c *Cell, r *rand.Rand) *plan {
-	return &plan{cell: c, r: r, began: time.Now(), version: 1}
+func newFaultPlan(c *Cell, r *rand.Rand) *faultPlan {
+	return &faultPlan{cell: c, rand: r, startedAt: time.Now(), version: 1}
 }
 
-// fault is one kind of trouble; it gives what ends it, or nil.
+// fault is a kind of fault. The inject function returns a function that reverts it, or nil.
 type fault struct {
 	name   string
-	strike func(p *plan, lasts time.Duration) (undo func())
+	inject func(p *faultPlan, duration time.Duration) (revert func())
 }
 
 var faults = []fault{
-	{"a VM is killed", func(p *plan, _ time.Duration) func() { return p.signal(1, syscall.SIGKILL) }},
-	{"two VMs are killed", func(p *plan, _ time.Duration) func() { return p.signal(2, syscall.SIGKILL) }},
-	{"all VMs are killed", func(p *plan, _ time.Duration) func() { return p.signal(len(p.cell.vms), syscall.SIGKILL) }},
-	{"a VM is stopped", func(p *plan, _ time.Duration) func() { return p.signal(1, syscall.SIGTERM) }},
-	{"a VM is told to reload", func(p *plan, _ time.Duration) func() { return p.signal(1, syscall.SIGHUP) }},
-	{"a VM stands still", func(p *plan, _ time.Duration) func() { return p.freeze(1) }},
-	{"two VMs stand still", func(p *plan, _ time.Duration) func() { return p.freeze(2) }},
-	{"the store is silent", func(p *plan, _ time.Duration) func() { return p.stores(len(p.cell.vms), Silencing) }},
-	{"the store resets connections", func(p *plan, _ time.Duration) func() { return p.stores(len(p.cell.vms), Resetting) }},
-	{"the store loses its answers", func(p *plan, _ time.Duration) func() { return p.stores(len(p.cell.vms), Deafening) }},
-	{"the store is slow", func(p *plan, _ time.Duration) func() { return p.stores(len(p.cell.vms), Delaying) }},
-	{"a VM is cut off from the store", func(p *plan, _ time.Duration) func() { return p.stores(1, Silencing) }},
-	{"a VM loses the store's answers", func(p *plan, _ time.Duration) func() { return p.stores(1, Deafening) }},
-	{"the policy service is silent", func(p *plan, _ time.Duration) func() { return p.permits() }},
-	{"workers are cut off", func(p *plan, _ time.Duration) func() { return p.links(Silencing) }},
-	{"answers of workers are lost", func(p *plan, _ time.Duration) func() { return p.links(Deafening) }},
-	{"workers reset connections", func(p *plan, _ time.Duration) func() { return p.links(Resetting) }},
-	{"orders are carried out late", func(p *plan, lasts time.Duration) func() { return p.workers(floor.Faults{LaunchDelay: lasts}) }},
-	{"workers fail all", func(p *plan, _ time.Duration) func() { return p.workers(floor.Faults{FailRuns: true}) }},
-	{"workers decline calls", func(p *plan, _ time.Duration) func() { return p.workers(floor.Faults{Unwell: true}) }},
-	{"a worker crashes", func(p *plan, lasts time.Duration) func() {
-		p.cell.workers[p.r.IntN(len(p.cell.workers))].crash(lasts)
+	{"a VM is killed", func(p *faultPlan, _ time.Duration) func() { return p.signal(1, syscall.SIGKILL) }},
+	{"two VMs are killed", func(p *faultPlan, _ time.Duration) func() { return p.signal(2, syscall.SIGKILL) }},
+	{"all VMs are killed", func(p *faultPlan, _ time.Duration) func() { return p.signal(len(p.cell.vms), syscall.SIGKILL) }},
+	{"a VM is stopped", func(p *faultPlan, _ time.Duration) func() { return p.signal(1, syscall.SIGTERM) }},
+	{"a VM is told to reload", func(p *faultPlan, _ time.Duration) func() { return p.signal(1, syscall.SIGHUP) }},
+	{"a VM stands still", func(p *faultPlan, _ time.Duration) func() { return p.freeze(1) }},
+	{"two VMs stand still", func(p *faultPlan, _ time.Duration) func() { return p.freeze(2) }},
+	{"the store is silent", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(len(p.cell.vms), Blackholing) }},
+	{"the store resets connections", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(len(p.cell.vms), Resetting) }},
+	{"the store loses its answers", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(len(p.cell.vms), DroppingReplies) }},
+	{"the store is slow", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(len(p.cell.vms), Delaying) }},
+	{"a VM is cut off from the store", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(1, Blackholing) }},
+	{"a VM loses the store's answers", func(p *faultPlan, _ time.Duration) func() { return p.storeProxies(1, DroppingReplies) }},
+	{"the policy service is silent", func(p *faultPlan, _ time.Duration) func() { return p.silencePermits() }},
+	{"workers are cut off", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(Blackholing) }},
+	{"answers of workers are lost", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(DroppingReplies) }},
+	{"workers reset connections", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(Resetting) }},
+	{"orders are carried out late", func(p *faultPlan, duration time.Duration) func() {
+		return p.workerFaults(floor.Faults{LaunchDelay: duration})
+	}},
+	{"workers fail all", func(p *faultPlan, _ time.Duration) func() { return p.workerFaults(floor.Faults{FailRuns: true}) }},
+	{"workers decline calls", func(p *faultPlan, _ time.Duration) func() { return p.workerFaults(floor.Faults{Unwell: true}) }},
+	{"a worker crashes", func(p *faultPlan, duration time.Duration) func() {
+		p.cell.workers[p.rand.IntN(len(p.cell.workers))].crash(duration)
 		return nil
 	}},
-	{"the configuration changes", func(p *plan, _ time.Duration) func() {
+	{"the configuration changes", func(p *faultPlan, _ time.Duration) func() {
 		p.version++
-		p.cell.note(p.cell.Configure(p.version))
+		p.cell.addError(p.cell.Configure(p.version))
 		return nil
 	}},
 }
 
-// run strikes until the time is over, then waits until all has been undone.
-func (p *plan) run() []string {
+// run injects faults for the duration of the run, then waits until all of them have been reverted.
+func (p *faultPlan) run() []string {
 	for {
-		pause := time.Duration(p.r.Int64N(int64(faultPauseMost)))
-		if time.Since(p.began)+pause+faultMost > p.cell.o.Lasts || p.cell.o.Context.Err() != nil {
+		pause := time.Duration(p.rand.Int64N(int64(maxFaultInterval)))
+		if time.Since(p.startedAt)+pause+maxFaultDuration > p.cell.opts.Duration || p.cell.opts.Context.Err() != nil {
 			break
 		}
 		time.Sleep(pause)
-		f := &faults[p.r.IntN(len(faults))]
-		lasts := 200*time.Millisecond + time.Duration(p.r.Int64N(int64(faultMost-200*time.Millisecond)))
-		p.done = append(p.done, fmt.Sprintf("%.1f s: %s, %.1f s", time.Since(p.began).Seconds(), f.name, lasts.Seconds()))
-		if undo := f.strike(p, lasts); undo != nil {
+		f := &faults[p.rand.IntN(len(faults))]
+		duration := 200*time.Millisecond + time.Duration(p.rand.Int64N(int64(maxFaultDuration-200*time.Millisecond)))
+		p.injected = append(p.injected, fmt.Sprintf("%.1f s: %s, %.1f s", time.Since(p.startedAt).Seconds(), f.name, duration.Seconds()))
+		if revert := f.inject(p, duration); revert != nil {
 			p.wg.Go(func() {
-				time.Sleep(lasts)
-				undo()
+				time.Sleep(duration)
+				revert()
 			})
 		}
 	}
 	p.wg.Wait()
-	return p.done
+	return p.injected
 }
 
-// some draws n of the VMs.
-func (p *plan) some(n int) []*vm {
+// randomVMs returns n random VMs.
+func (p *faultPlan) randomVMs(n int) []*vm {
 	var out []*vm
-	for _, i := range p.r.Perm(len(p.cell.vms))[:min(n, len(p.cell.vms))] {
+	for _, i := range p.rand.Perm(len(p.cell.vms))[:min(n, len(p.cell.vms))] {
 		out = append(out, p.cell.vms[i])
 	}
 	return out
 }
 
-func (p *plan) signal(n int, s syscall.Signal) func() {
-	for _, v := range p.some(n) {
+func (p *faultPlan) signal(n int, s syscall.Signal) func() {
+	for _, v := range p.randomVMs(n) {
 		v.process.signal(s)
 	}
 	return nil
 }
 
-func (p *plan) freeze(n int) func() {
-	vms := p.some(n)
+func (p *faultPlan) freeze(n int) func() {
+	vms := p.randomVMs(n)
 	for _, v := range vms {
 		v.process.signal(syscall.SIGSTOP)
 	}
@@ -119,61 +121,61 @@
 	}
 }
 
-// slowStore is how late bytes of a slow store are.
-const slowStore = 150 * time.Millisecond
+// slowStoreDelay is the delay of bytes to and from a slow store.
+const slowStoreDelay = 150 * time.Millisecond
 
-func (p *plan) stores(n int, m Mode) func() {
-	vms := p.some(n)
+func (p *faultPlan) storeProxies(n int, m Mode) func() {
+	vms := p.randomVMs(n)
 	for _, v := range vms {
-		v.store.Set(m, slowStore)
+		v.store.Set(m, slowStoreDelay)
 	}
 	return func() {
 		for _, v := range vms {
-			v.store.Set(Passing, 0)
+			v.store.Set(Forwarding, 0)
 		}
 	}
 }
 
-func (p *plan) permits() func() {
+func (p *faultPlan) silencePermits() func() {
 	for _, v := range p.cell.vms {
-		v.permits.Set(Silencing, 0)
+		v.permits.Set(Blackholing, 0)
 	}
 	return func() {
 		for _, v := range p.cell.vms {
-			v.permits.Set(Passing, 0)
+			v.permits.Set(Forwarding, 0)
 		}
 	}
 }
 
-// third draws a third of the workers.
-func (p *plan) third() []*slot {
-	var out []*slot
-	for _, i := range p.r.Perm(len(p.cell.workers))[:(len(p.cell.workers)+2)/3] {
+// randomWorkers returns a random third of the workers.
+func (p *faultPlan) randomWorkers() []*workerSlot {
+	var out []*workerSlot
+	for _, i := range p.rand.Perm(len(p.cell.workers))[:(len(p.cell.workers)+2)/3] {
 		out = append(out, p.cell.workers[i])
 	}
 	return out
 }
 
-func (p *plan) links(m Mode) func() {
-	slots := p.third()
+func (p *faultPlan) workerProxies(m Mode) func() {
+	slots := p.randomWorkers()
 	for _, w := range slots {
-		w.link.Set(m, 0)
+		w.proxy.Set(m, 0)
 	}
 	return func() {
 		for _, w := range slots {
-			w.link.Set(Passing, 0)
+			w.proxy.Set(Forwarding, 0)
 		}
 	}
 }
 
-func (p *plan) workers(f floor.Faults) func() {
-	slots := p.third()
+func (p *faultPlan) workerFaults(f floor.Faults) func() {
+	slots := p.randomWorkers()
 	for _, w := range slots {
-		w.worker().SetFaults(f)
+		w.currentWorker().SetFaults(f)
 	}
 	return func() {
 		for _, w := range slots {
-			w.worker().SetFaults(floor.Faults{})
+			w.currentWorker().SetFaults(floor.Faults{})
 		}
 	}
 }
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Process is one program of the cell. It is started again after each end, as the platform does.
+// Process runs a program of the cell and restarts it whenever it ends, as the platform does.
 type Process struct {
 	name     string
 	program  string
 	settings string
 	log      *os.File
-	// found takes what is wrong with how the process ended.
-	found func(string)
+	// onFinding receives a violation if the program does not start or ends unexpectedly.
+	onFinding func(string)
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ordered bool // the present process was told to end
-	closed  bool
-	wg      sync.WaitGroup
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	expectExit bool // the current process was told to end
+	closed     bool
+	wg         sync.WaitGroup
 }
 
-// restartPause is how long a process that has ended stays down.
-const restartPause = 300 * time.Millisecond
+// restartDelay is the delay before a process that has ended is restarted.
+const restartDelay = 300 * time.Millisecond
 
 // start runs the program until the Process is closed.
 func (p *Process) start() {
 	p.wg.Go(func() {
-		// The process ends with this thread, and so with the soak however that ends. Without it the processes
-		// of a soak that is killed would live on and keep its addresses.
+		// Pdeathsig kills the process when this thread ends, and so when the test ends in any way. Otherwise the
+		// processes of a killed test would keep running and occupy its addresses.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
-		for p.once() {
-			time.Sleep(restartPause)
+		for p.runOnce() {
+			time.Sleep(restartDelay)
 		}
 	})
 }
 
-// once runs the program to its end and reports whether it should be started again.
-func (p *Process) once() bool {
+// runOnce runs the program until it ends and reports whether it should be restarted.
+func (p *Process) runOnce() bool {
 	cmd := exec.Command(p.program)
 	cmd.Env = append(os.Environ(), "TURMERICGAP_CONFIG="+p.settings)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
@@ -55,21 +55,21 @@
 	}
 	if err := cmd.Start(); err != nil {
 		p.mu.Unlock()
-		p.found(fmt.Sprintf("%s does not start: %v", p.name, err))
+		p.onFinding(fmt.Sprintf("%s does not start: %v", p.name, err))
 		return false
 	}
-	p.cmd, p.ordered = cmd, false
+	p.cmd, p.expectExit = cmd, false
 	p.mu.Unlock()
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ordered {
-		p.found(fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	if !p.expectExit {
+		p.onFinding(fmt.Sprintf("%s ended by itself: %v", p.name, err))
 	}
 	return !p.closed
 }
 
-// signal sends a signal to the process that this Process has started, if it runs.
+// signal sends a signal to the current process, if there is one.
 func (p *Process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,12 +77,12 @@
 		return
 	}
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.ordered = true
+		p.expectExit = true
 	}
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	_ = p.cmd.Process.Signal(s) // fails if the process has ended
 }
 
-// close ends the process for good.
+// close kills the process and does not restart it.
 func (p *Process) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Mode is what a Link does to its connections.
+// Mode defines how a Proxy treats its connections.
 type Mode int
 
-// The modes of a Link.
+// Modes of a Proxy.
 const (
-	// Passing hands all bytes on.
-	Passing Mode = iota
-	// Delaying hands them on late.
+	// Forwarding forwards all bytes.
+	Forwarding Mode = iota
+	// Delaying forwards all bytes after a delay.
 	Delaying
-	// Silencing takes connections and all that comes over them, and hands nothing on in either direction.
-	// Connections that were open stay silent for good.
-	Silencing
-	// Deafening hands requests on and drops the answers; connections that were open stay so for good.
-	Deafening
+	// Blackholing accepts connections and drops all bytes in both directions. Connections that are open in this
+	// mode never forward again.
+	Blackholing
+	// DroppingReplies forwards requests and drops replies. Connections that are open in this mode keep doing so.
+	DroppingReplies
 	// Resetting resets connections.
 	Resetting
 )
 
 const (
-	linkBuffer   = 32 << 10
-	linkDialWait = time.Second
+	proxyBufferBytes = 32 << 10
+	proxyDialTimeout = time.Second
 )
 
-// Link is a proxy on the loopback interface between one caller and one server.
-type Link struct {
+// Proxy is a TCP proxy on the loopback interface that injects network faults.
+type Proxy struct {
 	listener net.Listener
 	target   string
 	wg       sync.WaitGroup
@@ -39,41 +39,40 @@
 	mu    sync.Mutex
 	mode  Mode
 	delay time.Duration
-	conns map[*linkConn]struct{}
+	conns map[*proxyConn]struct{}
 }
 
-// linkConn is one connection through a Link.
-type linkConn struct {
-	near, far net.Conn
-	// silent and deaf drop what goes to the server and to the caller.
-	silent, deaf bool
+// proxyConn is a connection through a Proxy.
+type proxyConn struct {
+	client, server            net.Conn
+	dropRequests, dropReplies bool
 }
 
-// NewLink returns a Link that listens on an address and hands on to another.
-func NewLink(listen, target string) (*Link, error) {
+// NewProxy starts a proxy from an address to a target.
+func NewProxy(listen, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, target: target, conns: make(map[*linkConn]struct{})}
-	k.wg.Go(k.accept)
-	return k, nil
+	p := &Proxy{listener: l, target: target, conns: make(map[*proxyConn]struct{})}
+	p.wg.Go(p.accept)
+	return p, nil
 }
 
-// Address gives where the Link listens.
-func (k *Link) Address() string { return k.listener.Addr().String() }
+// Address returns the address on which the proxy listens.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode; the delay counts for Delaying alone.
-func (k *Link) Set(m Mode, delay time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.mode, k.delay = m, delay
-	for c := range k.conns {
+// Set changes the mode; the delay applies only to Delaying.
+func (p *Proxy) Set(m Mode, delay time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mode, p.delay = m, delay
+	for c := range p.conns {
 		switch m {
-		case Silencing:
-			c.silent, c.deaf = true, true
-		case Deafening:
-			c.deaf = true
+		case Blackholing:
+			c.dropRequests, c.dropReplies = true, true
+		case DroppingReplies:
+			c.dropReplies = true
 		case Resetting:
 			c.reset()
 		default:
@@ -81,68 +80,68 @@
 	}
 }
 
-// Close ends the Link with all its connections.
-func (k *Link) Close() {
-	_ = k.listener.Close()
-	k.Set(Resetting, 0)
-	k.wg.Wait()
+// Close closes the proxy and all its connections.
+func (p *Proxy) Close() {
+	_ = p.listener.Close()
+	p.Set(Resetting, 0)
+	p.wg.Wait()
 }
 
-func (k *Link) accept() {
+func (p *Proxy) accept() {
 	for {
-		conn, err := k.listener.Accept()
+		conn, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			k.wg.Go(func() { k.serve(conn) })
+			p.wg.Go(func() { p.serve(conn) })
 		}
 	}
 }
 
-func (k *Link) serve(near net.Conn) {
-	c := &linkConn{near: near}
-	defer near.Close()
-	far, err := net.DialTimeout("tcp", k.target, linkDialWait)
+func (p *Proxy) serve(client net.Conn) {
+	c := &proxyConn{client: client}
+	defer client.Close()
+	server, err := net.DialTimeout("tcp", p.target, proxyDialTimeout)
 	if err != nil {
 		c.reset()
 		return
 	}
-	defer far.Close()
-	c.far = far
-	k.mu.Lock()
-	c.silent, c.deaf = k.mode == Silencing, k.mode == Silencing || k.mode == Deafening
-	resets := k.mode == Resetting
-	k.conns[c] = struct{}{}
-	k.mu.Unlock()
-	if resets {
+	defer server.Close()
+	c.server = server
+	p.mu.Lock()
+	c.dropRequests, c.dropReplies = p.mode == Blackholing, p.mode == Blackholing || p.mode == DroppingReplies
+	resetNow := p.mode == Resetting
+	p.conns[c] = struct{}{}
+	p.mu.Unlock()
+	if resetNow {
 		c.reset()
 	}
-	var both sync.WaitGroup
-	both.Go(func() { k.pump(c, near, far, func() bool { return c.silent }) })
-	both.Go(func() { k.pump(c, far, near, func() bool { return c.deaf }) })
-	both.Wait()
-	k.mu.Lock()
-	delete(k.conns, c)
-	k.mu.Unlock()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(c, client, server, func() bool { return c.dropRequests }) })
+	directions.Go(func() { p.forward(c, server, client, func() bool { return c.dropReplies }) })
+	directions.Wait()
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 }
 
-// pump hands bytes on in one direction until either end closes.
-func (k *Link) pump(c *linkConn, from, to net.Conn, drops func() bool) {
+// forward copies bytes in one direction until either end closes.
+func (p *Proxy) forward(c *proxyConn, from, to net.Conn, drop func() bool) {
 	defer from.Close()
 	defer to.Close()
-	buf := make([]byte, linkBuffer)
+	buf := make([]byte, proxyBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		k.mu.Lock()
-		dropped, delay := drops(), time.Duration(0)
-		if k.mode == Delaying {
-			delay = k.delay
+		p.mu.Lock()
+		dropped, delay := drop(), time.Duration(0)
+		if p.mode == Delaying {
+			delay = p.delay
 		}
-		k.mu.Unlock()
+		p.mu.Unlock()
 		if dropped {
 			continue
 		}
@@ -153,11 +152,11 @@
 	}
 }
 
-// reset ends a connection so that both ends see a reset.
-func (c *linkConn) reset() {
-	for _, conn := range []net.Conn{c.near, c.far} {
+// reset closes both ends with a TCP reset.
+func (c *proxyConn) reset() {
+	for _, conn := range []net.Conn{c.client, c.server} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a connection that is gone needs no reset
+			_ = tcp.SetLinger(0) // fails only if the connection is already closed
 			_ = tcp.Close()
 		}
 	}
--- a/soak/judge_test.go
+++ b/soak/report_test.go
@@ -12,12 +12,12 @@
 	"turmericgap/worker"
 )
 
-// A soak without findings says something only if it would have found what is wrong. Each case plants one
-// thing that callers and workers may see, and names the finding.
-func TestJudgeFindsWhatIsPlanted(t *testing.T) {
+// Guards against a soak test that misses violations: each case plants one that callers and workers can see, and
+// expects its finding.
+func TestReportFindsPlantedViolations(t *testing.T) {
 	cases := []struct {
 		name    string
-		plant   func(c *call)
+		inject  func(c *call)
 		started bool
 		want    string
 	}{
@@ -28,31 +28,31 @@
 		{"lost", func(c *call) { c.accepted = true }, false, `is shown as "" in the end`},
 		{"nothing", func(c *call) { c.refused = true }, false, ""},
 	}
-	for _, one := range cases {
-		t.Run(one.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &Cell{o: &Options{Context: t.Context()}, works: make(map[string]*job.Work), queues: queues()}
-			c.floor = floor.New(c.behave)
+			c := &Cell{opts: &Options{Context: t.Context()}, works: make(map[string]*job.Work), queues: queues()}
+			c.cluster = floor.New(c.behave)
 			w := &job.Work{ID: "a", Queue: c.queues[0], Steps: []job.Step{{Tasks: 1}}}
 			c.works[w.ID] = w
-			if one.started {
+			if test.started {
 				info := worker.Info{ID: "w1"}
-				c.floor.Add(info)
-				_, err := c.floor.Client(info).Launch(t.Context(), &worker.Launch{Task: worker.Task{Work: w.ID}, Run: 1, Until: time.Minute})
+				c.cluster.Add(info)
+				_, err := c.cluster.Client(info).Launch(t.Context(), &worker.Launch{Task: worker.Task{Work: w.ID}, Run: 1, Until: time.Minute})
 				is.NoErr(err)
 			}
 			s := newCallers(c)
-			asked := &call{work: w}
-			one.plant(asked)
-			s.calls = append(s.calls, asked)
-			if asked.state == job.WorkCompleted {
-				s.complete(asked)
+			submitted := &call{work: w}
+			test.inject(submitted)
+			s.calls = append(s.calls, submitted)
+			if submitted.state == job.WorkCompleted {
+				s.checkCompleted(submitted)
 			}
 			rep := &Report{}
-			s.judge(rep)
-			found := strings.Join(rep.Findings, "; ")
-			is.Equal(found == "", one.want == "")
-			is.True(strings.Contains(found, one.want))
+			s.fillReport(rep)
+			findings := strings.Join(rep.Findings, "; ")
+			is.Equal(findings == "", test.want == "")
+			is.True(strings.Contains(findings, test.want))
 		})
 	}
 }
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// Options are what a run is made of.
+// Options configure a run.
 type Options struct {
-	// Context ends the run early.
+	// Context cancels the run.
 	Context context.Context //nolint:containedctx // a run is one call
-	// Seed draws the works and the faults; Faults turns the latter off for a run that must be clean.
+	// Seed determines the works and the faults. Faults enables the faults.
 	Seed   uint64
 	Faults bool
-	// Lasts is how long works come and faults strike. What is left then has settleWithin to end.
-	Lasts time.Duration
-	// VMs and Workers are how many there are, Rate is the works a second.
+	// Duration is how long works are submitted and faults are injected. Works that remain have settleTimeout to end.
+	Duration time.Duration
+	// VMs and Workers are the numbers of entry VMs and workers, Rate is the number of works per second.
 	VMs, Workers, Rate int
-	// Program is the path of the entry program, Dir where settings and logs go.
+	// Program is the path of the entry program, Dir the directory for settings and logs.
 	Program, Dir string
-	// Net is the second and third part of the IP numbers, so that two runs do not meet: 256 to 65535.
+	// Net is the second and third byte of the loopback addresses, from 256 to 65535. Concurrent runs need different
+	// values.
 	Net int
 }
 
-// Report is what a run has seen.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64
-	// Handed counts the works, Accepted, Refused and Open how their callers were answered in the end.
-	Handed, Accepted, Refused, Open int
-	// Runs counts what the workers have begun.
+	// Submitted counts the works. Accepted, Refused and Unknown count them by the final answer to their callers.
+	Submitted, Accepted, Refused, Unknown int
+	// Runs counts the runs that workers have started.
 	Runs int
-	// Queues tells how each queue was served.
-	Queues []Queue
-	// Faults lists what was done when, Findings what was wrong.
+	// Queues holds the statistics of each queue.
+	Queues []QueueStats
+	// Faults lists the injected faults with their times, Findings the violations.
 	Faults, Findings []string
 }
 
-// Queue is how the works of one queue were served.
-type Queue struct {
+// QueueStats holds the statistics of the works of a queue.
+type QueueStats struct {
 	Name             string
 	Works, Completed int
-	// Median and Worst are the times from the first try to the state that a caller saw in the end.
+	// Median and Worst are latencies of completed works, from the first submission to the final state.
 	Median, Worst time.Duration
 }
 
-// Table gives how the queues were served, and what struck meanwhile, for people.
+// Table formats the statistics of the queues and the injected faults.
 func (r *Report) Table() string {
 	var b strings.Builder
 	for _, f := range r.Faults {
@@ -60,11 +61,11 @@
 	return b.String()
 }
 
-// String gives the report for people.
+// String formats the totals and, if there are findings, the faults and findings.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d works, %d accepted, %d refused, %d open; %d runs, %d faults, %d findings\n",
-		r.Seed, r.Handed, r.Accepted, r.Refused, r.Open, r.Runs, len(r.Faults), len(r.Findings))
+		r.Seed, r.Submitted, r.Accepted, r.Refused, r.Unknown, r.Runs, len(r.Faults), len(r.Findings))
 	if len(r.Findings) == 0 {
 		return b.String()
 	}
@@ -78,14 +79,15 @@
 }
 
 const (
-	// bootWithin bounds the start of the cell: processes, leases, and the first hold of each worker.
-	bootWithin = 15 * time.Second
-	// settleWithin bounds the end of what was accepted after the last fault: a worker that was cut off
-	// keeps its tasks for its lease, a former owner may have extended that for 5 s, and three attempts follow.
-	settleWithin = 45 * time.Second
+	// bootTimeout is the timeout for the start of the cell: processes, leases and the first hold of each worker.
+	bootTimeout = 15 * time.Second
+	// settleTimeout is the timeout for accepted works to end after the last fault. A worker that was cut off keeps
+	// its tasks for the length of its lease, a former owner may have extended that by 5 s, and up to three attempts
+	// follow.
+	settleTimeout = 45 * time.Second
 )
 
-// Run starts a cell, lets works come and faults strike, waits until all has settled, and judges.
+// Run starts a cell, submits works and injects faults, waits until all works have ended, and returns a report.
 func Run(o Options) (*Report, error) {
 	if o.Context == nil {
 		o.Context = context.Background()
@@ -96,17 +98,17 @@
 	}
 	defer c.Close()
 	callers := newCallers(c)
-	if err := callers.boot(); err != nil {
+	if err := callers.awaitFirstWork(); err != nil {
 		return nil, err
 	}
 	rep := &Report{Seed: o.Seed}
 	var parts sync.WaitGroup
-	parts.Go(func() { callers.run(rand.New(rand.NewPCG(o.Seed, 1))) })
+	parts.Go(func() { callers.submitAll(rand.New(rand.NewPCG(o.Seed, 1))) })
 	if o.Faults {
-		parts.Go(func() { rep.Faults = newPlan(c, rand.New(rand.NewPCG(o.Seed, 2))).run() })
+		parts.Go(func() { rep.Faults = newFaultPlan(c, rand.New(rand.NewPCG(o.Seed, 2))).run() })
 	}
 	parts.Wait()
-	callers.settle()
-	callers.judge(rep)
+	callers.awaitCalls()
+	callers.fillReport(rep)
 	return rep, nil
 }
--- a/soak/work_test.go
+++ b/soak/work_test.go
@@ -11,14 +11,14 @@
 	"turmericgap/worker"
 )
 
-func hash(parts ...any) uint32 {
+func hashOf(parts ...any) uint32 {
 	h := fnv.New32a()
 	fmt.Fprint(h, parts...)
 	return h.Sum32()
 }
 
-// draw makes a work of one of the queues: checks of one or two tasks, gangs, batches of two steps.
-func (c *Cell) draw(r *rand.Rand, n int) *job.Work {
+// newWork returns a random work for one of the queues: one or two tasks, a gang, or a batch of two steps.
+func (c *Cell) newWork(r *rand.Rand, n int) *job.Work {
 	w := &job.Work{ID: fmt.Sprintf("%016x", r.Uint64()), Spec: fmt.Sprint("soak ", n)}
 	step := func(tasks int, cores int64) job.Step {
 		return job.Step{Tasks: tasks, Estimate: time.Second, Each: job.Resources{Millicores: cores * 1000, MemoryMB: 500}}
@@ -50,15 +50,16 @@
 	return c.works[id]
 }
 
-// behave tells what a run does: it works for 0.2 to 1.2 s, and the first run of one task in twelve fails.
+// behave returns the behaviour of a run: it takes 0.2 to 1.2 s, that of a gang 0.5 s, and the first run of one task in
+// twelve fails.
 func (c *Cell) behave(t worker.Task, run int64) floor.Behaviour {
 	w := c.work(t.Work)
 	if w == nil {
-		c.find("a task that nobody handed in was started: " + fmt.Sprint(t))
+		c.addFinding("a task that nobody handed in was started: " + fmt.Sprint(t))
 		return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone}
 	}
 	s := &w.Steps[t.Step]
-	h := hash(t.Work, t.Step, t.Index)
+	h := hashOf(t.Work, t.Step, t.Index)
 	b := floor.Behaviour{
 		Duration: 200*time.Millisecond + time.Duration(h%1000)*time.Millisecond, Ending: worker.EndingDone,
 		Resources: s.Each, MaxAttempts: w.Queue.Attempts,
