--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -9,23 +9,23 @@
 	"turmericgap/worker"
 )
 
-// baseline starts jobs in the order of their arrival and passes over those that do not fit. A gang
-// starts in one zone, as it must, since each zone has its own owner.
+// baseline starts jobs in order of arrival and skips those that do not fit. A gang starts within one zone, since
+// each zone has its own owner.
 type baseline struct {
-	jobs    map[string]*waiting
-	order   []*waiting
-	nodes   []*node
-	zones   map[string][]*node
-	names   []string
-	byID    map[string]*node
-	pick    func(nodes []*node, each job.Resources) *node
-	running int
+	jobs      map[string]*queuedJob
+	order     []*queuedJob
+	nodes     []*node
+	zones     map[string][]*node
+	zoneNames []string
+	byID      map[string]*node
+	pick      func(nodes []*node, request job.Resources) *node
+	running   int
 }
 
-type waiting struct {
+type queuedJob struct {
 	planner.Job
 	pending []int
-	on      map[int]*node
+	placed  map[int]*node
 }
 
 type node struct {
@@ -33,11 +33,11 @@
 	free job.Resources
 }
 
-// FirstFit makes the policy that starts in order on the first worker that fits.
+// FirstFit returns the policy that starts jobs in order on the first worker with enough free resources.
 func FirstFit() Policy {
-	return newBaseline("first fit", func(nodes []*node, each job.Resources) *node {
+	return newBaseline("first fit", func(nodes []*node, request job.Resources) *node {
 		for _, n := range nodes {
-			if each.Fits(n.free) {
+			if request.Fits(n.free) {
 				return n
 			}
 		}
@@ -45,17 +45,17 @@
 	})
 }
 
-// RandomOfTwo makes the policy that starts in order on the emptier of two random workers, and on
-// the first that fits if neither does.
+// RandomOfTwo returns the policy that starts jobs in order on the less loaded of two random workers, or on the first
+// worker with enough free resources if neither has them.
 func RandomOfTwo(seed uint64) Policy {
 	r := rand.New(rand.NewPCG(seed, seed))
-	return newBaseline("random of two", func(nodes []*node, each job.Resources) *node {
+	return newBaseline("random of two", func(nodes []*node, request job.Resources) *node {
 		a, b := nodes[r.IntN(len(nodes))], nodes[r.IntN(len(nodes))]
 		if b.free.Millicores > a.free.Millicores {
 			a, b = b, a
 		}
 		for _, n := range append([]*node{a, b}, nodes...) {
-			if each.Fits(n.free) {
+			if request.Fits(n.free) {
 				return n
 			}
 		}
@@ -64,7 +64,7 @@
 }
 
 func newBaseline(name string, pick func([]*node, job.Resources) *node) Policy {
-	b := &baseline{jobs: map[string]*waiting{}, byID: map[string]*node{}, zones: map[string][]*node{}, pick: pick}
+	b := &baseline{jobs: map[string]*queuedJob{}, byID: map[string]*node{}, zones: map[string][]*node{}, pick: pick}
 	return Policy{
 		Name: name, SetWorker: b.setWorker, Add: b.add, Next: b.next, Release: b.release, Stats: b.stats,
 		Admit: func(time.Time, *planner.Job) planner.Decision { return planner.Decision{} },
@@ -76,13 +76,13 @@
 	b.byID[info.ID] = n
 	b.nodes = append(b.nodes, n)
 	if b.zones[info.Zone] == nil {
-		b.names = append(b.names, info.Zone)
+		b.zoneNames = append(b.zoneNames, info.Zone)
 	}
 	b.zones[info.Zone] = append(b.zones[info.Zone], n)
 }
 
 func (b *baseline) add(_ time.Time, j *planner.Job) planner.Decision {
-	w := &waiting{Job: *j, on: map[int]*node{}}
+	w := &queuedJob{Job: *j, placed: map[int]*node{}}
 	for i := range j.Spec.Tasks {
 		w.pending = append(w.pending, i)
 	}
@@ -91,65 +91,65 @@
 	return planner.Decision{}
 }
 
-// need is what cannot start in a pass once it has failed.
-type need struct {
-	each  job.Resources
-	tasks int
+// failedRequest is a request that did not fit and is not tried again in the same pass.
+type failedRequest struct {
+	resources job.Resources
+	tasks     int
 }
 
-func (b *baseline) next(now time.Time, most int) planner.Plan {
+func (b *baseline) next(now time.Time, limit int) planner.Plan {
 	var plan planner.Plan
-	failed := map[need]bool{}
-	kept := b.order[:0]
+	failed := map[failedRequest]bool{}
+	remaining := b.order[:0]
 	for _, w := range b.order {
-		k := need{w.Spec.Each, 1}
+		request := failedRequest{w.Spec.Each, 1}
 		if w.Spec.Gang {
-			k.tasks = len(w.pending)
+			request.tasks = len(w.pending)
 		}
-		for len(w.pending) > 0 && len(plan.Starts) < most && !failed[k] {
-			failed[k] = !b.startSomewhere(now, w, k.tasks, &plan)
+		for len(w.pending) > 0 && len(plan.Starts) < limit && !failed[request] {
+			failed[request] = !b.startInAnyZone(now, w, request.tasks, &plan)
 		}
 		if len(w.pending) > 0 {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 		}
 	}
-	b.order = kept
+	b.order = remaining
 	return plan
 }
 
-func (b *baseline) startSomewhere(now time.Time, w *waiting, count int, plan *planner.Plan) bool {
+func (b *baseline) startInAnyZone(now time.Time, w *queuedJob, count int, plan *planner.Plan) bool {
 	if !w.Spec.Gang {
-		return b.start(now, w, b.nodes, count, plan)
+		return b.startTasks(now, w, b.nodes, count, plan)
 	}
-	for _, name := range b.names {
-		if b.start(now, w, b.zones[name], count, plan) {
+	for _, name := range b.zoneNames {
+		if b.startTasks(now, w, b.zones[name], count, plan) {
 			return true
 		}
 	}
 	return false
 }
 
-// start starts count tasks of a job on some of the nodes, or none.
-func (b *baseline) start(now time.Time, w *waiting, nodes []*node, count int, plan *planner.Plan) bool {
-	var taken []*node
+// startTasks starts count tasks of a job on the nodes, or none if not all of them fit.
+func (b *baseline) startTasks(now time.Time, w *queuedJob, nodes []*node, count int, plan *planner.Plan) bool {
+	var selected []*node
 	for range count {
 		n := b.pick(nodes, w.Spec.Each)
 		if n == nil {
 			break
 		}
 		n.free = n.free.Minus(w.Spec.Each)
-		taken = append(taken, n)
+		selected = append(selected, n)
 	}
-	if len(taken) < count {
-		for _, n := range taken {
+	if len(selected) < count {
+		for _, n := range selected {
 			n.free = n.free.Plus(w.Spec.Each)
 		}
 		return false
 	}
-	for _, n := range taken {
+	for _, n := range selected {
 		index := w.pending[0]
 		w.pending = w.pending[1:]
-		w.on[index] = n
+		w.placed[index] = n
 		b.running++
 		plan.Starts = append(plan.Starts, planner.Start{Job: w.ID, Task: index, Worker: n.info.ID, Waited: now.Sub(w.Accepted)})
 	}
@@ -158,10 +158,10 @@
 
 func (b *baseline) release(_ time.Time, jobID string, task int, _ planner.AttemptResult) {
 	w := b.jobs[jobID]
-	n := w.on[task]
+	n := w.placed[task]
 	n.free = n.free.Plus(w.Spec.Each)
-	delete(w.on, task)
-	if b.running--; len(w.on) == 0 && len(w.pending) == 0 {
+	delete(w.placed, task)
+	if b.running--; len(w.placed) == 0 && len(w.pending) == 0 {
 		delete(b.jobs, jobID)
 	}
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,4 +1,4 @@
-// Package policy measures the planner's decisions: loads from fixed seeds go through the real planner
-// under a simulated time, beside simple policies on the same load. It has neither network nor
-// processes, and says nothing of what they cost.
+// Package policy measures the decisions of the planner. It replays loads from fixed seeds through the real planner
+// in simulated time, and through simple baseline policies for comparison. It has neither network nor processes and
+// does not measure their cost.
 package policy
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,17 +13,17 @@
 	"turmericgap/standin/golden"
 )
 
-func ours(l *Load) Policy {
+func plannerPolicy(l *Load) Policy {
 	return Planner("planner", planner.Rules(standard.List()), planner.Quotas(l.Quotas))
 }
 
-// A change of the decisions shows as a change of these figures, beside those of the baselines on
-// the same load.
+// Guards against unnoticed changes of the planner's decisions: the figures of each load, beside those of the
+// baselines, must equal the golden file.
 func TestMeasure(t *testing.T) {
 	for _, l := range []*Load{Kayal(1), Padan(1), TwoYear(1, 10)} {
 		t.Run(l.Name, func(t *testing.T) {
 			var got strings.Builder
-			for _, p := range []Policy{FirstFit(), RandomOfTwo(1), ours(l)} {
+			for _, p := range []Policy{FirstFit(), RandomOfTwo(1), plannerPolicy(l)} {
 				got.WriteString(Replay(l, p).String())
 			}
 			t.Log(got.String())
@@ -33,25 +33,26 @@
 	}
 }
 
-// Single nights differ by chance; these sums over twelve of each user compare policies.
+// BenchmarkNights compares policies by their totals over twelve nights of each load, since single nights vary by
+// chance.
 func BenchmarkNights(b *testing.B) {
 	classes := map[string][3]string{"kayal": {"fleet", "roster", "booking"}, "padan": {"closing", "matching", "balance"}}
 	for _, load := range []func(uint64) *Load{Kayal, Padan} {
-		for _, policy := range []func(*Load) Policy{func(*Load) Policy { return FirstFit() }, func(*Load) Policy { return RandomOfTwo(1) }, ours} {
+		for _, policy := range []func(*Load) Policy{func(*Load) Policy { return FirstFit() }, func(*Load) Policy { return RandomOfTwo(1) }, plannerPolicy} {
 			l := load(1)
 			b.Run(l.Name+"/"+policy(l).Name, func(b *testing.B) {
 				const nights = 12
-				var large, small int
+				var missedLarge, missedSmall int
 				var packing, wait float64
 				for seed := range uint64(nights * b.N) {
 					l := load(1 + seed)
 					r := Replay(l, policy(l))
 					c := classes[l.Name]
-					large, small = large+r.byClass[c[0]].Missed, small+r.byClass[c[1]].Missed
+					missedLarge, missedSmall = missedLarge+r.byClass[c[0]].Missed, missedSmall+r.byClass[c[1]].Missed
 					packing, wait = packing+r.Packing()/nights, wait+r.WaitQuantile(c[2], 0.99).Seconds()/nights
 				}
-				b.ReportMetric(float64(large)/float64(b.N), "missed-large")
-				b.ReportMetric(float64(small)/float64(b.N), "missed-small")
+				b.ReportMetric(float64(missedLarge)/float64(b.N), "missed-large")
+				b.ReportMetric(float64(missedSmall)/float64(b.N), "missed-small")
 				b.ReportMetric(packing/float64(b.N), "packing")
 				b.ReportMetric(wait/float64(b.N), "interactive-p99-s")
 				b.ReportMetric(0, "ns/op")
@@ -60,9 +61,9 @@
 	}
 }
 
-// fill makes a planner with so many workers, and more tasks than they can run, of 22 teams with so
-// many sizes of each class.
-func fill(l *Load, workers, tasks, sizes int) *planner.Planner {
+// newFullPlanner returns a planner with workers and more tasks than they can run, from 22 teams. Each class has the
+// given number of sizes.
+func newFullPlanner(l *Load, workers, tasks, sizes int) *planner.Planner {
 	p := planner.New(planner.Rules(standard.List()), planner.Quotas(l.Quotas))
 	now := l.From
 	for i := range workers {
@@ -79,7 +80,7 @@
 	return p
 }
 
-// What the planner of one zone and of the whole cell holds in memory, when full.
+// BenchmarkMemory measures the memory of a full planner for one zone and for a whole cell.
 func BenchmarkMemory(b *testing.B) {
 	for name, workers := range map[string]int{"zone": 128, "cell": 770} {
 		b.Run(name, func(b *testing.B) {
@@ -91,7 +92,7 @@
 				return m.HeapAlloc
 			}
 			before := heap()
-			p := fill(l, workers, workers*13, 4)
+			p := newFullPlanner(l, workers, workers*13, 4)
 			for now := l.From; len(p.Next(now, 64).Starts) > 0; {
 				continue
 			}
@@ -104,16 +105,16 @@
 	}
 }
 
-// One operation ends a task and decides the start that takes its place.
+// BenchmarkDecide measures the end of a task and the pass that starts its replacement.
 func BenchmarkDecide(b *testing.B) {
 	for _, sizes := range []int{1, 4, 16} {
-		b.Run(fmt.Sprintf("sizes=%d", sizes), func(b *testing.B) { decide(b, sizes) })
+		b.Run(fmt.Sprintf("sizes=%d", sizes), func(b *testing.B) { benchmarkDecide(b, sizes) })
 	}
 }
 
-func decide(b *testing.B, sizes int) {
+func benchmarkDecide(b *testing.B, sizes int) {
 	l := TwoYear(1, 1)
-	p, now := fill(l, len(l.Workers), 19_000, sizes), l.From
+	p, now := newFullPlanner(l, len(l.Workers), 19_000, sizes), l.From
 	var running []planner.Start
 	for {
 		plan := p.Next(now, 64)
@@ -123,15 +124,15 @@
 		running = append(running, plan.Starts...)
 	}
 	b.ReportAllocs()
-	took := make([]time.Duration, 0, 1<<20)
+	latencies := make([]time.Duration, 0, 1<<20)
 	starts, i := 0, 0
 	for b.Loop() {
 		now = now.Add(3 * time.Millisecond)
-		began := time.Now()
+		start := time.Now()
 		s := running[i%len(running)]
 		p.Release(now, s.Job, s.Task, planner.AttemptResult{Completed: true, RunTime: 10 * time.Second, Requeue: true})
 		plan := p.Next(now, 64)
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(start))
 		starts += len(plan.Starts)
 		if len(plan.Starts) > 0 {
 			running[i%len(running)] = plan.Starts[0]
@@ -143,12 +144,12 @@
 		i++
 	}
 	b.ReportMetric(float64(starts)/b.Elapsed().Seconds(), "starts/s")
-	b.ReportMetric(float64(quantile(took, 0.99).Microseconds()), "p99-us")
-	b.ReportMetric(float64(quantile(took, 1).Microseconds()), "max-us")
+	b.ReportMetric(float64(quantile(latencies, 0.99).Microseconds()), "p99-us")
+	b.ReportMetric(float64(quantile(latencies, 1).Microseconds()), "max-us")
 	b.ReportMetric(float64(p.Stats(now).Running), "running")
-	left := 0
+	pending := 0
 	for _, n := range p.Stats(now).Pending {
-		left += n
+		pending += n
 	}
-	b.ReportMetric(float64(left), "pending")
+	b.ReportMetric(float64(pending), "pending")
 }
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// batch is how many starts are asked for at a time.
-	batch = 64
-	// stopTime is how long a preempted task takes to checkpoint and stop.
-	stopTime = 1500 * time.Millisecond
-	// tickEvery is how often the planner is asked when nothing has happened.
-	tickEvery = time.Second
-	// overtime bounds a replay past the end of its load.
-	overtime = 24 * time.Hour
+	// maxStartsPerPass is the maximum number of starts of a pass.
+	maxStartsPerPass = 64
+	// preemptionDelay is the time a preempted task takes to checkpoint and stop.
+	preemptionDelay = 1500 * time.Millisecond
+	// tickInterval is the interval between passes while no event occurs.
+	tickInterval = time.Second
+	// maxOvertime is how long a replay may continue after the end of its load.
+	maxOvertime = 24 * time.Hour
 )
 
-// Replay puts a load through a policy and gives what came of it.
+// Replay runs a load under a policy in simulated time and returns the report.
 func Replay(l *Load, p Policy) *Report {
-	r := &replay{load: l, policy: p, report: newReport(l, p.Name), jobs: make([]progress, len(l.Jobs)), index: map[string]int{}}
+	r := &replay{load: l, policy: p, report: newReport(l, p.Name), jobs: make([]progress, len(l.Jobs)), jobIndex: map[string]int{}}
 	for i := range l.Workers {
 		p.SetWorker(l.From, l.Workers[i], true, false)
-		r.report.has = r.report.has.Plus(l.Workers[i].Has)
+		r.report.capacity = r.report.capacity.Plus(l.Workers[i].Has)
 	}
 	r.run()
 	return r.report
 }
 
 type replay struct {
-	load   *Load
-	policy Policy
-	report *Report
-	jobs   []progress
-	index  map[string]int
-	events events
-	seq    int
-	// demand is what running and pending batch tasks and services need together.
+	load     *Load
+	policy   Policy
+	report   *Report
+	jobs     []progress
+	jobIndex map[string]int
+	events   events
+	seq      int
+	// demand is the sum of the requests of all running and pending tasks.
 	demand  job.Resources
 	pending int
 	arrived int
 }
 
 type progress struct {
-	left     int
-	attempts map[int]int
-	started  map[int]time.Time
-	done     map[int]bool
+	remaining int
+	attempts  map[int]int
+	started   map[int]time.Time
+	done      map[int]bool
 }
 
 // event is the end of an attempt, or its stop after a preemption.
@@ -69,10 +69,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap alone.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { v, _ := x.(event); *e = append(*e, v) }
 
-// Pop is for container/heap alone.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	v := (*e)[last]
@@ -88,27 +88,27 @@
 
 func (r *replay) run() {
 	now := r.load.From
-	sample := now
-	for now.Before(r.load.To.Add(overtime)) {
-		r.arrive(now)
-		r.end(now)
-		r.decide(now)
-		if !now.Before(sample) {
-			r.sample(now)
-			sample = sample.Add(r.load.To.Sub(r.load.From) / samples)
+	nextSample := now
+	for now.Before(r.load.To.Add(maxOvertime)) {
+		r.admitArrivals(now)
+		r.endAttempts(now)
+		r.runPasses(now)
+		if !now.Before(nextSample) {
+			r.samplePacking(now)
+			nextSample = nextSample.Add(r.load.To.Sub(r.load.From) / sampleCount)
 		}
 		if r.arrived == len(r.load.Jobs) && len(r.events) == 0 && r.pending == 0 {
 			return
 		}
-		now = r.next(now)
+		now = r.nextTime(now)
 	}
 }
 
-// next is when something happens next.
-func (r *replay) next(now time.Time) time.Time {
+// nextTime returns the time of the next arrival, event or pass.
+func (r *replay) nextTime(now time.Time) time.Time {
 	at := now.Add(time.Hour)
 	if r.pending > 0 {
-		at = now.Add(tickEvery)
+		at = now.Add(tickInterval)
 	}
 	if r.arrived < len(r.load.Jobs) && r.load.Jobs[r.arrived].At.Before(at) {
 		at = r.load.Jobs[r.arrived].At
@@ -119,7 +119,7 @@
 	return at
 }
 
-func (r *replay) arrive(now time.Time) {
+func (r *replay) admitArrivals(now time.Time) {
 	for r.arrived < len(r.load.Jobs) && !r.load.Jobs[r.arrived].At.After(now) {
 		i := r.arrived
 		a := &r.load.Jobs[i]
@@ -130,14 +130,14 @@
 			continue
 		}
 		r.policy.Add(now, j)
-		r.index[j.ID] = i
-		r.jobs[i] = progress{left: a.Spec.Tasks, attempts: map[int]int{}, started: map[int]time.Time{}, done: map[int]bool{}}
+		r.jobIndex[j.ID] = i
+		r.jobs[i] = progress{remaining: a.Spec.Tasks, attempts: map[int]int{}, started: map[int]time.Time{}, done: map[int]bool{}}
 		r.pending += a.Spec.Tasks
 		r.demand = r.demand.Plus(a.Spec.Each.Times(a.Spec.Tasks))
 	}
 }
 
-func (r *replay) end(now time.Time) {
+func (r *replay) endAttempts(now time.Time) {
 	for len(r.events) > 0 && !r.events[0].at.After(now) {
 		e, _ := heap.Pop(&r.events).(event)
 		j := &r.jobs[e.job]
@@ -156,23 +156,23 @@
 		j.done[e.task] = true
 		r.demand = r.demand.Minus(a.Spec.Each)
 		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.PeakUsage})
-		if j.left--; j.left == 0 {
-			r.report.finished(a, now)
+		if j.remaining--; j.remaining == 0 {
+			r.report.recordEnd(a, now)
 		}
 	}
 }
 
-func (r *replay) decide(now time.Time) {
+func (r *replay) runPasses(now time.Time) {
 	for {
-		plan := r.policy.Next(now, batch)
+		plan := r.policy.Next(now, maxStartsPerPass)
 		for i := range plan.Starts {
-			r.start(now, &plan.Starts[i])
+			r.startTask(now, &plan.Starts[i])
 		}
 		for i := range plan.Preemptions {
-			v := &plan.Preemptions[i]
-			k := r.index[v.Job]
+			p := &plan.Preemptions[i]
+			k := r.jobIndex[p.Job]
 			r.report.Preempted++
-			r.schedule(event{at: now.Add(stopTime), job: k, task: v.Task, attempt: r.jobs[k].attempts[v.Task], stopped: true})
+			r.schedule(event{at: now.Add(preemptionDelay), job: k, task: p.Task, attempt: r.jobs[k].attempts[p.Task], stopped: true})
 		}
 		if len(plan.Starts) == 0 {
 			return
@@ -180,11 +180,11 @@
 	}
 }
 
-func (r *replay) start(now time.Time, s *planner.Start) {
-	i := r.index[s.Job]
+func (r *replay) startTask(now time.Time, s *planner.Start) {
+	i := r.jobIndex[s.Job]
 	a, j := &r.load.Jobs[i], &r.jobs[i]
 	if j.attempts[s.Task] == 0 {
-		r.report.started(a, s.Waited)
+		r.report.recordStart(a, s.Waited)
 	}
 	j.started[s.Task] = now
 	r.pending--
@@ -193,20 +193,20 @@
 	}
 }
 
-// sample compares what is used with the most that could be. It looks only while more is asked for
-// than there is of some part: then no policy can use more than all of that part.
-func (r *replay) sample(now time.Time) {
-	has := r.report.has
-	if now.After(r.load.To) || r.demand.Fits(has) {
+// samplePacking records the used share of a resource. It does so only while the demand for that resource exceeds the
+// capacity: full use is then the upper bound for any policy.
+func (r *replay) samplePacking(now time.Time) {
+	capacity := r.report.capacity
+	if now.After(r.load.To) || r.demand.Fits(capacity) {
 		return
 	}
 	used := r.policy.Stats(now).Used
 	packing := 0.0
-	if r.demand.Millicores > has.Millicores {
-		packing = float64(used.Millicores) / float64(has.Millicores)
+	if r.demand.Millicores > capacity.Millicores {
+		packing = float64(used.Millicores) / float64(capacity.Millicores)
 	}
-	if r.demand.MemoryMB > has.MemoryMB {
-		packing = max(packing, float64(used.MemoryMB)/float64(has.MemoryMB))
+	if r.demand.MemoryMB > capacity.MemoryMB {
+		packing = max(packing, float64(used.MemoryMB)/float64(capacity.MemoryMB))
 	}
 	r.report.packing = append(r.report.packing, packing)
 }
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -55,9 +55,7 @@
 	{"workers are cut off", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(Blackholing) }},
 	{"answers of workers are lost", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(DroppingReplies) }},
 	{"workers reset connections", func(p *faultPlan, _ time.Duration) func() { return p.workerProxies(Resetting) }},
-	{"orders are carried out late", func(p *faultPlan, duration time.Duration) func() {
-		return p.workerFaults(floor.Faults{LaunchDelay: duration})
-	}},
+	{"orders are carried out late", func(p *faultPlan, d time.Duration) func() { return p.workerFaults(floor.Faults{LaunchDelay: d}) }},
 	{"workers fail all", func(p *faultPlan, _ time.Duration) func() { return p.workerFaults(floor.Faults{FailRuns: true}) }},
 	{"workers decline calls", func(p *faultPlan, _ time.Duration) func() { return p.workerFaults(floor.Faults{Unwell: true}) }},
 	{"a worker crashes", func(p *faultPlan, duration time.Duration) func() {
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -1,7 +1,6 @@
-// Package trial compares two versions of the code by plays of the same days under the same seeds.
+// Package trial compares two versions of the code by simulations of the same days with the same seeds.
 //
-// Two plays of one day differ by more than most changes bring, so that a single pair says little. A
-// Comparison pairs the plays by day and seed, and gives for each figure the mean difference with the
-// interval in which it lies with a probability of 95 in 100, and how many pairs would narrow it to one
-// hundredth.
+// Two simulations of a day differ by more than the effect of most changes, so a single pair is not conclusive. A
+// Comparison pairs results by day and seed. For each figure it has the mean difference with its 95 % confidence
+// interval, and the number of pairs that would narrow the interval to ± 0.01.
 package trial
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -14,7 +14,7 @@
 	plotFrame = 3 * vg.Centimeter
 )
 
-// Plot writes the differences of the days with their intervals to a file, whose ending tells the format.
+// Plot writes the differences of the days with their intervals to a file. Its extension determines the format.
 func (c *Comparison) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = "difference in worth, new less old, 95 %"
@@ -44,7 +44,7 @@
 	return eris.Wrap(p.Save(plotWidth, plotFrame+vg.Length(len(rows))*plotLine, path), "save a plot")
 }
 
-// intervals is points with an error along X.
+// intervals holds points with error bars along X.
 type intervals struct {
 	plotter.XYs
 	plotter.XErrors
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -10,61 +10,61 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Key names what a play was of.
+// Key identifies a simulation by site, day and seed.
 type Key struct {
 	Site string `json:"site"`
 	Day  string `json:"day"`
 	Seed string `json:"seed"`
 }
 
-// Result is the outcome of one day.
+// Result is the result of a simulated day.
 type Result struct {
 	Key Key `json:"key"`
-	// Worth is what the day earned of what it could, less prices.
+	// Worth is the earned share of the possible score of the day, less prices.
 	Worth float64 `json:"worth"`
 	// Figures holds the parts of Worth by name: "kind/NAME", "zone/NAME", "window/SECOND", "part/NAME"
 	// and "price/NAME", all as shares of one.
 	Figures map[string]float64 `json:"figures"`
-	// Violations lists the rules that the play broke, and faults of the processes.
+	// Violations lists broken rules and faults of the processes.
 	Violations []string `json:"broken,omitempty"`
 }
 
-// Difference is how a figure differs between the two versions, new less old.
+// Difference is the difference of a figure between the versions, new minus old.
 type Difference struct {
 	Name  string `json:"name"`
 	Pairs int    `json:"pairs"`
-	// Old and New are the means of the versions.
+	// Old and New are the means of each version.
 	Old float64 `json:"old"`
 	New float64 `json:"new"`
-	// Mean is the mean difference, Half half of the width of its interval of 95 %.
+	// Mean is the mean difference, HalfWidth half the width of its 95 % confidence interval.
 	Mean      float64 `json:"mean"`
 	HalfWidth float64 `json:"half"`
-	// PairsNeeded is how many pairs would make Half one hundredth.
+	// PairsNeeded is the number of pairs that would reduce HalfWidth to 0.01.
 	PairsNeeded int `json:"needs"`
 }
 
-// Comparison is what two sets of plays show.
+// Comparison is the comparison of two sets of results.
 type Comparison struct {
-	// Worth holds the difference over all pairs, ByDay those of each day of each site.
+	// Worth is the difference over all pairs, ByDay those for each day of each site.
 	Worth Difference   `json:"worth"`
 	ByDay []Difference `json:"byDay"`
-	// Figures holds the parts of the worth, those that differ most first.
+	// Figures holds the parts of the worth, in decreasing order of the absolute difference.
 	Figures []Difference `json:"figures"`
-	// Spread is the standard deviation of the old version's plays of one day, by day.
+	// Spread is the standard deviation of the old version's results, by day.
 	Spread map[string]float64 `json:"spread"`
-	// Unpaired lists plays whose counterpart is missing, Broken those that broke a rule.
+	// Unpaired lists results without a counterpart, Violations those of all results.
 	Unpaired   []string `json:"unpaired,omitempty"`
 	Violations []string `json:"broken,omitempty"`
 }
 
 const (
-	// confidence is the probability with which a difference lies in its interval.
+	// confidence is the level of the confidence intervals.
 	confidence = 0.95
-	// precision is the half width that Difference.Needs asks for: the least change worth a decision.
-	precision = 0.01
+	// targetHalfWidth is the half width for Difference.PairsNeeded: smaller differences do not matter for a decision.
+	targetHalfWidth = 0.01
 )
 
-// Compare pairs the plays of two versions.
+// Compare pairs the results of two versions and compares them.
 func Compare(old, changed []Result) *Comparison {
 	c := &Comparison{Spread: make(map[string]float64)}
 	counterpart := make(map[Key]*Result, len(changed))
@@ -85,7 +85,7 @@
 		delete(counterpart, o.Key)
 		worth.add(o.Worth, n.Worth)
 		byDay.add(day, o.Worth, n.Worth)
-		for name := range union(o.Figures, n.Figures) {
+		for name := range unionOfNames(o.Figures, n.Figures) {
 			figures.add(name, o.Figures[name], n.Figures[name])
 		}
 	}
@@ -100,26 +100,26 @@
 			c.Spread[day] = stat.StdDev(values, nil)
 		}
 	}
-	c.Violations = append(broken("old", old), broken("new", changed)...)
+	c.Violations = append(listViolations("old", old), listViolations("new", changed)...)
 	sort.Strings(c.Unpaired)
 	return c
 }
 
-// String gives a key as it is printed.
+// String formats the key for messages.
 func (k Key) String() string { return k.Site + " " + k.Day + " seed " + k.Seed }
 
-func broken(side string, plays []Result) []string {
+func listViolations(version string, results []Result) []string {
 	var out []string
-	for i := range plays {
-		for _, b := range plays[i].Violations {
-			out = append(out, side+" "+plays[i].Key.String()+": "+b)
+	for i := range results {
+		for _, v := range results[i].Violations {
+			out = append(out, version+" "+results[i].Key.String()+": "+v)
 		}
 	}
 	sort.Strings(out)
 	return out
 }
 
-func union(a, b map[string]float64) map[string]struct{} {
+func unionOfNames(a, b map[string]float64) map[string]struct{} {
 	names := make(map[string]struct{}, len(a))
 	for _, m := range []map[string]float64{a, b} {
 		for name := range m {
@@ -129,43 +129,43 @@
 	return names
 }
 
-// sample is a figure in each pair.
-type sample struct{ old, changed, differ []float64 }
+// sample holds the values of a figure for all pairs.
+type sample struct{ old, changed, differences []float64 }
 
 func (s *sample) add(old, changed float64) {
 	s.old = append(s.old, old)
 	s.changed = append(s.changed, changed)
-	s.differ = append(s.differ, changed-old)
+	s.differences = append(s.differences, changed-old)
 }
 
 func (s *sample) difference(name string) Difference {
-	n := len(s.differ)
+	n := len(s.differences)
 	d := Difference{Name: name, Pairs: n}
 	if n == 0 {
 		return d
 	}
-	d.Old, d.New, d.Mean = stat.Mean(s.old, nil), stat.Mean(s.changed, nil), stat.Mean(s.differ, nil)
+	d.Old, d.New, d.Mean = stat.Mean(s.old, nil), stat.Mean(s.changed, nil), stat.Mean(s.differences, nil)
 	if n == 1 {
 		return d
 	}
-	deviation := stat.StdDev(s.differ, nil)
-	d.HalfWidth = quantile(n) * deviation / math.Sqrt(float64(n))
-	d.PairsNeeded = pairsFor(deviation)
+	deviation := stat.StdDev(s.differences, nil)
+	d.HalfWidth = studentQuantile(n) * deviation / math.Sqrt(float64(n))
+	d.PairsNeeded = requiredPairs(deviation)
 	return d
 }
 
-// quantile is that of Student's distribution for n pairs.
-func quantile(n int) float64 {
+// studentQuantile returns the two-sided critical value of Student's t-distribution for n pairs.
+func studentQuantile(n int) float64 {
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}
 	return t.Quantile(1 - (1-confidence)/2)
 }
 
-// pairsFor is how many pairs of such a deviation give an interval of the wanted width.
-func pairsFor(deviation float64) int {
-	most := 1 << 20
-	return 2 + sort.Search(most, func(i int) bool {
+// requiredPairs returns the number of pairs for which the half width is at most targetHalfWidth.
+func requiredPairs(deviation float64) int {
+	maxPairs := 1 << 20
+	return 2 + sort.Search(maxPairs, func(i int) bool {
 		n := i + 2
-		return quantile(n)*deviation/math.Sqrt(float64(n)) <= precision
+		return studentQuantile(n)*deviation/math.Sqrt(float64(n)) <= targetHalfWidth
 	})
 }
 
@@ -178,7 +178,7 @@
 	s[name].add(old, changed)
 }
 
-// differences gives the differences in the order of their names.
+// differences returns the differences sorted by name.
 func (s samples) differences() []Difference {
 	names := make([]string, 0, len(s))
 	for name := range s {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// plays gives one play for each seed of a day.
-func plays(day string, worth ...float64) []Result {
+// newResults returns a result of a day for each worth, with seeds from 1.
+func newResults(day string, worth ...float64) []Result {
 	var out []Result
 	for i, w := range worth {
 		out = append(out, Result{
@@ -25,11 +25,12 @@
 	return out
 }
 
-// The days differ much more from each other than the versions do: only pairs show the change.
+// Guards against a comparison of unpaired means: the days differ much more than the versions, so only pairs show the
+// change.
 func TestCompare(t *testing.T) {
 	is := is.New(t)
-	old := append(plays("calm", 0.90, 0.80, 0.70, 0.85), plays("storm", 0.30, 0.60, 0.45, 0.50, 0.20)...)
-	changed := append(plays("calm", 0.92, 0.81, 0.72, 0.88), plays("storm", 0.33, 0.61, 0.47, 0.52)...)
+	old := append(newResults("calm", 0.90, 0.80, 0.70, 0.85), newResults("storm", 0.30, 0.60, 0.45, 0.50, 0.20)...)
+	changed := append(newResults("calm", 0.92, 0.81, 0.72, 0.88), newResults("storm", 0.33, 0.61, 0.47, 0.52)...)
 	changed[5].Violations = []string{"TWICE 1"}
 	c := Compare(old, changed)
 	is.Equal(c.Worth.Pairs, 8)
@@ -47,11 +48,11 @@
 	is.True(bytes.Contains(raw, []byte("storm")))
 }
 
-// Without a pair nothing is said of a difference.
+// Guards against an interval from too few pairs: with no pair or one pair there is none.
 func TestCompareNothing(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Compare(nil, nil).Worth, Difference{Name: "worth"})
-	one := Compare(plays("calm", 0.5), plays("calm", 0.6))
+	one := Compare(newResults("calm", 0.5), newResults("calm", 0.6))
 	is.Equal(one.Worth.HalfWidth, 0.0)
 	is.Equal(one.Worth.PairsNeeded, 0)
 }
