--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -37,7 +37,7 @@
 	LaunchDelay time.Duration
 	// Unwell makes the worker reject all calls with worker.ErrUnwell.
 	Unwell bool
-	// StallRuns makes new runs neither progress nor end, while the worker answers all calls.
+	// StallRuns makes new runs neither progress nor end by themselves, while the worker answers all calls.
 	StallRuns bool
 	// FailRuns makes all new runs fail after failureDelay.
 	FailRuns bool
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex
 	version int64
 	vms     map[string]vm
-	// leaving holds the VMs marked by SetLeaving; it overrides what they register.
+	// leaving holds the VMs marked by SetLeaving. They are listed as leaving whatever they register.
 	leaving map[string]bool
 	// removed holds the deregistered VMs, whose registrations are ignored.
 	removed map[string]bool
@@ -182,7 +182,7 @@
 	l.dropStates(now)
 }
 
-// dropStates drops the states that are older than the lag.
+// dropStates drops the states whose successor is at least as old as the lag.
 func (l *List) dropStates(now time.Time) {
 	for len(l.states) > 1 && !now.Before(l.states[1].since.Add(l.opts.Lag)) {
 		l.states = slices.Delete(l.states, 0, 1)
