--- a/admission/admission.go
+++ b/admission/admission.go
@@ -50,16 +50,16 @@
 	if s.Label != "" && !slices.Contains(w.Labels, s.Label) {
 		return 0
 	}
-	need := s.Each
-	if s.Filler {
+	need := s.TaskResources
+	if s.BestEffort {
 		need.Millicores = 0
 	}
 	limit := s.Tasks
-	if s.MostPerWorker > 0 {
-		limit = min(limit, s.MostPerWorker)
+	if s.MaxPerWorker > 0 {
+		limit = min(limit, s.MaxPerWorker)
 	}
 	n := 0
-	for n < limit && need.Times(n+1).Fits(w.Capacity) {
+	for n < limit && need.Times(n+1).FitsIn(w.Capacity) {
 		n++
 	}
 	return n
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -24,18 +24,18 @@
 		step job.Step
 		want string
 	}{
-		"fits":                       {"desk", job.Step{Tasks: 100, Each: each(16)}, ""},
-		"label is there":             {"desk", job.Step{Tasks: 1, Each: each(1), Label: "b"}, ""},
-		"label is nowhere":           {"desk", job.Step{Tasks: 1, Each: each(1), Label: "z"}, `label "z"`},
-		"label is in another pool":   {"desk", job.Step{Tasks: 1, Each: each(1), Label: "gpu"}, `label "gpu"`},
-		"too large":                  {"desk", job.Step{Tasks: 1, Each: each(17)}, "large enough"},
-		"needs accelerators":         {"desk", job.Step{Tasks: 1, Each: job.Resources{Accelerators: 1}}, "large enough"},
-		"gang just fits":             {"desk", job.Step{Tasks: 4, Each: each(8), Gang: true}, ""},
-		"gang is too large":          {"desk", job.Step{Tasks: 5, Each: each(8), Gang: true}, "4 of its 5"},
-		"gang is too many apart":     {"desk", job.Step{Tasks: 4, Each: each(1), Gang: true, MostPerWorker: 1}, "2 of its 4"},
-		"tasks apart, one by one":    {"desk", job.Step{Tasks: 4, Each: each(1), MostPerWorker: 1}, ""},
-		"filler needs no processors": {"desk", job.Step{Tasks: 1, Each: each(100), Filler: true}, ""},
-		"pool without workers":       {"new", job.Step{Tasks: 1, Each: each(1), Label: "z"}, ""},
+		"fits":                       {"desk", job.Step{Tasks: 100, TaskResources: each(16)}, ""},
+		"label is there":             {"desk", job.Step{Tasks: 1, TaskResources: each(1), Label: "b"}, ""},
+		"label is nowhere":           {"desk", job.Step{Tasks: 1, TaskResources: each(1), Label: "z"}, `label "z"`},
+		"label is in another pool":   {"desk", job.Step{Tasks: 1, TaskResources: each(1), Label: "gpu"}, `label "gpu"`},
+		"too large":                  {"desk", job.Step{Tasks: 1, TaskResources: each(17)}, "large enough"},
+		"needs accelerators":         {"desk", job.Step{Tasks: 1, TaskResources: job.Resources{Accelerators: 1}}, "large enough"},
+		"gang just fits":             {"desk", job.Step{Tasks: 4, TaskResources: each(8), Gang: true}, ""},
+		"gang is too large":          {"desk", job.Step{Tasks: 5, TaskResources: each(8), Gang: true}, "4 of its 5"},
+		"gang is too many apart":     {"desk", job.Step{Tasks: 4, TaskResources: each(1), Gang: true, MaxPerWorker: 1}, "2 of its 4"},
+		"tasks apart, one by one":    {"desk", job.Step{Tasks: 4, TaskResources: each(1), MaxPerWorker: 1}, ""},
+		"filler needs no processors": {"desk", job.Step{Tasks: 1, TaskResources: each(100), BestEffort: true}, ""},
+		"pool without workers":       {"new", job.Step{Tasks: 1, TaskResources: each(1), Label: "z"}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -12,18 +12,18 @@
 const (
 	// DefaultSlowStart is how long a new or returned target takes to reach its full weight.
 	DefaultSlowStart = 5 * time.Second
-	// DefaultFailures is how many failures in a row eject a target.
-	DefaultFailures = 5
-	// DefaultEjection is how long a first ejection lasts; each further one in a row doubles it.
-	DefaultEjection = 2 * time.Second
+	// DefaultFailureThreshold is how many failures in a row eject a target.
+	DefaultFailureThreshold = 5
+	// DefaultBaseEjection is how long a first ejection lasts; each further one in a row doubles it.
+	DefaultBaseEjection = 2 * time.Second
 	// DefaultMaxEjection bounds an ejection.
 	DefaultMaxEjection = 60 * time.Second
 	// DefaultSlowFactor is how many times the median of its peers' latency ejects a target.
 	DefaultSlowFactor = 4
 	// DefaultSlowFloor is the latency below which no target counts as slow.
 	DefaultSlowFloor = 20 * time.Millisecond
-	// DefaultBusyPause is how long a target that said it was busy is passed over.
-	DefaultBusyPause = 20 * time.Millisecond
+	// DefaultBusyBackoff is how long a target that said it was busy is passed over.
+	DefaultBusyBackoff = 20 * time.Millisecond
 
 	minSamples     = 8
 	leastWeight    = 0.1
@@ -33,13 +33,13 @@
 	patienceFactor = 4
 )
 
-// Verdict is how a request ended, as far as its target's health goes.
-type Verdict int
+// Outcome is how a request ended, as far as its target's health goes.
+type Outcome int
 
 // The verdicts.
 const (
-	// Good is a whole answer.
-	Good Verdict = iota
+	// Succeeded is a whole answer.
+	Succeeded Outcome = iota
 	// Failed is an error, a cut or wrong answer, or a timeout.
 	Failed
 	// Busy is a refusal for want of a slot; it says nothing about health.
@@ -54,16 +54,16 @@
 	Probe bool
 }
 
-// Ask is what a pick has to respect.
-type Ask struct {
+// Constraints is what a pick has to respect.
+type Constraints struct {
 	// Avoid is a target to pass over while another one is usable.
 	Avoid string
-	// Probe says that the request may be run again, so that it may test an ejected target.
-	Probe bool
-	// Bind says that a session is placed, which needs no slot yet.
-	Bind bool
-	// Free tells how many more requests a target may be given; nil means that only Slots counts.
-	Free func(info *target.Info) int
+	// Repeatable says that the request may be run again, so that it may test an ejected target.
+	Repeatable bool
+	// PlacementOnly says that a session is placed, which needs no slot yet.
+	PlacementOnly bool
+	// FreeSlots tells how many more requests a target may be given; nil means that only Slots counts.
+	FreeSlots func(info *target.Info) int
 }
 
 type entry struct {
@@ -95,9 +95,9 @@
 // New returns a Balancer without targets.
 func New(opts ...Option) *Balancer {
 	o := Options{
-		SlowStart: DefaultSlowStart, Failures: DefaultFailures, Ejection: DefaultEjection,
+		SlowStart: DefaultSlowStart, FailureThreshold: DefaultFailureThreshold, BaseEjection: DefaultBaseEjection,
 		MaxEjection: DefaultMaxEjection, SlowFactor: DefaultSlowFactor, SlowFloor: DefaultSlowFloor,
-		BusyPause: DefaultBusyPause,
+		BusyBackoff: DefaultBusyBackoff,
 	}
 	for _, f := range opts {
 		f(&o)
@@ -128,8 +128,8 @@
 	b.list, b.byID = list, byID
 }
 
-// Leaving marks a target that said so itself, ahead of the list.
-func (b *Balancer) Leaving(id string) {
+// MarkLeaving marks a target that said so itself, ahead of the list.
+func (b *Balancer) MarkLeaving(id string) {
 	if e, ok := b.byID[id]; ok {
 		e.left, e.info.Leaving = true, true
 	}
@@ -144,8 +144,8 @@
 	return e.info, true
 }
 
-// Usable counts the targets that may get new requests.
-func (b *Balancer) Usable() int {
+// UsableCount counts the targets that may get new requests.
+func (b *Balancer) UsableCount() int {
 	n := 0
 	for _, e := range b.list {
 		if !e.info.Leaving && !e.ejected {
@@ -155,8 +155,8 @@
 	return n
 }
 
-// Ejected counts the targets that are ejected now.
-func (b *Balancer) Ejected() int {
+// EjectedCount counts the targets that are ejected now.
+func (b *Balancer) EjectedCount() int {
 	n := 0
 	for _, e := range b.list {
 		if e.ejected {
@@ -167,8 +167,8 @@
 }
 
 // Pick chooses a target for a new request and counts it as outstanding there.
-func (b *Balancer) Pick(ask *Ask, now time.Time) (Choice, bool) {
-	if e := b.dueProbe(ask, now); e != nil && !ask.Bind {
+func (b *Balancer) Pick(ask *Constraints, now time.Time) (Choice, bool) {
+	if e := b.dueProbe(ask, now); e != nil && !ask.PlacementOnly {
 		e.probing = true
 		return b.take(e, true), true
 	}
@@ -178,8 +178,8 @@
 	return Choice{}, false
 }
 
-// Take counts a request that is bound to one target as outstanding there.
-func (b *Balancer) Take(id string, ask *Ask, now time.Time) (Choice, bool) {
+// PickByID counts a request that is bound to one target as outstanding there.
+func (b *Balancer) PickByID(id string, ask *Constraints, now time.Time) (Choice, bool) {
 	e, ok := b.byID[id]
 	if !ok || now.Before(e.busyUntil) || b.free(e, ask) <= 0 {
 		return Choice{}, false
@@ -194,12 +194,12 @@
 
 // dueProbe gives an ejected target whose time is up. A request that may not be repeated is risked
 // only after a multiple of that time, when nothing else has come to test the target.
-func (b *Balancer) dueProbe(ask *Ask, now time.Time) *entry {
+func (b *Balancer) dueProbe(ask *Constraints, now time.Time) *entry {
 	for _, e := range b.list {
 		if !e.ejected || e.probing || e.info.Leaving || e.info.ID == ask.Avoid || now.Before(e.until) {
 			continue
 		}
-		if !ask.Probe && now.Before(e.until.Add((patienceFactor-1)*b.ejection(e))) {
+		if !ask.Repeatable && now.Before(e.until.Add((patienceFactor-1)*b.ejection(e))) {
 			continue
 		}
 		if b.free(e, ask) > 0 {
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func (b *Balancer) best(ask *Ask, now time.Time) *entry {
+func (b *Balancer) best(ask *Constraints, now time.Time) *entry {
 	n := len(b.list)
 	if n == 0 {
 		return nil
@@ -231,8 +231,8 @@
 }
 
 // avoided gives the target to avoid itself when no other one is usable at all.
-func (b *Balancer) avoided(ask *Ask, now time.Time) *entry {
-	if ask.Avoid == "" || b.Usable() > 1 {
+func (b *Balancer) avoided(ask *Constraints, now time.Time) *entry {
+	if ask.Avoid == "" || b.UsableCount() > 1 {
 		return nil
 	}
 	again := *ask
@@ -244,11 +244,11 @@
 }
 
 // open gives e if it may get a new request now, and nil otherwise.
-func (b *Balancer) open(e *entry, ask *Ask, now time.Time) *entry {
+func (b *Balancer) open(e *entry, ask *Constraints, now time.Time) *entry {
 	if e.info.Leaving || e.ejected || e.info.ID == ask.Avoid {
 		return nil
 	}
-	if ask.Bind {
+	if ask.PlacementOnly {
 		return e
 	}
 	if now.Before(e.busyUntil) {
@@ -265,11 +265,11 @@
 	return e
 }
 
-func (b *Balancer) free(e *entry, ask *Ask) int {
-	if ask.Free == nil {
+func (b *Balancer) free(e *entry, ask *Constraints) int {
+	if ask.FreeSlots == nil {
 		return e.info.Slots - e.outstanding
 	}
-	return ask.Free(&e.info)
+	return ask.FreeSlots(&e.info)
 }
 
 func (b *Balancer) better(x, y *entry, now time.Time) *entry {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -26,30 +26,30 @@
 }
 
 // drive sends n checks one after the other, 10 ms apart, each ending as end says; it counts them by target.
-func drive(b *Balancer, n int, now *time.Time, repeatable bool, end func(id string) (Verdict, time.Duration)) map[string]int {
+func drive(b *Balancer, n int, now *time.Time, repeatable bool, end func(id string) (Outcome, time.Duration)) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		*now = now.Add(10 * time.Millisecond)
-		c, ok := b.Pick(&Ask{Probe: repeatable}, *now)
+		c, ok := b.Pick(&Constraints{Repeatable: repeatable}, *now)
 		if !ok {
 			continue
 		}
 		got[c.Info.ID]++
 		v, took := end(c.Info.ID)
 		b.Release(c.Info.ID)
-		b.Ended(c.Info.ID, v, took, *now)
+		b.RecordOutcome(c.Info.ID, v, took, *now)
 	}
 	return got
 }
 
-func good(string) (Verdict, time.Duration) { return Good, 10 * time.Millisecond }
+func good(string) (Outcome, time.Duration) { return Succeeded, 10 * time.Millisecond }
 
 // The callers wait behind one target, or lose checks to it, while the others are well.
 // Failing and slow targets are ejected; busy ones are not, because a queue is no illness; and where
 // more than half fail, the fault lies elsewhere and the rest must not be overrun.
 func TestEjection(t *testing.T) {
-	bad := func(sick int, v Verdict, took time.Duration) func(string) (Verdict, time.Duration) {
-		return func(id string) (Verdict, time.Duration) {
+	bad := func(sick int, v Outcome, took time.Duration) func(string) (Outcome, time.Duration) {
+		return func(id string) (Outcome, time.Duration) {
 			var i int
 			fmt.Sscanf(id, "t%d", &i)
 			if i < sick {
@@ -61,16 +61,16 @@
 	cases := []struct {
 		name string
 		n    int
-		end  func(string) (Verdict, time.Duration)
+		end  func(string) (Outcome, time.Duration)
 		want int
 	}{
 		{"all well", 6, good, 0},
 		{"one fails", 6, bad(1, Failed, time.Millisecond), 1},
-		{"one is slow", 6, bad(1, Good, 200*time.Millisecond), 1},
-		{"one is a little slow", 6, bad(1, Good, 30*time.Millisecond), 0},
+		{"one is slow", 6, bad(1, Succeeded, 200*time.Millisecond), 1},
+		{"one is a little slow", 6, bad(1, Succeeded, 30*time.Millisecond), 0},
 		{"one is busy", 6, bad(1, Busy, 0), 0},
 		{"one loses callers", 6, bad(1, Abandoned, time.Second), 0},
-		{"all are slow", 6, bad(6, Good, 200*time.Millisecond), 0},
+		{"all are slow", 6, bad(6, Succeeded, 200*time.Millisecond), 0},
 		{"all fail", 6, bad(6, Failed, time.Millisecond), 3},
 		{"four of six fail", 6, bad(4, Failed, time.Millisecond), 3},
 		{"one of one fails", 1, bad(1, Failed, time.Millisecond), 0},
@@ -82,7 +82,7 @@
 			b, now := New(), zero
 			b.Update(infos(c.n, 8), now)
 			drive(b, 600, &now, false, c.end)
-			is.Equal(b.Ejected(), c.want)
+			is.Equal(b.EjectedCount(), c.want)
 		})
 	}
 }
@@ -95,19 +95,19 @@
 	b, now := New(), zero
 	b.Update(infos(4, 8), now)
 	sick := true
-	end := func(id string) (Verdict, time.Duration) {
+	end := func(id string) (Outcome, time.Duration) {
 		if id == "t0" && sick {
 			return Failed, time.Millisecond
 		}
 		return good(id)
 	}
 	drive(b, 100, &now, false, end)
-	is.Equal(b.Ejected(), 1)
-	is.Equal(drive(b, 300, &now, false, end)["t0"], 0)                  // 3 s without repeatable checks: not risked.
-	is.True(drive(b, 3000, &now, true, end)["t0"] <= DefaultFailures+4) // 30 s: few probes.
+	is.Equal(b.EjectedCount(), 1)
+	is.Equal(drive(b, 300, &now, false, end)["t0"], 0)                          // 3 s without repeatable checks: not risked.
+	is.True(drive(b, 3000, &now, true, end)["t0"] <= DefaultFailureThreshold+4) // 30 s: few probes.
 	sick = false
 	back := drive(b, 6000, &now, true, end)["t0"]
-	is.Equal(b.Ejected(), 0)
+	is.Equal(b.EjectedCount(), 0)
 	is.True(back > 500)
 }
 
@@ -120,7 +120,7 @@
 	hold := func() int {
 		n := 0
 		for range 30 {
-			if c, ok := b.Pick(&Ask{}, now); ok && c.Info.ID == "t1" {
+			if c, ok := b.Pick(&Constraints{}, now); ok && c.Info.ID == "t1" {
 				n++
 			}
 		}
@@ -138,10 +138,10 @@
 	is := is.New(t)
 	b, now := New(), zero
 	b.Update(infos(2, 8), now)
-	b.Leaving("t0")
+	b.MarkLeaving("t0")
 	b.Update(infos(2, 8), now)
 	is.Equal(drive(b, 50, &now, true, good)["t0"], 0)
-	_, ok := b.Take("t0", &Ask{}, now)
+	_, ok := b.PickByID("t0", &Constraints{}, now)
 	is.True(ok) // Its sessions go on.
 }
 
@@ -155,17 +155,17 @@
 		for range 300 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(rt, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(rt, "pick") {
-				if c, ok := b.Pick(&Ask{Probe: rapid.Bool().Draw(rt, "probe"), Avoid: "t0"}, now); ok {
+				if c, ok := b.Pick(&Constraints{Repeatable: rapid.Bool().Draw(rt, "probe"), Avoid: "t0"}, now); ok {
 					busy = append(busy, c)
 				}
 			} else if len(busy) > 0 {
 				i := rapid.IntRange(0, len(busy)-1).Draw(rt, "which")
 				b.Release(busy[i].Info.ID)
-				b.Ended(busy[i].Info.ID, Verdict(rapid.IntRange(0, 3).Draw(rt, "v")), time.Second/10, now)
+				b.RecordOutcome(busy[i].Info.ID, Outcome(rapid.IntRange(0, 3).Draw(rt, "v")), time.Second/10, now)
 				busy = append(busy[:i], busy[i+1:]...)
 			}
-			if 2*b.Ejected() > n || b.Usable() == 0 {
-				rt.Fatalf("%d of %d ejected", b.Ejected(), n)
+			if 2*b.EjectedCount() > n || b.UsableCount() == 0 {
+				rt.Fatalf("%d of %d ejected", b.EjectedCount(), n)
 			}
 			count := make(map[string]int)
 			for _, c := range busy {
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -4,14 +4,14 @@
 
 // Options are what a Balancer is made of.
 type Options struct {
-	Seed        uint64
-	SlowStart   time.Duration
-	Failures    int
-	Ejection    time.Duration
-	MaxEjection time.Duration
-	SlowFactor  float64
-	SlowFloor   time.Duration
-	BusyPause   time.Duration
+	Seed             uint64
+	SlowStart        time.Duration
+	FailureThreshold int
+	BaseEjection     time.Duration
+	MaxEjection      time.Duration
+	SlowFactor       float64
+	SlowFloor        time.Duration
+	BusyBackoff      time.Duration
 }
 
 // Option sets up a Balancer.
@@ -25,5 +25,5 @@
 
 // Ejection sets how long a first ejection lasts and the most that a repeated one may last.
 func Ejection(first, most time.Duration) Option {
-	return func(o *Options) { o.Ejection, o.MaxEjection = first, most }
+	return func(o *Options) { o.BaseEjection, o.MaxEjection = first, most }
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ended learns from a request that worked on its target for the given time.
-func (b *Balancer) Ended(id string, v Verdict, took time.Duration, now time.Time) {
+// RecordOutcome learns from a request that worked on its target for the given time.
+func (b *Balancer) RecordOutcome(id string, v Outcome, took time.Duration, now time.Time) {
 	e, ok := b.byID[id]
 	if !ok {
 		return
@@ -17,15 +17,15 @@
 	case Abandoned:
 		return
 	case Busy:
-		e.busyUntil = now.Add(b.opts.BusyPause)
+		e.busyUntil = now.Add(b.opts.BusyBackoff)
 		return
 	case Failed:
 		e.failures++
 		b.learn(e, took)
-		if probe || e.failures >= b.opts.Failures {
+		if probe || e.failures >= b.opts.FailureThreshold {
 			b.eject(e, now)
 		}
-	case Good:
+	case Succeeded:
 		b.good(e, probe, took, now)
 	}
 	b.judge(now)
@@ -90,7 +90,7 @@
 // elsewhere, and the rest would be overrun.
 func (b *Balancer) eject(e *entry, now time.Time) {
 	if !e.ejected {
-		if 2*(b.Ejected()+1) > b.staying() {
+		if 2*(b.EjectedCount()+1) > b.staying() {
 			return
 		}
 		e.ejected = true
@@ -110,7 +110,7 @@
 }
 
 func (b *Balancer) ejection(e *entry) time.Duration {
-	d := b.opts.Ejection
+	d := b.opts.BaseEjection
 	for range e.ejections {
 		if d *= 2; d >= b.opts.MaxEjection {
 			return b.opts.MaxEjection
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -119,7 +119,7 @@
 	client := rpc.NewClient(w.rpc[0])
 	defer client.Close()
 	for began := time.Now(); time.Since(began) < patience; time.Sleep(pause) {
-		r, err := rpc.Call[view.NextCall, view.NextReply](context.Background(), client, view.NextMethod, &view.NextCall{})
+		r, err := rpc.Call[view.NextRequest, view.NextReply](context.Background(), client, view.NextMethod, &view.NextRequest{})
 		if err != nil {
 			continue
 		}
@@ -179,7 +179,7 @@
 func (w *world) submit(key string, tasks int, repeatable bool) string {
 	raw, err := json.Marshal(&job.Submission{
 		Key: key, Team: "team", Class: "class", Kind: job.Batch, Tasks: tasks, Repeatable: repeatable, RunSeconds: 3,
-		Each: job.Resources{Millicores: 1000, MemoryMB: 100},
+		TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100},
 	})
 	if err != nil {
 		w.t.Fatal(err)
@@ -195,7 +195,7 @@
 			continue
 		}
 		for _, k := range st.Tasks {
-			if k.Outcome != job.Done || k.Attempt != 1 || k.Answer == nil || !k.Answer.Whole() {
+			if k.Outcome != job.Done || k.Attempt != 1 || k.Answer == nil || !k.Answer.IsIntact() {
 				w.t.Errorf("job %s task %d: %s after attempt %d: %s", id, k.Index, k.Outcome, k.Attempt, k.Reason)
 			}
 		}
@@ -335,7 +335,7 @@
 	switch {
 	case b.Outcome == job.NotRun:
 		return 0, false
-	case b.Outcome != job.Done || !b.Answer.Whole():
+	case b.Outcome != job.Done || !b.Answer.IsIntact():
 		w.t.Fatalf("status %d, outcome %q: %s", resp.StatusCode, b.Outcome, b.Reason)
 	}
 	var echo struct{ Count int64 }
--- a/cell/trace_test.go
+++ b/cell/trace_test.go
@@ -88,7 +88,7 @@
 	}))
 	c := &route.Client{Zones: []string{zone}, Pool: pool, Owner: func(string) (string, bool) { return "10.0.0.1:1", true }}
 	desk := standintarget.New(target.Info{ID: "desk", Zone: zone, Service: "course-desk", Slots: 8, Connections: 64})
-	g = gate.New(gate.Zone(zone), gate.JobOwner(gate.Jobs{Submit: c.Submit, Status: c.Status, Wait: c.Wait}),
+	g = gate.New(gate.Zone(zone), gate.JobOwner(gate.JobClient{Submit: c.Submit, Status: c.Status, Wait: c.Wait}),
 		gate.Targets(func() []target.Info { return []target.Info{desk.Info()} }),
 		gate.Dial(func(target.Info, int) *target.Client { return desk.Client() }))
 	return g, func() {
--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -38,7 +38,7 @@
 // reach reads the view of the chosen scheduler.
 func (c *common) reach(ctx context.Context) (*near, error) {
 	n := &near{c: c, pool: rpc.NewPool()}
-	r, err := rpc.Call[view.NextCall, view.NextReply](ctx, n.pool.Get(c.Scheduler), view.NextMethod, &view.NextCall{Workers: true})
+	r, err := rpc.Call[view.NextRequest, view.NextReply](ctx, n.pool.Get(c.Scheduler), view.NextMethod, &view.NextRequest{Workers: true})
 	if err != nil {
 		n.pool.Close()
 		return nil, c.schedulerError(err)
@@ -64,7 +64,7 @@
 }
 
 func (n *near) state(ctx context.Context) (*operate.State, error) {
-	s, err := rpc.Call[operate.Ask, operate.State](ctx, n.pool.Get(n.c.Scheduler), operate.CallState, &operate.Ask{})
+	s, err := rpc.Call[operate.StateRequest, operate.State](ctx, n.pool.Get(n.c.Scheduler), operate.CallState, &operate.StateRequest{})
 	if err != nil {
 		return nil, n.c.schedulerError(err)
 	}
@@ -123,7 +123,7 @@
 
 // stored gives the version in the store, or zero when that does not answer.
 func (c *common) stored(ctx context.Context) int64 {
-	ctx, cancel := context.WithTimeout(ctx, operate.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operate.StateTimeout)
 	defer cancel()
 	kv, err := c.openStore()
 	if err != nil {
@@ -143,7 +143,7 @@
 		r.Newest = max(r.Newest, p.Rules)
 	}
 	for _, p := range s.InForce {
-		if p.Rules < r.Newest || s.At.Sub(p.Heard) > operate.Silent {
+		if p.Rules < r.Newest || s.At.Sub(p.Heard) > operate.SilentAfter {
 			r.Behind++
 		}
 	}
@@ -252,10 +252,10 @@
 	s := z.State
 	fmt.Printf(", epoch %d: %d live jobs, %d running tasks, %d of %d workers open, packing %.0f%%, %d refused\n",
 		s.Epoch, s.Live, s.Stats.Running, s.Stats.Open, s.Stats.Workers, 100*s.Stats.Packing, s.Refused)
-	if doubt := z.Doubt(); doubt != "" {
+	if doubt := z.Warning(); doubt != "" {
 		fmt.Println("  " + doubt)
 	}
-	for _, class := range operate.Classes(s.Stats.Pending) {
+	for _, class := range operate.PendingClasses(s.Stats.Pending) {
 		fmt.Printf("  %d tasks of class %s wait\n", s.Stats.Pending[class], plain(class))
 	}
 	for _, e := range s.Ejections {
--- a/cmd/ctl/day.go
+++ b/cmd/ctl/day.go
@@ -40,7 +40,7 @@
 	if err := wrong.Err(); err != nil {
 		return err
 	}
-	d := day.New(day.Named(c.Named))
+	d := day.New(day.MaxNamed(c.Named))
 	for _, name := range c.Args.Logs {
 		if err := read(name, "reading "+name, func(in io.Reader) error { return d.Read(in, name) }); err != nil {
 			return err
@@ -51,7 +51,7 @@
 		if name == "-" {
 			continue
 		}
-		if err := read(name, "finding lines in "+name, r.Attach); err != nil {
+		if err := read(name, "finding lines in "+name, r.AttachLines); err != nil {
 			return err
 		}
 	}
@@ -98,7 +98,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Page(f); err != nil {
+		if err := r.WritePage(f); err != nil {
 			f.Close()
 			return err
 		}
@@ -109,5 +109,5 @@
 	if c.cell.JSON {
 		return printJSON(r)
 	}
-	return r.Print(os.Stdout)
+	return r.WriteText(os.Stdout)
 }
--- a/cmd/ctl/edition.go
+++ b/cmd/ctl/edition.go
@@ -116,5 +116,5 @@
 	if err != nil {
 		return err
 	}
-	return r.cell.write(ctx, s, view.Edit{Base: now.Version, Raw: e.Rules, Editor: r.Editor})
+	return r.cell.write(ctx, s, view.Edit{BaseVersion: now.Version, Raw: e.Rules, Editor: r.Editor})
 }
--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -34,7 +34,7 @@
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&spec); err != nil {
-		return finding.List{{Place: x.Args.File, Reason: err.Error()}}
+		return finding.List{{Path: x.Args.File, Reason: err.Error()}}
 	}
 	if l := spec.Check(); len(l) > 0 {
 		return l
--- a/cmd/ctl/job.go
+++ b/cmd/ctl/job.go
@@ -62,7 +62,7 @@
 // Execute explains the job.
 func (w *why) Execute([]string) error {
 	if route.ZoneOf(w.Args.ID) == "" {
-		return finding.List{{Place: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
+		return finding.List{{Path: "job", Reason: "must be an id such as zone.1a2b, as 'ctl jobs' shows it"}}
 	}
 	return w.cell.with(func(ctx context.Context, n *near) error {
 		x, err := n.route().Explain(ctx, w.Args.ID)
--- a/cmd/ctl/main_test.go
+++ b/cmd/ctl/main_test.go
@@ -41,10 +41,10 @@
 	c := &cell{I: is.New(t), kv: svc.Store(), dir: t.TempDir()}
 	c.NoErr(err)
 	server := rpc.NewServer()
-	rpc.Handle(server, view.NextMethod, func(context.Context, *view.NextCall) (*view.NextReply, error) {
+	rpc.Handle(server, view.NextMethod, func(context.Context, *view.NextRequest) (*view.NextReply, error) {
 		return &view.NextReply{View: view.View{Rules: view.Rules{Version: c.known, Raw: []byte(`{"rules":[]}`)}}}, nil
 	})
-	rpc.Handle(server, operate.CallState, func(context.Context, *operate.Ask) (*operate.State, error) {
+	rpc.Handle(server, operate.CallState, func(context.Context, *operate.StateRequest) (*operate.State, error) {
 		return &operate.State{InForce: []view.Process{{ID: "gate-1", Rules: c.known}}}, nil
 	})
 	go func() { _ = server.Serve(l) }()
@@ -87,7 +87,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCell(t)
 			for base := range tc.stored {
-				_, err := operate.SetRules(context.Background(), c.kv, view.Edit{Base: base, Raw: []byte(`{"rules":[]}`)})
+				_, err := operate.SetRules(context.Background(), c.kv, view.Edit{BaseVersion: base, Raw: []byte(`{"rules":[]}`)})
 				c.NoErr(err)
 			}
 			c.known = tc.known
@@ -122,6 +122,6 @@
 	c.NoErr(err)
 	c.Equal(len(res.Pairs), 1)
 	rules := configuration.NewRules(zap.NewNop())
-	rules.Take(res.Pairs[0].Value)
+	rules.Apply(res.Pairs[0].Value)
 	c.Equal(rules.Decide(&job.Work{}).Refuse, "month end")
 }
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -50,10 +50,10 @@
 // Failure: the store was restored and holds older rules than the processes. Symptom: an edit based
 // on those is accepted and never in force, since no process goes back.
 // The scheduler is read first, so that its version is above the store's only after a restoration.
-func (c *common) current(ctx context.Context) (*store.Store, operate.Edition, error) {
+func (c *common) current(ctx context.Context) (*store.Store, operate.RulesVersion, error) {
 	s, err := c.openStore()
 	if err != nil {
-		return nil, operate.Edition{}, err
+		return nil, operate.RulesVersion{}, err
 	}
 	known := c.known(ctx)
 	e, err := operate.Current(ctx, s)
@@ -62,7 +62,7 @@
 	}
 	if known.Version > e.Version {
 		fmt.Fprintf(os.Stderr, "ctl: the store holds version %d, the cell has %d: the store was restored; edits go on from %d\n", e.Version, known.Version, known.Version)
-		return s, operate.Edition{Version: known.Version, Editor: "an editor unknown to the restored store", Rules: known.Raw}, nil
+		return s, operate.RulesVersion{Version: known.Version, Editor: "an editor unknown to the restored store", Rules: known.Raw}, nil
 	}
 	if e.Version == 0 {
 		e.Rules, e.Editor = standard.Document(), "the standard rules"
@@ -72,7 +72,7 @@
 
 // known gives the rules that the chosen scheduler has, if it answers soon.
 func (c *common) known(ctx context.Context) view.Rules {
-	ctx, cancel := context.WithTimeout(ctx, operate.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operate.StateTimeout)
 	defer cancel()
 	n, err := c.reach(ctx)
 	if err != nil {
@@ -112,17 +112,17 @@
 	return printJSON(e.Rules)
 }
 
-func (c *common) edition(ctx context.Context, s *store.Store, version int64) (operate.Edition, error) {
+func (c *common) edition(ctx context.Context, s *store.Store, version int64) (operate.RulesVersion, error) {
 	l, err := operate.History(ctx, s)
 	if err != nil {
-		return operate.Edition{}, c.storeError(err)
+		return operate.RulesVersion{}, c.storeError(err)
 	}
 	for _, e := range l {
 		if e.Version == version {
 			return e, nil
 		}
 	}
-	return operate.Edition{}, &exit{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
+	return operate.RulesVersion{}, &exit{exitUsage, fmt.Errorf("version %d is not kept; see 'ctl rules history'", version)}
 }
 
 type rulesCheck struct {
@@ -178,14 +178,14 @@
 	}
 	switch {
 	case r.Base < 0 || r.Base > now.Version:
-		return finding.List{{Place: "base", Reason: fmt.Sprintf("must be at most %d, the version in force; see 'ctl rules get'", now.Version)}}
+		return finding.List{{Path: "base", Reason: fmt.Sprintf("must be at most %d, the version in force; see 'ctl rules get'", now.Version)}}
 	case r.Base < now.Version:
 		return r.cell.printConflict(&view.Conflict{
 			Yours:  view.Rules{Version: r.Base, Raw: raw},
 			Theirs: view.Rules{Version: now.Version, Raw: now.Rules}, Editor: now.Editor,
 		})
 	}
-	return r.cell.write(ctx, s, view.Edit{Base: r.Base, Raw: raw, Editor: r.Editor})
+	return r.cell.write(ctx, s, view.Edit{BaseVersion: r.Base, Raw: raw, Editor: r.Editor})
 }
 
 // accepted is what a write of rules prints as JSON.
--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -46,11 +46,11 @@
 }
 
 func run(settings *platform.Settings, path string) int {
-	out := logger.NewBounded(os.Stdout)
+	out := logger.NewAsyncWriter(os.Stdout)
 	defer out.Close()
-	log := logger.NewTo("entry", out).With(zap.String("vm", settings.ID))
+	log := logger.NewWithOutput("entry", out).With(zap.String("vm", settings.ID))
 	service := turmericgap.New(turmericgap.Name("entry"), turmericgap.Logger(log), turmericgap.OpsAddress(settings.Metrics),
-		turmericgap.ShutdownWithin(settings.ShutdownWithin*9/10))
+		turmericgap.ShutdownTimeout(settings.ShutdownWithin*9/10))
 	err := wire(service, settings, path, out.Dropped)
 	if err == nil {
 		err = service.Run()
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -46,7 +46,7 @@
 	client   *platform.Client
 	peers    *rpc.Pool
 	server   *rpc.Server
-	config   *configuration.Keeper
+	config   *configuration.Watcher
 	rules    *configuration.Rules
 	group    *owner.Group
 	dispatch *dispatch.Dispatcher
@@ -87,7 +87,7 @@
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.askConfig, logger.Part(p.log, "configuration"))
 	p.group = owner.New(kv, owner.Node{ID: s.ID, Zone: s.Zone, Address: s.Peers, Strength: strength(s)},
-		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Take),
+		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
 		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, AskPermit: ask,
--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -86,19 +86,19 @@
 	if err != nil {
 		return err
 	}
-	kv, err := process.Store(service, &s.Process)
+	kv, err := process.OpenStore(service, &s.Process)
 	if err != nil {
 		return err
 	}
 	log := service.Logger()
 	p := &parts{pool: rpc.NewPool(), calls: webcall.New(), server: rpc.NewServer()}
-	p.group = process.Group(service, kv, &s.Process, member.RoleGate, process.Viewer{
-		View:  func() *view.View { return p.follower.View() },
-		Heard: func(m member.Member, v int64) { p.follower.Heard(m, v) },
+	p.group = process.NewGroup(service, kv, &s.Process, member.RoleGate, process.ViewHooks{
+		View:           func() *view.View { return p.follower.View() },
+		OnRulesVersion: func(m member.Member, v int64) { p.follower.NotifyNewerRules(m, v) },
 	}, member.OnChange(func(t member.Table) { p.gate.SetTable(gateTable(t)) }))
 	p.follower = view.NewFollower(s.Scheduler, view.Self(p.group.Self()), view.Groups(p.group),
 		view.Seeds(s.Seeds...), view.Logger(logger.Part(log, "view")), view.Metrics(service.Metrics()))
-	rules := &process.Rules{View: p.follower.View, Logger: log}
+	rules := &process.RuleFollower{View: p.follower.View, Logger: log}
 	p.gate = gate.New(gate.ID(gateID(p.group.Self())), gate.Zone(s.Zone), gate.Dial(web.New(p.calls)),
 		gate.Targets(func() []target.Info { return p.follower.View().Targets }),
 		gate.Member(p.group.Valid, p.group.JoinedVersion), gate.OverRPC(p.pool, p.gateAddress, p.gatesOf),
@@ -107,7 +107,7 @@
 		gate.Logger(logger.Part(log, "gate")), gate.Metrics(service.Metrics()))
 	p.register()
 	service.Init(
-		turmericgap.Ready(p.gate.Ready), turmericgap.AddPage("/gate", p.gate.ServePage),
+		turmericgap.Ready(p.gate.Ready), turmericgap.AddPage("/gate", p.gate.ServeStatus),
 		turmericgap.Start(func() error {
 			go func() { _ = p.server.Serve(peers) }()
 			go func() { _ = p.gate.Serve(callers) }()
@@ -171,13 +171,13 @@
 	return "", false
 }
 
-func (p *parts) jobs(s *settings) gate.Jobs {
+func (p *parts) jobs(s *settings) gate.JobClient {
 	c := &route.Client{Zones: s.Zones, Pool: p.pool, Owner: func(zone string) (string, bool) {
 		t, _ := p.follower.View().Table(zone, member.RoleScheduler)
 		m, ok := t.Find(t.Owner)
 		return m.Address, ok
 	}}
-	return gate.Jobs{
+	return gate.JobClient{
 		Submit: c.Submit, Status: c.Status, Wait: c.Wait,
 		Cancel: func(ctx context.Context, id string) (*job.Status, error) { return c.Cancel(ctx, id, cancelReason) },
 	}
@@ -192,7 +192,7 @@
 		return gate.Decision{}
 	}
 	d := gate.Decision{
-		Refuse: e.Refuse, Service: e.Service, Retries: e.Retries, Queue: e.MostPending,
+		RefusalReason: e.Refuse, Service: e.Service, Retries: e.Retries, Queue: e.MostPending,
 		Timeout: time.Duration(e.TimeoutSeconds) * time.Second,
 	}
 	if len(e.Zones) > 0 {
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -61,7 +61,7 @@
 	logger.Level.SetLevel(common.Level())
 	service := turmericgap.New(turmericgap.Name(name), turmericgap.OpsAddress(common.OpsAddress),
 		turmericgap.Trace(common.Trace.Exporter, common.Trace.Address),
-		turmericgap.ShutdownWithin(setting.Millis(common.ShutdownMillis)))
+		turmericgap.ShutdownTimeout(setting.Millis(common.ShutdownMillis)))
 	err := wire(service)
 	if err == nil {
 		err = service.Run()
@@ -72,8 +72,8 @@
 	}
 }
 
-// Store opens the platform's key-value service and counts this process's calls of it.
-func Store(s *turmericgap.Service, p *setting.Process) (*store.Store, error) {
+// OpenStore opens the platform's key-value service and counts this process's calls of it.
+func OpenStore(s *turmericgap.Service, p *setting.Process) (*store.Store, error) {
 	kv, err := store.Open(p.Store.Kind, p.Store.Endpoint)
 	if err != nil {
 		return nil, err
@@ -81,40 +81,40 @@
 	return meter.New(kv, meter.Metrics(s.Metrics())), nil
 }
 
-// Viewer is where a Group learns what the process's view knows.
-type Viewer struct {
-	View  func() *view.View
-	Heard func(from member.Member, version int64)
+// ViewHooks is where a Group learns what the process's view knows.
+type ViewHooks struct {
+	View           func() *view.View
+	OnRulesVersion func(from member.Member, version int64)
 }
 
-// Group makes this process's part in the table of its zone and role.
-func Group(s *turmericgap.Service, kv *store.Store, p *setting.Process, role string, v Viewer, opts ...member.Option) *member.Group {
+// NewGroup makes this process's part in the table of its zone and role.
+func NewGroup(s *turmericgap.Service, kv *store.Store, p *setting.Process, role string, v ViewHooks, opts ...member.Option) *member.Group {
 	self := member.Member{ID: p.ID, Role: role, Zone: p.Zone, Address: p.RPCAddress, VM: p.VM}
 	base := []member.Option{
 		member.Logger(logger.Part(s.Logger(), "member")), member.Metrics(s.Metrics()),
-		member.ListedVMs(func() (map[string]bool, bool) { return v.View().Listed() }),
-		member.Rules(func() int64 { return v.View().Rules.Version }, v.Heard),
+		member.ListedVMs(func() (map[string]bool, bool) { return v.View().ListedVMs() }),
+		member.Rules(func() int64 { return v.View().Rules.Version }, v.OnRulesVersion),
 	}
 	return member.New(kv, self, append(base, opts...)...)
 }
 
-// Valid is the readiness of a process that acts only as a valid member.
-func Valid(g *member.Group) error {
+// CheckMembership is the readiness of a process that acts only as a valid member.
+func CheckMembership(g *member.Group) error {
 	if !g.Valid() {
 		return errors.New("membership does not hold now")
 	}
 	return nil
 }
 
-// Listing reads the platform's VM list.
-func Listing(calls *webcall.Pool, address string) func(context.Context) (view.Listing, error) {
+// VMListReader reads the platform's VM list.
+func VMListReader(calls *webcall.Pool, address string) func(context.Context) (view.VMList, error) {
 	source := web.New(calls, address)
-	return func(ctx context.Context) (view.Listing, error) {
+	return func(ctx context.Context) (view.VMList, error) {
 		l, err := source.Read(ctx)
 		if err != nil {
-			return view.Listing{}, err
+			return view.VMList{}, err
 		}
-		out := view.Listing{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
+		out := view.VMList{Version: l.Version, Workers: l.Workers, Targets: l.Targets, Entries: make(map[string]bool, len(l.Entries))}
 		for _, e := range l.Entries {
 			out.Entries[e.ID] = true
 		}
@@ -122,8 +122,8 @@
 	}
 }
 
-// Rules follows the view's rule document; until there is one, the standard list decides.
-type Rules struct {
+// RuleFollower follows the view's rule document; until there is one, the standard list decides.
+type RuleFollower struct {
 	View   func() *view.View
 	Logger *zap.Logger
 
@@ -133,13 +133,13 @@
 }
 
 // List gives the rules in force.
-func (r *Rules) List() *rule.List {
-	l, _ := r.Newer()
+func (r *RuleFollower) List() *rule.List {
+	l, _ := r.Refresh()
 	return l
 }
 
-// Newer gives the rules in force and whether they changed since the last call.
-func (r *Rules) Newer() (l *rule.List, newer bool) {
+// Refresh gives the rules in force and whether they changed since the last call.
+func (r *RuleFollower) Refresh() (l *rule.List, newer bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.list == nil {
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -74,7 +74,7 @@
 func (o *options) submit(n int) error {
 	raw, err := json.Marshal(&job.Submission{
 		Key: fmt.Sprintf("%s-%d", o.Name, n), Team: fmt.Sprint("team-", n%22), Class: "load", Kind: job.Batch, Tasks: 1,
-		Repeatable: true, Zone: o.Zone, RunSeconds: o.Run, Each: job.Resources{Millicores: 1000, MemoryMB: 1000},
+		Repeatable: true, Zone: o.Zone, RunSeconds: o.Run, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 1000},
 	})
 	if err != nil {
 		return err
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -43,20 +43,20 @@
 	if err != nil {
 		return err
 	}
-	kv, err := process.Store(service, p)
+	kv, err := process.OpenStore(service, p)
 	if err != nil {
 		return err
 	}
 	calls := webcall.New()
 	var keeper *view.Keeper
-	group := process.Group(service, kv, p, member.RoleScheduler, process.Viewer{
-		View:  func() *view.View { return keeper.View() },
-		Heard: func(m member.Member, v int64) { keeper.Heard(m, v) },
+	group := process.NewGroup(service, kv, p, member.RoleScheduler, process.ViewHooks{
+		View:           func() *view.View { return keeper.View() },
+		OnRulesVersion: func(m member.Member, v int64) { keeper.NotifyNewerRules(m, v) },
 	})
 	log := service.Logger()
 	keeper = view.New(kv, view.Self(group.Self()), view.Groups(group), view.Logger(logger.Part(log, "view")),
-		view.Metrics(service.Metrics()), view.List(process.Listing(calls, p.ListAddress)))
-	rules := process.Rules{View: keeper.View, Logger: log}
+		view.Metrics(service.Metrics()), view.List(process.VMListReader(calls, p.ListAddress)))
+	rules := process.RuleFollower{View: keeper.View, Logger: log}
 	sched := scheduler.New(
 		scheduler.Zone(p.Zone), scheduler.Store(kv), scheduler.Owns(group.Owns), scheduler.Dial(web.New(calls)),
 		scheduler.Workers(func() []worker.Info { return keeper.View().Workers }),
@@ -64,7 +64,7 @@
 		scheduler.Journal(record.Metrics(service.Metrics()), record.Rate(cellWrites/float64(len(p.Zones)), writeBurst)),
 		scheduler.Planner(func() *planner.Planner { return planner.New(planner.Rules(rules.List())) }),
 		scheduler.Rules(func(pl *planner.Planner) {
-			if l, newer := rules.Newer(); newer {
+			if l, newer := rules.Refresh(); newer {
 				pl.SetRules(l)
 			}
 		}))
@@ -72,12 +72,12 @@
 	sched.Register(server)
 	keeper.Register(server)
 	rpc.Handle(server, member.HeartbeatMethod, group.HandleHeartbeat)
-	operators := &operate.Source{Members: group.Status, InForce: keeper.InForce, Zone: sched.State, View: keeper.View}
+	operators := &operate.Source{Members: group.Status, InForce: keeper.RulesByProcess, Zone: sched.State, View: keeper.View}
 	operators.Register(server)
 	pool := rpc.NewPool()
 	service.Init(
 		turmericgap.AddPage("/status", status.NewServer(p.ID, operators.Collector(pool)).ServeHTTP),
-		turmericgap.Ready(func() error { return process.Valid(group) }),
+		turmericgap.Ready(func() error { return process.CheckMembership(group) }),
 		turmericgap.Start(func() error {
 			go func() { _ = server.Serve(listener) }()
 			keeper.Start(context.Background())
--- a/cmd/standinlist/main.go
+++ b/cmd/standinlist/main.go
@@ -41,7 +41,7 @@
 func (o *options) keepEntries(l *list.List) {
 	var vms vmlist.List
 	for id, zone := range o.Entries {
-		vms.Entries = append(vms.Entries, vmlist.Entry{ID: id, Zone: zone})
+		vms.Entries = append(vms.Entries, vmlist.EntryVM{ID: id, Zone: zone})
 	}
 	for {
 		l.Register(vms)
--- a/cmd/standinworker/main.go
+++ b/cmd/standinworker/main.go
@@ -72,8 +72,8 @@
 func (o *options) workerOptions(judge *history.Checker) []standin.Option {
 	use := func(s *worker.Start) job.Resources {
 		return job.Resources{
-			Millicores: s.Each.Millicores * o.Use / 100, MemoryMB: s.Each.MemoryMB * o.Use / 100,
-			Accelerators: s.Each.Accelerators,
+			Millicores: s.Resources.Millicores * o.Use / 100, MemoryMB: s.Resources.MemoryMB * o.Use / 100,
+			Accelerators: s.Resources.Accelerators,
 		}
 	}
 	opts := []standin.Option{standin.RunTime(o.Run), standin.Usage(use), standin.Record(judge.Record)}
--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -27,8 +27,8 @@
 	Raw     []byte `msgpack:"r"`
 }
 
-// Keeper holds the newest configuration that this process has seen.
-type Keeper struct {
+// Watcher holds the newest configuration that this process has seen.
+type Watcher struct {
 	key    string
 	decode func(raw []byte) (*job.Config, error)
 	ask    func(ctx context.Context, known int64) (*Document, error)
@@ -46,8 +46,8 @@
 // New returns a Keeper of the document under key. ask gets a newer one from another VM, or nil.
 func New(kv *store.Store, key string, decode func([]byte) (*job.Config, error),
 	ask func(ctx context.Context, known int64) (*Document, error), log *zap.Logger,
-) *Keeper {
-	k := &Keeper{key: key, decode: decode, ask: ask, log: log, cancel: func() {}}
+) *Watcher {
+	k := &Watcher{key: key, decode: decode, ask: ask, log: log, cancel: func() {}}
 	k.heard.Store(time.Now().UnixNano())
 	k.follow = &follow.Follower{
 		Store: kv, Prefix: key, Logger: log,
@@ -59,7 +59,7 @@
 }
 
 // Start begins to follow the store.
-func (k *Keeper) Start() {
+func (k *Watcher) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	k.cancel = cancel
 	k.wg.Go(func() { k.follow.Run(ctx) })
@@ -67,41 +67,41 @@
 }
 
 // Current gives the configuration in force, or nil.
-func (k *Keeper) Current() *job.Config { return k.now.Load() }
+func (k *Watcher) Current() *job.Config { return k.now.Load() }
 
-// Heard gives when the store last answered this VM.
-func (k *Keeper) Heard() time.Time { return time.Unix(0, k.heard.Load()) }
+// LastAnswer gives when the store last answered this VM.
+func (k *Watcher) LastAnswer() time.Time { return time.Unix(0, k.heard.Load()) }
 
 // Document gives the configuration in force as it was written.
-func (k *Keeper) Document() Document {
+func (k *Watcher) Document() Document {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.doc
 }
 
 // Close stops following.
-func (k *Keeper) Close() {
+func (k *Watcher) Close() {
 	k.cancel()
 	k.wg.Wait()
 }
 
-func (k *Keeper) alive(err error) {
+func (k *Watcher) alive(err error) {
 	if err == nil {
 		k.heard.Store(time.Now().UnixNano())
 	}
 }
 
-func (k *Keeper) takePairs(pairs []store.Pair) {
+func (k *Watcher) takePairs(pairs []store.Pair) {
 	for i := range pairs {
 		if pairs[i].Key == k.key && len(pairs[i].Value) > 0 {
-			k.Take(pairs[i].Value, "store")
+			k.Apply(pairs[i].Value, "store")
 		}
 	}
 }
 
-// Take puts a document in force if it is newer than the present one. One that cannot be read leaves
+// Apply puts a document in force if it is newer than the present one. One that cannot be read leaves
 // the present one in force.
-func (k *Keeper) Take(raw []byte, from string) {
+func (k *Watcher) Apply(raw []byte, from string) {
 	c, err := k.decode(raw)
 	if err != nil {
 		k.log.Error("configuration: a document cannot be read", zap.String("from", from), zap.Error(err))
@@ -118,7 +118,7 @@
 }
 
 // askOthers asks other VMs while the store is silent towards this one.
-func (k *Keeper) askOthers(ctx context.Context) {
+func (k *Watcher) askOthers(ctx context.Context) {
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
 	for {
@@ -127,14 +127,14 @@
 			return
 		case <-tick.C:
 		}
-		if time.Since(k.Heard()) < askAfter {
+		if time.Since(k.LastAnswer()) < askAfter {
 			continue
 		}
 		within, cancel := context.WithTimeout(ctx, askWait)
 		doc, err := k.ask(within, k.Document().Version)
 		cancel()
 		if err == nil && doc != nil && len(doc.Raw) > 0 {
-			k.Take(doc.Raw, "another VM")
+			k.Apply(doc.Raw, "another VM")
 		}
 	}
 }
--- a/configuration/configuration_test.go
+++ b/configuration/configuration_test.go
@@ -47,7 +47,7 @@
 		is.Equal(k.Current().Version, int64(7))
 		for _, text := range []string{"6", "not a version", "7"} {
 			write(t, s, text)
-			k.Take([]byte("5"), "peer")
+			k.Apply([]byte("5"), "peer")
 			synctest.Wait()
 			is.Equal(k.Current().Version, int64(7))
 		}
--- a/configuration/rules.go
+++ b/configuration/rules.go
@@ -34,9 +34,9 @@
 	Rules   json.RawMessage `json:"rules"`
 }
 
-// Take puts a stored document in force if it is newer. A store that was restored may tell of an older one;
+// Apply puts a stored document in force if it is newer. A store that was restored may tell of an older one;
 // rules that were accepted never come back.
-func (r *Rules) Take(raw []byte) {
+func (r *Rules) Apply(raw []byte) {
 	var s storedRules
 	if err := json.Unmarshal(raw, &s); err != nil {
 		r.log.Error("configuration: stored rules cannot be read, the last ones stay in force", zap.Error(err))
--- a/day/day.go
+++ b/day/day.go
@@ -15,10 +15,10 @@
 
 // Defaults and bounds.
 const (
-	// DefaultMostWorks bounds the works that are followed, and with them memory: half a kilobyte each.
-	DefaultMostWorks = 200_000
-	// DefaultNamed is how many lost and how many slow works a report names.
-	DefaultNamed = 10
+	// DefaultMaxWorks bounds the works that are followed, and with them memory: half a kilobyte each.
+	DefaultMaxWorks = 200_000
+	// DefaultMaxNamed is how many lost and how many slow works a report names.
+	DefaultMaxNamed = 10
 	// mostLine bounds a line, in bytes; our own are below a kilobyte.
 	mostLine = 1 << 20
 	// mostFindings bounds the lines that are named as unreadable; the others are counted.
@@ -32,21 +32,21 @@
 
 // Options are what a Day is made of.
 type Options struct {
-	// MostWorks bounds the works that are followed, Named those that are named as lost and as slow.
-	MostWorks, Named int
+	// MaxWorks bounds the works that are followed, MaxNamed those that are named as lost and as slow.
+	MaxWorks, MaxNamed int
 }
 
 // Option sets up a Day.
 type Option func(*Options)
 
-// MostWorks bounds the works that are followed.
-func MostWorks(n int) Option { return func(o *Options) { o.MostWorks = n } }
+// MaxWorks bounds the works that are followed.
+func MaxWorks(n int) Option { return func(o *Options) { o.MaxWorks = n } }
 
-// Named sets how many lost and how many slow works are named.
-func Named(n int) Option { return func(o *Options) { o.Named = n } }
+// MaxNamed sets how many lost and how many slow works are named.
+func MaxNamed(n int) Option { return func(o *Options) { o.MaxNamed = n } }
 
-// Day gathers what the lines of a day tell. It is not safe for concurrent use.
-type Day struct {
+// Analyzer gathers what the lines of a day tell. It is not safe for concurrent use.
+type Analyzer struct {
 	o     Options
 	works map[string]*work
 	// leftOut counts lines of works beyond MostWorks.
@@ -86,9 +86,9 @@
 }
 
 // New returns a Day that has read nothing.
-func New(opts ...Option) *Day {
-	d := &Day{
-		o:     Options{MostWorks: DefaultMostWorks, Named: DefaultNamed},
+func New(opts ...Option) *Analyzer {
+	d := &Analyzer{
+		o:     Options{MaxWorks: DefaultMaxWorks, MaxNamed: DefaultMaxNamed},
 		works: make(map[string]*work), tenures: make(map[int64]*Tenure), failures: make(map[int64]*Outage), loads: make(map[time.Time]*Load), refusals: make(map[string]*Refusal),
 	}
 	for _, f := range opts {
@@ -99,7 +99,7 @@
 
 // Read takes in the lines of a log; name is what findings call it. A line that cannot be read is a finding, and
 // reading goes on with the next one. The error is that of the reader alone.
-func (d *Day) Read(r io.Reader, name string) error {
+func (d *Analyzer) Read(r io.Reader, name string) error {
 	return eachLine(r, func(number int, raw []byte, tooLong bool) {
 		place := fmt.Sprintf("%s:%d", name, number)
 		if tooLong {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (d *Day) fault(place string, err error) {
+func (d *Analyzer) fault(place string, err error) {
 	d.bad++
 	if len(d.findings) < mostFindings {
 		d.findings.Add(place, "not a log line: %v", err)
@@ -147,14 +147,14 @@
 }
 
 // Findings gives the lines that could not be read, the first of them by their place.
-func (d *Day) Findings() finding.List {
+func (d *Analyzer) Findings() finding.List {
 	if more := d.bad - len(d.findings); more > 0 {
-		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Place: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
+		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Path: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
 	}
 	return d.findings
 }
 
-func (d *Day) take(l *line) {
+func (d *Analyzer) take(l *line) {
 	d.lines++
 	earliest(&d.from, l.Time)
 	latest(&d.until, l.Time)
@@ -190,13 +190,13 @@
 }
 
 // work gives the work of that ID, nil for a line of no work, or of one too many.
-func (d *Day) work(id string) *work {
+func (d *Analyzer) work(id string) *work {
 	if id == "" {
 		return nil
 	}
 	w := d.works[id]
 	if w == nil {
-		if len(d.works) >= d.o.MostWorks {
+		if len(d.works) >= d.o.MaxWorks {
 			d.leftOut++
 			return nil
 		}
@@ -206,7 +206,7 @@
 	return w
 }
 
-func (d *Day) tenure(l *line) *Tenure {
+func (d *Analyzer) tenure(l *line) *Tenure {
 	t := d.tenures[l.Fence]
 	if t == nil {
 		t = &Tenure{VM: l.VM, Fence: l.Fence}
@@ -221,7 +221,7 @@
 // refusedFrom is the lowest status that tells a caller that nothing was done, or that it is not known.
 const refusedFrom = 400
 
-func (d *Day) answered(l *line) {
+func (d *Analyzer) answered(l *line) {
 	if l.Status < refusedFrom {
 		return
 	}
@@ -234,7 +234,7 @@
 
 // refusal gives the refusals for one reason. Those for reasons beyond the bound are together, without the method
 // and status that they do not share.
-func (d *Day) refusal(method string, status int, reason string) *Refusal {
+func (d *Analyzer) refusal(method string, status int, reason string) *Refusal {
 	key := fmt.Sprintf("%s %d %s", method, status, reason)
 	if d.refusals[key] == nil && len(d.refusals) >= mostReasons {
 		key, method, status, reason = otherReasons, "", 0, otherReasons
@@ -245,7 +245,7 @@
 	return d.refusals[key]
 }
 
-func (d *Day) failed(at time.Time) {
+func (d *Analyzer) failed(at time.Time) {
 	o := d.failures[at.Unix()]
 	if o == nil {
 		o = &Outage{}
--- a/day/day_test.go
+++ b/day/day_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	r := d.Report()
-	if err := r.Attach(bytes.NewReader(raw)); err != nil {
+	if err := r.AttachLines(bytes.NewReader(raw)); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	r := readLog(t)
 	var text bytes.Buffer
-	is.NoErr(r.Print(&text))
+	is.NoErr(r.WriteText(&text))
 	golden.Equal(t, "testdata/day.txt", text.Bytes())
 	raw, err := json.MarshalIndent(r, "", "  ")
 	is.NoErr(err)
@@ -55,7 +55,7 @@
 	is.NoErr(d.Read(strings.NewReader(strings.Join(lines, "\n")), logFile))
 	got, want := d.Report(), readLog(t)
 	got.Findings, want.Findings = nil, nil
-	for _, list := range [][]Path{want.Lost, want.Slowest} {
+	for _, list := range [][]WorkDetail{want.Lost, want.Slowest} {
 		for i := range list {
 			list[i].Lines = nil
 		}
@@ -79,15 +79,15 @@
 	is.Equal(r.Lines, 2)
 	is.Equal(r.Unreadable, mostFindings+2)
 	is.Equal(len(r.Findings), mostFindings+1)
-	is.Equal(r.Findings[0].Place, "log:2")
-	is.Equal(r.Findings[1].Place, "log:3")
+	is.Equal(r.Findings[0].Path, "log:2")
+	is.Equal(r.Findings[1].Path, "log:3")
 	is.Equal(r.Findings[mostFindings].Reason, "2 cannot be read either")
 }
 
 // A log of weeks has more works than memory holds. Those beyond the bound are counted, not followed.
 func TestWorksAreBounded(t *testing.T) {
 	is := is.New(t)
-	r := readLog(t, MostWorks(2), Named(1))
+	r := readLog(t, MaxWorks(2), MaxNamed(1))
 	is.True(r.LeftOut > 0)
 	works := 0
 	for _, g := range r.Groups {
@@ -125,10 +125,10 @@
 	d := New()
 	is.NoErr(d.Read(strings.NewReader(`{"time":"2026-10-07T22:55:00Z","msg":"dispatch: work taken","id":"a","queue":"<script>x</script>","class":"usual","age":0}`), "log"))
 	var page bytes.Buffer
-	is.NoErr(d.Report().Page(&page))
+	is.NoErr(d.Report().WritePage(&page))
 	is.True(!strings.Contains(page.String(), "<script>"))
 	page.Reset()
-	is.NoErr(readLog(t).Page(&page))
+	is.NoErr(readLog(t).WritePage(&page))
 	is.Equal(strings.Count(page.String(), "<svg"), 5) // three of rosters, two of checks, which never wait as gangs
 	is.Equal(strings.Count(page.String(), "<?xml"), 0)
 }
--- a/day/group.go
+++ b/day/group.go
@@ -10,11 +10,11 @@
 
 // Group is works of one queue; Zone or Class is empty where it holds all of them.
 type Group struct {
-	Queue string       `json:"queue"`
-	Zone  string       `json:"zone,omitempty"`
-	Class string       `json:"class,omitempty"`
-	Works int          `json:"works"`
-	Fates map[Fate]int `json:"fates"`
+	Queue    string          `json:"queue"`
+	Zone     string          `json:"zone,omitempty"`
+	Class    string          `json:"class,omitempty"`
+	Works    int             `json:"works"`
+	Outcomes map[Outcome]int `json:"fates"`
 	// Owed are those that ended or were lost, but for the cancelled; Served is the share of them that was done.
 	Owed   int     `json:"owed"`
 	Served float64 `json:"served"`
@@ -58,7 +58,7 @@
 }
 
 // keys gives the groups of works: those of a queue, of each of its classes, of each of its zones.
-func keys(works []outcome) []groupKey {
+func keys(works []judgedWork) []groupKey {
 	found := make(map[groupKey]bool)
 	for _, w := range works {
 		found[groupKey{queue: w.queue}] = true
@@ -75,23 +75,23 @@
 	return list
 }
 
-func (d *Day) group(key groupKey, works []outcome) Group {
-	g := Group{Queue: key.queue, Zone: key.zone, Class: key.class, Fates: make(map[Fate]int), GangSeconds: make(map[string]int)}
+func (d *Analyzer) group(key groupKey, works []judgedWork) Group {
+	g := Group{Queue: key.queue, Zone: key.zone, Class: key.class, Outcomes: make(map[Outcome]int), GangSeconds: make(map[string]int)}
 	times := make(map[Stage][]float64)
-	windows := make(map[int][]outcome)
+	windows := make(map[int][]judgedWork)
 	for _, w := range works {
 		if !key.holds(w.work) {
 			continue
 		}
 		g.Works++
-		g.Fates[w.fate]++
+		g.Outcomes[w.fate]++
 		for s, t := range w.stages {
 			times[s] = append(times[s], t)
 		}
 		windows[d.window(w.accepted)] = append(windows[d.window(w.accepted)], w)
 	}
-	g.Owed, g.Served = served(g.Fates)
-	g.Done = done(g.Works, g.Fates)
+	g.Owed, g.Served = served(g.Outcomes)
+	g.Done = done(g.Works, g.Outcomes)
 	g.InTimeSeconds, g.LateSeconds = d.waitedSeconds(key)
 	for _, s := range Stages {
 		if ts := times[s]; len(ts) > 0 {
@@ -112,11 +112,11 @@
 }
 
 // window gives the number of the window of a moment; what was accepted before the first line counts to the first.
-func (d *Day) window(at time.Time) int { return max(int(at.Sub(d.from)/windowLength), 0) }
+func (d *Analyzer) window(at time.Time) int { return max(int(at.Sub(d.from)/windowLength), 0) }
 
-func window(i int, works []outcome, waits map[string]int) Window {
+func window(i int, works []judgedWork, waits map[string]int) Window {
 	out := Window{After: millis(time.Duration(i) * windowLength), Works: len(works), Stages: make(map[Stage]float64), GangSeconds: waits}
-	fates := make(map[Fate]int)
+	fates := make(map[Outcome]int)
 	counts := make(map[Stage]int)
 	for _, w := range works {
 		fates[w.fate]++
@@ -133,7 +133,7 @@
 }
 
 // served gives how many works were owed, and the share of them that was done; 0 where none was owed.
-func served(fates map[Fate]int) (owed int, share float64) {
+func served(fates map[Outcome]int) (owed int, share float64) {
 	done := fates[InTime] + fates[Late]
 	owed = done + fates[Lost] + fates[Failed]
 	if owed == 0 {
@@ -143,7 +143,7 @@
 }
 
 // done gives the share of works that were done before they were worth nothing, of all but the cancelled.
-func done(works int, fates map[Fate]int) float64 {
+func done(works int, fates map[Outcome]int) float64 {
 	if kept := works - fates[Cancelled]; kept > 0 {
 		return float64(fates[InTime]+fates[Late]) / float64(kept)
 	}
@@ -165,7 +165,7 @@
 }
 
 // waitedSeconds sums for how long the steps of a group waited; zones are not told apart by these lines.
-func (d *Day) waitedSeconds(key groupKey) (inTime, late int) {
+func (d *Analyzer) waitedSeconds(key groupKey) (inTime, late int) {
 	if key.zone != "" {
 		return 0, 0
 	}
@@ -179,7 +179,7 @@
 }
 
 // gangSeconds sums by window what the gangs of a group waited for; zones are not told apart by these lines.
-func (d *Day) gangSeconds(key groupKey) map[int]map[string]int {
+func (d *Analyzer) gangSeconds(key groupKey) map[int]map[string]int {
 	out := make(map[int]map[string]int)
 	if key.zone != "" {
 		return out
--- a/day/load.go
+++ b/day/load.go
@@ -21,7 +21,7 @@
 }
 
 // load takes in a line on the state of the cell.
-func (d *Day) load(l *line) {
+func (d *Analyzer) load(l *line) {
 	now := Load{Lag: l.Lag, Pass: l.Pass, WaitingSteps: l.WaitingSteps, Questions: l.Questions, Usable: l.Usable, Workers: l.Workers}
 	at := l.Time.Truncate(time.Second)
 	if known := d.loads[at]; known != nil {
@@ -42,7 +42,7 @@
 }
 
 // ownerLoads gives the load by windows, those without a line left out.
-func (d *Day) ownerLoads() []Load {
+func (d *Analyzer) ownerLoads() []Load {
 	byWindow := make(map[int]*Load)
 	for at, o := range d.loads {
 		i := d.window(at)
--- a/day/page.go
+++ b/day/page.go
@@ -49,10 +49,10 @@
 	Plots []template.HTML
 }
 
-// Page writes the report as one HTML page: plots of each queue, owners and outages as bands in them, and the text.
-func (r *Report) Page(out io.Writer) error {
+// WritePage writes the report as one HTML page: plots of each queue, owners and outages as bands in them, and the text.
+func (r *Report) WritePage(out io.Writer) error {
 	var text bytes.Buffer
-	if err := r.Print(&text); err != nil {
+	if err := r.WriteText(&text); err != nil {
 		return err
 	}
 	var sections []section
--- a/day/print.go
+++ b/day/print.go
@@ -50,8 +50,8 @@
 	p.row(columns...)
 }
 
-// Print writes the report as text.
-func (r *Report) Print(out io.Writer) error {
+// WriteText writes the report as text.
+func (r *Report) WriteText(out io.Writer) error {
 	p := &printer{w: tabwriter.NewWriter(out, 0, 0, tabPadding, ' ', 0)}
 	p.row(fmt.Sprintf("%s to %s, %d lines, %d others, %d unreadable, %d of works beyond the bound",
 		r.From.Format(time.RFC3339), r.Until.Format(time.RFC3339), r.Lines, r.Others, r.Unreadable, r.LeftOut))
@@ -97,8 +97,8 @@
 	for i := range r.Groups {
 		g := &r.Groups[i]
 		cells := []string{g.Queue, g.of(), fmt.Sprint(g.Works), shareCell(g.Owed, g.Served)}
-		for _, f := range []Fate{InTime, Late, Lost, Failed, Cancelled, Open} {
-			cells = append(cells, fmt.Sprint(g.Fates[f]))
+		for _, f := range []Outcome{InTime, Late, Lost, Failed, Cancelled, Open} {
+			cells = append(cells, fmt.Sprint(g.Outcomes[f]))
 		}
 		cells = append(cells, fmt.Sprintf("%.2f", g.Done), fmt.Sprintf("%.2f", g.Margin))
 		p.row(cells...)
@@ -200,7 +200,7 @@
 	}
 }
 
-func printPaths(p *printer, title string, list []Path) {
+func printPaths(p *printer, title string, list []WorkDetail) {
 	p.head(title, "ID", "QUEUE", "ZONE", "CLASS", "CORE-SECONDS", "TOOK MS", "STAGES")
 	for i := range list {
 		n := &list[i]
--- a/day/report.go
+++ b/day/report.go
@@ -28,8 +28,8 @@
 	Loads    []Load    `json:"loads"`
 	Refusals []Refusal `json:"refusals"`
 	// Lost are the largest works that were lost, Slowest those that were done and took longest.
-	Lost    []Path `json:"lost"`
-	Slowest []Path `json:"slowest"`
+	Lost    []WorkDetail `json:"lost"`
+	Slowest []WorkDetail `json:"slowest"`
 }
 
 // Tenure is a time in which a VM owned the cell; Until is zero where no line tells of its end.
@@ -61,8 +61,8 @@
 	bySecond map[int64]int
 }
 
-// Path is a work that a report names, and how long it spent in each stage.
-type Path struct {
+// WorkDetail is a work that a report names, and how long it spent in each stage.
+type WorkDetail struct {
 	ID          string            `json:"id"`
 	Queue       string            `json:"queue"`
 	Zone        string            `json:"zone"`
@@ -78,7 +78,7 @@
 const outageGap = 2 * time.Second
 
 // Report gives what was read so far.
-func (d *Day) Report() *Report {
+func (d *Analyzer) Report() *Report {
 	r := &Report{
 		From: d.from, Until: d.until, Lines: d.lines, Others: d.others, Unreadable: d.bad, LeftOut: d.leftOut, Findings: d.Findings(),
 		Outages: d.outages(), Refusals: d.refused(), Loads: d.ownerLoads(),
@@ -97,18 +97,18 @@
 }
 
 // known gives the works of which a line told the queue, by their acceptance.
-func (d *Day) known() []outcome {
-	var list []outcome
+func (d *Analyzer) known() []judgedWork {
+	var list []judgedWork
 	for _, w := range d.works {
 		if w.queue != "" {
-			list = append(list, outcome{w, w.became(), w.times()})
+			list = append(list, judgedWork{w, w.became(), w.times()})
 		}
 	}
-	slices.SortFunc(list, func(a, b outcome) int { return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(list, func(a, b judgedWork) int { return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.id, b.id)) })
 	return list
 }
 
-func (d *Day) outages() []Outage {
+func (d *Analyzer) outages() []Outage {
 	var out []Outage
 	for _, second := range slices.Sorted(maps.Keys(d.failures)) {
 		o := *d.failures[second]
@@ -122,7 +122,7 @@
 	return out
 }
 
-func (d *Day) refused() []Refusal {
+func (d *Analyzer) refused() []Refusal {
 	free := slices.SortedFunc(slices.Values(d.free), func(a, b freeAt) int { return a.at.Compare(b.at) })
 	var out []Refusal
 	for _, r := range d.refusals {
@@ -150,9 +150,9 @@
 }
 
 // named gives the largest works that were lost, and those that were done and took longest.
-func (d *Day) named(works []outcome) (lost, slowest []Path) {
+func (d *Analyzer) named(works []judgedWork) (lost, slowest []WorkDetail) {
 	for _, w := range works {
-		n := Path{ID: w.id, Queue: w.queue, Zone: w.zone, Class: w.class, CoreSeconds: w.size, Stages: w.stages}
+		n := WorkDetail{ID: w.id, Queue: w.queue, Zone: w.zone, Class: w.class, CoreSeconds: w.size, Stages: w.stages}
 		switch w.fate {
 		case Lost:
 			lost = append(lost, n)
@@ -162,17 +162,17 @@
 		default:
 		}
 	}
-	slices.SortStableFunc(lost, func(a, b Path) int { return cmp.Compare(b.CoreSeconds, a.CoreSeconds) })
-	slices.SortStableFunc(slowest, func(a, b Path) int { return cmp.Compare(b.Took, a.Took) })
-	return lost[:min(len(lost), d.o.Named)], slowest[:min(len(slowest), d.o.Named)]
+	slices.SortStableFunc(lost, func(a, b WorkDetail) int { return cmp.Compare(b.CoreSeconds, a.CoreSeconds) })
+	slices.SortStableFunc(slowest, func(a, b WorkDetail) int { return cmp.Compare(b.Took, a.Took) })
+	return lost[:min(len(lost), d.o.MaxNamed)], slowest[:min(len(slowest), d.o.MaxNamed)]
 }
 
 // mostNamedLines bounds the lines that are kept of a named work.
 const mostNamedLines = 200
 
-// Attach reads a log again and keeps the lines of the works that the report names.
-func (r *Report) Attach(log io.Reader) error {
-	byID := make(map[string]*Path)
+// AttachLines reads a log again and keeps the lines of the works that the report names.
+func (r *Report) AttachLines(log io.Reader) error {
+	byID := make(map[string]*WorkDetail)
 	for i := range r.Lost {
 		byID[r.Lost[i].ID] = &r.Lost[i]
 	}
--- a/day/work.go
+++ b/day/work.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Fate is what became of a work.
-type Fate string
+// Outcome is what became of a work.
+type Outcome string
 
 // The fates.
 const (
-	InTime    Fate = "inTime"
-	Late      Fate = "late"
-	Lost      Fate = "lost" // not done within three objectives
-	Failed    Fate = "failed"
-	Cancelled Fate = "cancelled"
-	Open      Fate = "open" // not ended when the log ends
+	InTime    Outcome = "inTime"
+	Late      Outcome = "late"
+	Lost      Outcome = "lost" // not done within three objectives
+	Failed    Outcome = "failed"
+	Cancelled Outcome = "cancelled"
+	Open      Outcome = "open" // not ended when the log ends
 )
 
 // Stage is a part of a work's path.
@@ -102,7 +102,7 @@
 const lostAfter = 3
 
 // became tells what became of the work. An end wins over a loss, which may be told of a work that was cancelled.
-func (w *work) became() Fate {
+func (w *work) became() Outcome {
 	switch {
 	case w.state == "cancelled":
 		return Cancelled
@@ -173,9 +173,9 @@
 	return sum
 }
 
-// outcome is a work with what became of it and how long it spent in each stage, which every group asks for.
-type outcome struct {
+// judgedWork is a work with what became of it and how long it spent in each stage, which every group asks for.
+type judgedWork struct {
 	*work
-	fate   Fate
+	fate   Outcome
 	stages map[Stage]float64
 }
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -72,7 +72,7 @@
 		}
 		info := worker.Info{ID: "w09", Address: "w09", Zone: "kochi-hall", Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
 		c.floor.Add(info)
-		c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
+		c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
 		time.Sleep(time.Second)
 		c.submit(first, c.work("now", step))
 		c.waitForState(first, "now", job.WorkCompleted, 5*time.Second)
--- a/dispatch/calllimiter.go
+++ b/dispatch/calllimiter.go
@@ -42,7 +42,7 @@
 
 // call makes a call to a worker, in its turn if this VM makes it itself.
 func (t *term) call(ctx context.Context, agent *worker.Agent, within time.Duration, do func(context.Context) error) error {
-	if agent.ByRelay() {
+	if agent.IsRelayed() {
 		within += relaySlack
 	} else {
 		done, ok := t.callLimiter.acquire(ctx)
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -91,7 +91,7 @@
 	c := &cell{
 		t: t, kv: memory.New(), floor: floor.New(behave), vms: make(map[string]*vm),
 		config: &job.Config{Version: 1, Queues: []job.Queue{{
-			Name: "roster", Pool: pool, Attempts: 2, Slack: 2, Target: time.Second,
+			Name: "roster", Pool: pool, MaxAttempts: 2, SlackFactor: 2, TargetDuration: time.Second,
 		}}},
 	}
 	for _, id := range vms {
@@ -145,7 +145,7 @@
 				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAskPermit, q)
 			}),
 		dispatch.Limits(mostHold, 200*time.Millisecond, 2*time.Minute))
-	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Take),
+	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.disp.Lead), owner.Rules(rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.pace), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
 		Store: kv, Dispatcher: v.disp, Group: v.group, Peers: v.peers, AskPermit: ask, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
@@ -167,7 +167,7 @@
 	return 100 * time.Microsecond
 }
 
-func decodeWorker(_ string, raw []byte) (l worker.Listing, err error) {
+func decodeWorker(_ string, raw []byte) (l worker.ListedWorker, err error) {
 	return l, msgpack.Unmarshal(raw, &l)
 }
 
@@ -223,7 +223,7 @@
 			}
 			return a.Halt(ctx, h)
 		},
-		Hold: func(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+		Hold: func(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 			if v.workersCut.Load() {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -250,7 +250,7 @@
 			note()
 			return a.Halt(ctx, h)
 		},
-		Hold: func(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+		Hold: func(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 			v.relayedCalls.Add(1)
 			return a.Hold(ctx, h)
 		},
@@ -301,11 +301,11 @@
 func (c *cell) worker(id string, cores int64) *floor.Worker {
 	info := worker.Info{ID: id, Address: id, Zone: "kochi-hall", Rack: "r1", Has: job.Resources{Millicores: cores * 1000, MemoryMB: 64000}}
 	w := c.floor.Add(info)
-	c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
+	c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 	return w
 }
 
-func (c *cell) register(l worker.Listing) {
+func (c *cell) register(l worker.ListedWorker) {
 	raw, err := msgpack.Marshal(&l)
 	if err != nil {
 		c.t.Fatal(err)
@@ -336,8 +336,8 @@
 
 // work is one step of equal tasks in the queue of rosters.
 func (c *cell) work(id string, s job.Step) *job.Work {
-	if s.Each == (job.Resources{}) {
-		s.Each = job.Resources{Millicores: 1000, MemoryMB: 100}
+	if s.TaskResources == (job.Resources{}) {
+		s.TaskResources = job.Resources{Millicores: 1000, MemoryMB: 100}
 	}
 	return &job.Work{ID: id, Queue: c.config.Queues[0], Spec: "spec of " + id, Steps: []job.Step{s}, Accepted: time.Now()}
 }
@@ -346,7 +346,7 @@
 func (c *cell) submitTo(v *vm, queue, id string, s job.Step) {
 	c.t.Helper()
 	w := c.work(id, s)
-	w.Queue = *c.config.Named(queue)
+	w.Queue = *c.config.QueueByName(queue)
 	c.submit(v, w)
 }
 
@@ -404,7 +404,7 @@
 
 func runsFor(d time.Duration) func(worker.Task, int64) floor.Behaviour {
 	return func(worker.Task, int64) floor.Behaviour {
-		return floor.Behaviour{Duration: d, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000, MemoryMB: 100}}
+		return floor.Behaviour{Duration: d, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000, MemoryMB: 100}}
 	}
 }
 
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -29,8 +29,8 @@
 
 // taskResources is what one task holds.
 func (s *stage) taskResources() resources {
-	need := s.spec.Each
-	if s.spec.Filler {
+	need := s.spec.TaskResources
+	if s.spec.BestEffort {
 		need.Millicores = 0
 	}
 	return need
@@ -61,7 +61,7 @@
 
 // limitTasks bounds the tasks that fit a worker by what else the stage and the worker allow.
 func (t *term) limitTasks(s *stage, n *node, k int) int {
-	if most := s.spec.MostPerWorker; most > 0 {
+	if most := s.spec.MaxPerWorker; most > 0 {
 		k = min(k, most-s.tasksOn(n))
 	}
 	if n.isOnTrial() {
@@ -183,11 +183,11 @@
 // interferes reports whether a stage and what runs on a worker should not meet: tasks that fill what others
 // leave push the tails of those with a bound over it, and nothing paces them yet.
 func (s *stage) interferes(n *node) bool {
-	if !s.spec.Filler && s.spec.Tail == 0 {
+	if !s.spec.BestEffort && s.spec.TailLatency == 0 {
 		return false
 	}
 	for _, r := range n.runs {
-		if s.spec.Filler && r.stage.spec.Tail > 0 || s.spec.Tail > 0 && r.stage.spec.Filler {
+		if s.spec.BestEffort && r.stage.spec.TailLatency > 0 || s.spec.TailLatency > 0 && r.stage.spec.BestEffort {
 			return true
 		}
 	}
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -48,12 +48,12 @@
 	list := make([]*roster, 0, n)
 	for i := range n {
 		step := job.Step{
-			Tasks: max(1, int(math.Round(vary(8, 0.8, 24)))), Gang: true, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+			Tasks: max(1, int(math.Round(vary(8, 0.8, 24)))), Gang: true, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 			Estimate: time.Duration(vary(5000, 0.5, 14000)) * time.Millisecond,
 		}
 		w := c.work(fmt.Sprintf("roster%03d", i), step)
 		if random.Float64() < 0.2 {
-			step.After = []int{0}
+			step.DependsOn = []int{0}
 			w.Steps = append(w.Steps, step)
 		}
 		r := &roster{work: w, step: step.Estimate}
@@ -70,7 +70,7 @@
 // singleTasks makes each roster one task of the same time.
 func singleTasks(load []*roster) {
 	for _, r := range load {
-		r.work.Steps = []job.Step{{Tasks: 1, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.step}}
+		r.work.Steps = []job.Step{{Tasks: 1, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100}, Estimate: r.step}}
 		r.size = r.step.Seconds()
 		r.objective = time.Duration(rosterSlack*float64(r.step)) + time.Second
 	}
@@ -146,9 +146,9 @@
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		r := byID[task.Work]
 		s := &r.work.Steps[task.Step]
-		return floor.Behaviour{Duration: r.step, Ending: worker.EndingDone, Resources: s.Each, GangSize: members(s)}
+		return floor.Behaviour{Duration: r.step, Ending: worker.OutcomeDone, Resources: s.TaskResources, GangSize: members(s)}
 	}, vms...)
-	c.config.Queues[0].Slack = rosterSlack
+	c.config.Queues[0].SlackFactor = rosterSlack
 	if o.gangs {
 		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterBase, PerWorker: rosterPerWorker}
 		c.permits = allowQuarter
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -55,9 +55,9 @@
 	var list []arrival
 	stream := func(queue string, every time.Duration, tasks int, millicores int64, takes time.Duration) {
 		for at := time.Duration(0); at < crowdedFor; at += time.Duration(float64(every) * random.ExpFloat64()) {
-			step := job.Step{Tasks: 1 + random.IntN(2*tasks-1), Each: job.Resources{Millicores: millicores, MemoryMB: 100}, Estimate: time.Duration(float64(takes) * (0.5 + random.Float64()))}
+			step := job.Step{Tasks: 1 + random.IntN(2*tasks-1), TaskResources: job.Resources{Millicores: millicores, MemoryMB: 100}, Estimate: time.Duration(float64(takes) * (0.5 + random.Float64()))}
 			w := c.work(fmt.Sprint(queue, len(list)), step)
-			w.Queue = *c.config.Named(queue)
+			w.Queue = *c.config.QueueByName(queue)
 			list = append(list, arrival{at, w})
 		}
 	}
@@ -103,14 +103,14 @@
 	}
 	c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 		s := &byID[task.Work].Steps[task.Step]
-		return floor.Behaviour{Duration: s.Estimate, Ending: worker.EndingDone, Resources: s.Each, GangSize: members(s)}
+		return floor.Behaviour{Duration: s.Estimate, Ending: worker.OutcomeDone, Resources: s.TaskResources, GangSize: members(s)}
 	}, vms...)
 	roster := &c.config.Queues[0]
-	roster.Priority, roster.Slack = 1, rosterSlack
+	roster.Priority, roster.SlackFactor = 1, rosterSlack
 	roster.Permit = &job.PermitCost{Base: crowdedBase, PerWorker: crowdedPerWorker}
 	c.config.Queues = append(c.config.Queues,
-		job.Queue{Name: "check", Pool: pool, Priority: 0, Attempts: 2, Slack: 1.5, Target: 250 * time.Millisecond},
-		job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 4, Target: 3 * time.Second})
+		job.Queue{Name: "check", Pool: pool, Priority: 0, MaxAttempts: 2, SlackFactor: 1.5, TargetDuration: 250 * time.Millisecond},
+		job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 4, TargetDuration: 3 * time.Second})
 	c.permits = func(q *permit.Request) ([]string, time.Duration) {
 		names, _ := allowQuarter(q)
 		return names, crowdedBase + time.Duration(len(q.Workers))*crowdedPerWorker
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -32,7 +32,7 @@
 }
 
 func (l *load) work(kind string, i int, cost *job.PermitCost, step job.Step) *job.Work {
-	q := job.Queue{Name: kind, Pool: "p", Attempts: 3, Slack: 2.2, Target: time.Second, Permit: cost}
+	q := job.Queue{Name: kind, Pool: "p", MaxAttempts: 3, SlackFactor: 2.2, TargetDuration: time.Second, Permit: cost}
 	return &job.Work{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint("z", i%3), Queue: q, Steps: []job.Step{step}}
 }
 
@@ -41,7 +41,7 @@
 		runs := time.Duration(l.vary(640, 0.5, 1600)) * time.Millisecond
 		w := l.work("check", i, &checkCost, job.Step{
 			Tasks: max(1, int(l.vary(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
-			Each: job.Resources{Millicores: int64(l.vary(3900, 0.4, 9000)), MemoryMB: 700},
+			TaskResources: job.Resources{Millicores: int64(l.vary(3900, 0.4, 9000)), MemoryMB: 700},
 		})
 		l.replay.submitAt(time.Duration(i)*every, w, runs)
 	}
@@ -50,16 +50,16 @@
 func (l *load) batches(n int, every time.Duration, cost *job.PermitCost) {
 	for i := range n {
 		runs := time.Duration(l.vary(2700, 0.5, 6000)) * time.Millisecond
-		step := job.Step{Tasks: max(2, int(l.vary(14, 0.6, 40))), Estimate: runs, Each: job.Resources{Millicores: int64(l.vary(2800, 0.4, 6000)), MemoryMB: 400}}
+		step := job.Step{Tasks: max(2, int(l.vary(14, 0.6, 40))), Estimate: runs, TaskResources: job.Resources{Millicores: int64(l.vary(2800, 0.4, 6000)), MemoryMB: 400}}
 		switch i % 4 {
 		case 0:
-			step.MostPerWorker = 2
+			step.MaxPerWorker = 2
 		case 1:
 			step.DataRack = "r1"
 		}
 		w := l.work("batch", i, cost, step)
 		second := step
-		second.After, second.Tasks = []int{0}, 3
+		second.DependsOn, second.Tasks = []int{0}, 3
 		w.Queue.Priority, w.Steps = 2, append(w.Steps, second)
 		l.replay.submitAt(time.Duration(i)*every+7*time.Millisecond, w, runs)
 	}
@@ -69,7 +69,7 @@
 	for i := range n {
 		runs := time.Duration(l.vary(4000, 0.5, 9000)) * time.Millisecond
 		w := l.work("roster", i, &rosterCost, job.Step{
-			Tasks: max(2, int(l.vary(9, 0.8, 30))), Gang: true, Estimate: runs, Each: job.Resources{Millicores: 4000, MemoryMB: 900},
+			Tasks: max(2, int(l.vary(9, 0.8, 30))), Gang: true, Estimate: runs, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 900},
 		})
 		w.Queue.Priority = 1
 		l.replay.submitAt(time.Duration(i)*every+13*time.Millisecond, w, runs)
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -10,13 +10,13 @@
 )
 
 // endRun handles the certain end of a run.
-func (t *term) endRun(r *run, how worker.Ending, checkpoint string) {
+func (t *term) endRun(r *run, how worker.RunOutcome, checkpoint string) {
 	if r.ended {
 		return
 	}
 	t.releaseRun(r)
 	e := r.stage.entry
-	if how == worker.EndingDone || how == worker.EndingFailed {
+	if how == worker.OutcomeDone || how == worker.OutcomeFailed {
 		e.started = true
 	}
 	if checkpoint != "" {
@@ -54,7 +54,7 @@
 	t.log.Info("dispatch: run never began", zap.String("id", r.stage.entry.work.ID), zap.Int("step", r.stage.index),
 		zap.Int("task", r.index),
 		zap.Int64("run", r.number), zap.String("worker", r.node.id), zap.String("reason", reason))
-	t.endRun(r, worker.EndingStopped, "")
+	t.endRun(r, worker.OutcomeStopped, "")
 }
 
 // releaseRun releases the capacity of a run.
@@ -76,19 +76,19 @@
 }
 
 // endTask handles the end of a task that is not part of a gang.
-func (t *term) endTask(r *run, how worker.Ending) {
+func (t *term) endTask(r *run, how worker.RunOutcome) {
 	s, task := r.stage, &r.stage.tasks[r.index]
 	task.run = nil
 	switch {
-	case how == worker.EndingDone && !s.spec.Service:
+	case how == worker.OutcomeDone && !s.spec.Service:
 		task.phase = phaseDone
 		s.done++
 		t.onTasksDone(s, 1)
 		return
-	case how == worker.EndingFailed && !s.spec.Service:
+	case how == worker.OutcomeFailed && !s.spec.Service:
 		task.failures++
 		s.noteFailureOn(r.node.id)
-		if task.failures >= s.entry.queue.Attempts {
+		if task.failures >= s.entry.queue.MaxAttempts {
 			t.failWork(s)
 		}
 	}
@@ -99,22 +99,22 @@
 
 // endMember handles the end of a gang member. Members complete together, so one completion stands for all of them. Any
 // other end aborts the run, and the gang is queued again once its last member has ended.
-func (t *term) endMember(r *run, how worker.Ending) {
+func (t *term) endMember(r *run, how worker.RunOutcome) {
 	s, g := r.stage, r.stage.gang
 	g.membersLeft--
 	switch how {
-	case worker.EndingDone:
+	case worker.OutcomeDone:
 		if !g.done {
 			g.done = true
 			t.onGangDone(s)
 		}
-	case worker.EndingFailed:
+	case worker.OutcomeFailed:
 		g.failed = true
 		s.noteFailureOn(r.node.id)
 	default:
 	}
 	if !g.done && !g.aborted {
-		g.endProved = how == worker.EndingBroken
+		g.endProved = how == worker.OutcomeGangBroken
 		t.abortGang(s)
 	}
 	if g.membersLeft > 0 {
@@ -125,7 +125,7 @@
 		return
 	}
 	if g.failed {
-		if s.failures++; s.failures >= s.entry.queue.Attempts && !s.spec.Service {
+		if s.failures++; s.failures >= s.entry.queue.MaxAttempts && !s.spec.Service {
 			t.failWork(s)
 		}
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	e.removeOccurrence(o)
-	if !e.state.Final() && len(e.occurrences) == 0 && e.occurrencesBegun == e.work.Count() {
+	if !e.state.Final() && len(e.occurrences) == 0 && e.occurrencesBegun == e.work.NumOccurrences() {
 		e.state = job.WorkCompleted
 	}
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	t.log.Info("dispatch: work failed", zap.String("id", e.work.ID), zap.Int("step", s.index),
-		zap.Int("attempts", e.queue.Attempts))
+		zap.Int("attempts", e.queue.MaxAttempts))
 	t.finish(e, job.WorkFailed)
 }
 
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -152,18 +152,20 @@
 // updateObjective computes the objective from the caller's estimates along the longest chain of steps, including one
 // permit request per step.
 func (e *entry) updateObjective() {
-	e.objective = time.Duration(e.queue.Slack*float64(e.longestChain())) + e.queue.Target
+	e.objective = time.Duration(e.queue.SlackFactor*float64(e.longestChain())) + e.queue.TargetDuration
 }
 
 // deadline is when an occurrence should be done.
-func (o *occurrence) deadline(e *entry) time.Time { return e.work.Due(o.number).Add(e.objective) }
+func (o *occurrence) deadline(e *entry) time.Time { return e.work.DueAt(o.number).Add(e.objective) }
 
 // lastDeadline is when the last occurrence of a work should be done.
-func (e *entry) lastDeadline() time.Time { return e.work.Due(e.work.Count() - 1).Add(e.objective) }
+func (e *entry) lastDeadline() time.Time {
+	return e.work.DueAt(e.work.NumOccurrences() - 1).Add(e.objective)
+}
 
 // expiry is when the result of an occurrence becomes worthless.
 func (o *occurrence) expiry(e *entry) time.Time {
-	return e.work.Due(o.number).Add(expiryFactor * e.objective)
+	return e.work.DueAt(o.number).Add(expiryFactor * e.objective)
 }
 
 // expiryFactor times the objective is when the result of late work becomes worthless.
@@ -180,7 +182,7 @@
 	var longest time.Duration
 	for i := len(steps) - 1; i >= 0; i-- {
 		chain := permitTime + steps[i].Estimate + e.remainingAfter[i]
-		for _, before := range steps[i].After {
+		for _, before := range steps[i].DependsOn {
 			e.remainingAfter[before] = max(e.remainingAfter[before], chain)
 		}
 		longest = max(longest, chain)
@@ -205,7 +207,7 @@
 
 // predecessorsDone reports whether the steps that a stage depends on are done.
 func (s *stage) predecessorsDone() bool {
-	for _, i := range s.spec.After {
+	for _, i := range s.spec.DependsOn {
 		before := s.occurrence.stages[i]
 		if before.done < len(before.tasks) {
 			return false
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -16,12 +16,12 @@
 )
 
 // gangOf gives members that fail, or work for a while and end as done together.
-func gangOf(size int, d time.Duration, how worker.Ending) func(worker.Task, int64) floor.Behaviour {
+func gangOf(size int, d time.Duration, how worker.RunOutcome) func(worker.Task, int64) floor.Behaviour {
 	return func(task worker.Task, _ int64) floor.Behaviour {
-		b := floor.Behaviour{Duration: d, Ending: worker.EndingDone, GangSize: size, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
+		b := floor.Behaviour{Duration: d, Ending: worker.OutcomeDone, GangSize: size, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
 		if task.Index == 0 {
 			b.Ending = how
-		} else if how == worker.EndingFailed {
+		} else if how == worker.OutcomeFailed {
 			b.Duration = time.Hour
 		}
 		return b
@@ -29,14 +29,14 @@
 }
 
 func gangStep(size int) job.Step {
-	return job.Step{Tasks: size, Gang: true, Each: job.Resources{Millicores: 3000, MemoryMB: 100}}
+	return job.Step{Tasks: size, Gang: true, TaskResources: job.Resources{Millicores: 3000, MemoryMB: 100}}
 }
 
 // All members of a gang start together, on as many workers as it takes, and end together.
 func TestGang(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(4, 2*time.Second, worker.EndingDone), "vm1", "vm2")
+		c := newCell(t, gangOf(4, 2*time.Second, worker.OutcomeDone), "vm1", "vm2")
 		c.workers(4, 4)
 		v := c.owner()
 		c.submit(v, c.work("gang", gangStep(4)))
@@ -52,7 +52,7 @@
 func TestGangAttemptsOutliveOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(2, time.Second, worker.EndingFailed), "vm1", "vm2")
+		c := newCell(t, gangOf(2, time.Second, worker.OutcomeFailed), "vm1", "vm2")
 		ws := c.workers(2, 4)
 		first := c.owner()
 		c.submit(first, c.work("gang", gangStep(2)))
@@ -80,7 +80,7 @@
 func TestGangAsksOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(4, time.Second, worker.EndingDone), "vm1", "vm2")
+		c := newCell(t, gangOf(4, time.Second, worker.OutcomeDone), "vm1", "vm2")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		allowed := []string{"w06", "w07", "w08", "w09"}
 		questions := 0
@@ -116,11 +116,11 @@
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			if task.Work == "gang" {
-				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
 			}
-			return floor.Behaviour{Duration: 3 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: 3 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, Attempts: 2, Slack: 20, Target: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
 		c.workers(3, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
@@ -130,7 +130,7 @@
 			if i == 50 {
 				handed = time.Now()
 				c.submit(v, c.work("gang", job.Step{
-					Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+					Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 				}))
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -153,7 +153,7 @@
 func TestGangAfterCrash(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newCell(t, gangOf(2, 4*time.Second, worker.EndingDone), "vm1")
+		c := newCell(t, gangOf(2, 4*time.Second, worker.OutcomeDone), "vm1")
 		ws := c.workers(4, 4)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
@@ -179,7 +179,7 @@
 		t.Run(fmt.Sprint("owner dies ", kill), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangOf(2, 2*time.Second, worker.EndingFailed), "vm1", "vm2")
+				c := newCell(t, gangOf(2, 2*time.Second, worker.OutcomeFailed), "vm1", "vm2")
 				ws := c.workers(6, 4)
 				v := c.owner()
 				time.Sleep(5 * time.Second)
@@ -215,7 +215,7 @@
 		t.Run(fmt.Sprint(try), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCell(t, gangOf(3, 2*time.Second, worker.EndingFailed), "vm1")
+				c := newCell(t, gangOf(3, 2*time.Second, worker.OutcomeFailed), "vm1")
 				ws := c.workers(6, 4)
 				v := c.owner()
 				time.Sleep(5 * time.Second)
@@ -248,7 +248,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, GangSize: 2, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, GangSize: 2, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
 		}, "vm1")
 		ws := c.workers(4, 8)
 		ws[3].SetFaults(floor.Faults{FailRuns: true}) // the first choice among equals
@@ -261,7 +261,7 @@
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
-			if r.Ending == worker.EndingFailed {
+			if r.Ending == worker.OutcomeFailed {
 				failed++
 			}
 		}
@@ -279,15 +279,15 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, GangSize: 2, Resources: job.Resources{Millicores: 4000}}
 			case "before":
-				return floor.Behaviour{Duration: 5 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Duration: 5 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, time.Millisecond
+		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 20, Target: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
 		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
 		c.workers(2, 4)
 		v := c.owner()
@@ -296,7 +296,7 @@
 		check("before", 8)
 		handed := time.Now()
 		c.submit(v, c.work("gang", job.Step{
-			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 4000, MemoryMB: 100},
+			Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100},
 		}))
 		time.Sleep(5200 * time.Millisecond)
 		for i := range 40 {
@@ -322,7 +322,7 @@
 		for i := range 16 {
 			vms = append(vms, fmt.Sprintf("vm%02d", i))
 		}
-		c := newCell(t, gangOf(40, time.Second, worker.EndingDone), vms...)
+		c := newCell(t, gangOf(40, time.Second, worker.OutcomeDone), vms...)
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		var mu sync.Mutex
 		named := make(map[string]int)
@@ -361,15 +361,15 @@
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
 			switch task.Work {
 			case "gang":
-				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, GangSize: 2, Resources: job.Resources{Millicores: 3000}}
+				return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, GangSize: 2, Resources: job.Resources{Millicores: 3000}}
 			case "long":
-				return floor.Behaviour{Duration: time.Minute, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+				return floor.Behaviour{Duration: time.Minute, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 			}
-			return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].Target = 1, 20*time.Second
+		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, 20*time.Second
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 200 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, Attempts: 2, Slack: 4, Target: time.Second})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 4, TargetDuration: time.Second})
 		c.permits = func(*permit.Request) ([]string, time.Duration) {
 			return []string{"w00", "w01"}, 240 * time.Millisecond
 		}
@@ -377,14 +377,14 @@
 		v := c.owner()
 		time.Sleep(5 * time.Second)
 		check := func(i int) { c.submitTo(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second}) }
-		c.submit(v, c.work("long", job.Step{Tasks: 2, MostPerWorker: 1, Estimate: time.Minute}))
+		c.submit(v, c.work("long", job.Step{Tasks: 2, MaxPerWorker: 1, Estimate: time.Minute}))
 		time.Sleep(time.Second)
 		for i := range 10 {
 			check(i)
 		}
 		handed := time.Now()
 		c.submit(v, c.work("gang", job.Step{
-			Tasks: 2, Gang: true, Estimate: 2 * time.Second, Each: job.Resources{Millicores: 3000, MemoryMB: 100},
+			Tasks: 2, Gang: true, Estimate: 2 * time.Second, TaskResources: job.Resources{Millicores: 3000, MemoryMB: 100},
 		}))
 		for i := range 160 { // seven of sixteen cores
 			check(100 + i)
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -59,16 +59,16 @@
 }
 
 // noteEnding takes in how a run has ended.
-func (t *term) noteEnding(r *run, how worker.Ending) {
+func (t *term) noteEnding(r *run, how worker.RunOutcome) {
 	u := &r.node.health
 	if u.trialRun == r {
 		u.trialRun = nil
 	}
 	switch how {
-	case worker.EndingDone:
+	case worker.OutcomeDone:
 		u.successes++
 		u.failedInARow, u.quarantine = 0, 0
-	case worker.EndingFailed:
+	case worker.OutcomeFailed:
 		u.failures++
 		t.noteFailure(r)
 	default:
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	for i, rack := range racks {
 		n := term.nodeFor(string(rune('a' + i)))
-		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
+		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
 		n.listed, n.synced, n.heardAt, n.free = true, true, now.Add(time.Hour), n.listing.Has
 		n.updateIndex()
 	}
@@ -26,8 +26,8 @@
 
 func gangOfTwo(permit *job.PermitCost) *job.Work {
 	return &job.Work{
-		ID: "gang", Queue: job.Queue{Attempts: 2, Permit: permit}, Accepted: time.Now(),
-		Steps: []job.Step{{Tasks: 2, Gang: true, SameRack: true, Each: job.Resources{Millicores: 4000}}},
+		ID: "gang", Queue: job.Queue{MaxAttempts: 2, Permit: permit}, Accepted: time.Now(),
+		Steps: []job.Step{{Tasks: 2, Gang: true, SameRack: true, TaskResources: job.Resources{Millicores: 4000}}},
 	}
 }
 
@@ -54,7 +54,7 @@
 	for id, n := range term.nodes {
 		for i := range quarantineAfter {
 			s := stageOf(&job.Work{ID: id + string(rune('0'+i)), Steps: []job.Step{{Tasks: 1}}})
-			term.noteEnding(&run{stage: s, node: n}, worker.EndingFailed)
+			term.noteEnding(&run{stage: s, node: n}, worker.OutcomeFailed)
 		}
 	}
 	resting := 0
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -62,7 +62,7 @@
 }
 
 // hold sends a hold; one that is answered at once waits for its turn, one that waits at the worker does not keep it.
-func (t *term) hold(ctx context.Context, n *node, h *worker.Hold) (held *worker.Held, err error) {
+func (t *term) hold(ctx context.Context, n *node, h *worker.Hold) (held *worker.HoldReply, err error) {
 	if h.Wait == 0 {
 		err = t.call(ctx, n.agent, holdTimeoutSlack, func(ctx context.Context) error {
 			held, err = n.agent.Hold(ctx, h)
@@ -90,7 +90,7 @@
 }
 
 // onHold takes in the answer to a hold.
-func (t *term) onHold(n *node, held *worker.Held, err error) {
+func (t *term) onHold(n *node, held *worker.HoldReply, err error) {
 	now := time.Now()
 	n.holding = false
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 // applyHeld takes in what a worker tells, unless it has told of later meanwhile, beside the hold.
-func (t *term) applyHeld(n *node, held *worker.Held, now time.Time) {
+func (t *term) applyHeld(n *node, held *worker.HoldReply, now time.Time) {
 	if held.Clock < n.clock {
 		return
 	}
@@ -171,7 +171,7 @@
 	switch {
 	case errors.Is(err, worker.ErrReplaced):
 		n.listed = false
-		t.endLifetime(n, worker.EndingLapsed, "its lifetime is over")
+		t.endLifetime(n, worker.OutcomeLeaseExpired, "its lifetime is over")
 		return
 	case errors.As(err, &refused) && refused.Reason == worker.ReasonFenced:
 		t.loseOwnership("a worker knows a later owner", err)
@@ -188,7 +188,7 @@
 }
 
 // onEnds takes in the ends that are new.
-func (t *term) onEnds(n *node, ended []worker.End) {
+func (t *term) onEnds(n *node, ended []worker.EndedRun) {
 	for i := range ended {
 		e := &ended[i]
 		if e.Number <= n.lastEndSeen {
@@ -196,7 +196,7 @@
 		}
 		n.lastEndSeen = e.Number
 		if r := n.runs[runKey{e.Task, e.Run}]; r != nil {
-			t.endRun(r, e.How, e.Checkpoint)
+			t.endRun(r, e.Outcome, e.Checkpoint)
 			t.observeAfterSave(n, r.stage.entry)
 		} else {
 			t.onLateEnd(n, e)
@@ -205,7 +205,7 @@
 }
 
 // onActive compares the runs that the worker lists with those that it should have.
-func (t *term) onActive(n *node, held *worker.Held) {
+func (t *term) onActive(n *node, held *worker.HoldReply) {
 	now := time.Now()
 	listed := make(map[runKey]bool, len(held.Active))
 	unknown := 0
@@ -237,7 +237,7 @@
 }
 
 // updateRun notes what a worker tells of a run.
-func (t *term) updateRun(r *run, a *worker.Active, now time.Time) {
+func (t *term) updateRun(r *run, a *worker.ActiveRun, now time.Time) {
 	r.confirm()
 	r.recovered = false
 	if a.Percent != r.percent || r.progressAt.IsZero() {
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -14,10 +14,10 @@
 // half of its first step is left, it has its turn and ends late, and a newer one that could be in time waits.
 func TestHopeCountsAllThatIsLeft(t *testing.T) {
 	gang := &job.Work{
-		Queue: job.Queue{Slack: 2, Target: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
-		Steps: []job.Step{{Tasks: 4, Gang: true, Estimate: 2 * time.Second}, {Tasks: 4, Gang: true, Estimate: 3 * time.Second, After: []int{0}}},
+		Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
+		Steps: []job.Step{{Tasks: 4, Gang: true, Estimate: 2 * time.Second}, {Tasks: 4, Gang: true, Estimate: 3 * time.Second, DependsOn: []int{0}}},
 	}
-	single := &job.Work{Queue: job.Queue{Slack: 2, Target: time.Second}, Steps: []job.Step{{Tasks: 4, Estimate: 2 * time.Second}}}
+	single := &job.Work{Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second}, Steps: []job.Step{{Tasks: 4, Estimate: 2 * time.Second}}}
 	for name, c := range map[string]struct {
 		work *job.Work
 		step int
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -23,7 +23,7 @@
 // node is one lifetime of a worker.
 type node struct {
 	id      string
-	listing worker.Listing
+	listing worker.ListedWorker
 	// listed says that the worker's entry is in the store now.
 	listed bool
 	// unreadable says that the entry is there and cannot be read: it names no worker for new tasks, and
@@ -169,7 +169,7 @@
 				left := n.hasLeft(time.Now())
 				t.onUnlisted(n)
 				if left {
-					t.endLifetime(n, worker.EndingLapsed, "it has left")
+					t.endLifetime(n, worker.OutcomeLeaseExpired, "it has left")
 				}
 			}
 			continue
@@ -248,7 +248,7 @@
 	return slices.BinarySearchFunc(t.sortedNodes, n, func(a, b *node) int { return strings.Compare(a.id, b.id) })
 }
 
-func (t *term) updateListing(l worker.Listing) {
+func (t *term) updateListing(l worker.ListedWorker) {
 	n := t.nodeFor(l.ID)
 	if !n.listed || n.listing.Leaving != l.Leaving {
 		t.log.Info("dispatch: worker listed", zap.String("worker", l.ID), zap.String("pool", l.Pool),
@@ -284,12 +284,12 @@
 	if n.stop != nil {
 		n.stop()
 	}
-	n.agent.End()
+	n.agent.Release()
 	t.removeNode(n)
 }
 
 // endLifetime ends all runs of a lifetime that is over.
-func (t *term) endLifetime(n *node, how worker.Ending, reason string) {
+func (t *term) endLifetime(n *node, how worker.RunOutcome, reason string) {
 	t.log.Info("dispatch: worker's runs are over", zap.String("worker", n.id), zap.String("reason", reason), zap.Int("runs", len(n.runs)))
 	for _, r := range n.runs {
 		t.endRun(r, how, "")
@@ -301,7 +301,7 @@
 func (t *term) endLapsed(now time.Time) {
 	for _, n := range t.nodes {
 		if len(n.runs) > 0 && (n.misses > 0 || !n.synced) && now.After(n.leaseEnd) {
-			t.endLifetime(n, worker.EndingLapsed, "silent until its lease had lapsed")
+			t.endLifetime(n, worker.OutcomeLeaseExpired, "silent until its lease had lapsed")
 		}
 	}
 }
--- a/dispatch/observed_test.go
+++ b/dispatch/observed_test.go
@@ -22,26 +22,26 @@
 	for _, relisted := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			silent := &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.Held, error) {
+			silent := &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.HoldReply, error) {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}}
-			listing := worker.Listing{Info: worker.Info{ID: "w", Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
-			o := newOptions([]Option{Workers("workers/", func(string, []byte) (worker.Listing, error) { return listing, nil },
+			listing := worker.ListedWorker{Info: worker.Info{ID: "w", Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
+			o := newOptions([]Option{Workers("workers/", func(string, []byte) (worker.ListedWorker, error) { return listing, nil },
 				func(worker.Info) *worker.Agent { return silent })})
 			term := newTerm(t.Context(), o, &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }})
 			defer term.close()
 			term.updateListing(listing)
-			term.addWork(&job.Work{ID: "batch", Queue: job.Queue{Attempts: 1}, Steps: []job.Step{{Tasks: 1}}, Accepted: time.Now()})
+			term.addWork(&job.Work{ID: "batch", Queue: job.Queue{MaxAttempts: 1}, Steps: []job.Step{{Tasks: 1}}, Accepted: time.Now()})
 			s := term.entries["batch"].occurrences[0].stages[0]
 			term.startRun(s, 0, term.nodes["w"], 1)
-			ended := []worker.End{{Number: 1, Task: s.tasks[0].run.task(), Run: 1, How: worker.EndingDone}}
-			term.onHold(term.nodes["w"], &worker.Held{Clock: time.Second, Ended: ended}, nil)
+			ended := []worker.EndedRun{{Number: 1, Task: s.tasks[0].run.task(), Run: 1, Outcome: worker.OutcomeDone}}
+			term.onHold(term.nodes["w"], &worker.HoldReply{Clock: time.Second, Ended: ended}, nil)
 			is.Equal(term.entries["batch"].state, job.WorkCompleted)
 			if relisted {
 				term.changeWorkers([]store.Event{{Pair: store.Pair{Key: "workers/w"}, Deleted: true}})
 				term.updateListing(listing)
-				term.onHold(term.nodes["w"], &worker.Held{Clock: 2 * time.Second, Ended: ended}, nil)
+				term.onHold(term.nodes["w"], &worker.HoldReply{Clock: 2 * time.Second, Ended: ended}, nil)
 			}
 			is.Equal(term.nodes["w"].lastEndObserved, int64(0))
 			for _, waiting := range term.committer.queue {
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -22,7 +22,7 @@
 	StoreFailing func() (since time.Time, failing bool)
 	// WorkersPrefix is the key prefix of the worker entries; DecodeWorker decodes one entry.
 	WorkersPrefix string
-	DecodeWorker  func(key string, raw []byte) (worker.Listing, error)
+	DecodeWorker  func(key string, raw []byte) (worker.ListedWorker, error)
 	// Agent returns the RPC client for one lifetime of a worker.
 	Agent func(worker.Info) *worker.Agent
 	// Config returns the newest configuration known to this process, or nil.
@@ -119,7 +119,7 @@
 
 // Workers sets the key prefix of the worker entries, their decoder and the constructor of worker clients.
 func Workers(
-	prefix string, decode func(string, []byte) (worker.Listing, error), agent func(worker.Info) *worker.Agent,
+	prefix string, decode func(string, []byte) (worker.ListedWorker, error), agent func(worker.Info) *worker.Agent,
 ) Option {
 	return func(o *Options) { o.WorkersPrefix, o.DecodeWorker, o.Agent = prefix, decode, agent }
 }
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -51,7 +51,7 @@
 // isDefinite reports whether an error tells the outcome of an order for certain.
 func isDefinite(err error) bool {
 	var refused *worker.Refusal
-	return errors.As(err, &refused) || errors.Is(err, worker.ErrReplaced) || errors.Is(err, worker.ErrUnwell)
+	return errors.As(err, &refused) || errors.Is(err, worker.ErrReplaced) || errors.Is(err, worker.ErrUnhealthy)
 }
 
 // onLaunched handles the final answer to a start order. unanswered is true if an earlier attempt got no answer and may
@@ -78,8 +78,8 @@
 		r.node.unwellUntil = time.Now().Add(unwellDuration)
 	case errors.Is(err, worker.ErrReplaced):
 		r.node.listed = false
-		t.endLifetime(r.node, worker.EndingLapsed, "its lifetime is over")
-	case errors.Is(err, worker.ErrUnwell):
+		t.endLifetime(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
+	case errors.Is(err, worker.ErrUnhealthy):
 		r.node.unwellUntil = time.Now().Add(unwellDuration)
 		t.onNeverStarted(r, "the worker is unwell")
 	default:
@@ -88,11 +88,11 @@
 	}
 }
 
-func (t *term) onRefused(r *run, reason worker.Reason) {
+func (t *term) onRefused(r *run, reason worker.RefusalReason) {
 	switch reason {
 	case worker.ReasonFenced:
 		t.loseOwnership("a worker knows a later owner", &worker.Refusal{Reason: reason})
-	case worker.ReasonOld:
+	case worker.ReasonStaleRun:
 		// An earlier attempt may have succeeded, and its run may already have ended. The next hold lists that end or
 		// shows that there is none.
 		r.startExpires = r.node.clockNow(time.Now())
@@ -145,7 +145,7 @@
 		t.loseOwnership("a worker knows a later owner", err)
 	case errors.Is(err, worker.ErrReplaced):
 		r.node.listed = false
-		t.endLifetime(r.node, worker.EndingLapsed, "its lifetime is over")
+		t.endLifetime(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
 	default:
 		t.log.Info("dispatch: stop order failed", zap.String("id", r.stage.entry.work.ID), zap.Int64("run", r.number),
 			zap.String("worker", r.node.id), zap.Error(err))
@@ -154,7 +154,7 @@
 
 // haltUnknown stops a run that this term has no record of: a former owner started it, but the end of its work has
 // removed the intent.
-func (t *term) haltUnknown(n *node, a *worker.Active) {
+func (t *term) haltUnknown(n *node, a *worker.ActiveRun) {
 	agent := n.agent
 	order := &worker.Halt{Task: a.Task, Run: a.Run, Fence: t.tenure.Fence}
 	t.wg.Go(func() {
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -28,7 +28,7 @@
 	var ids []string
 	for i := range workers {
 		n := t.nodeFor(fmt.Sprintf("w%04d", i))
-		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}, Pool: "p"}
+		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}, Pool: "p"}
 		n.listed, n.synced, n.heardAt = true, true, now.Add(time.Second)
 		n.free = job.Resources{Millicores: 100, MemoryMB: 64000}
 		n.updateIndex()
@@ -36,8 +36,8 @@
 	}
 	for i := range stages {
 		w := &job.Work{
-			ID: fmt.Sprint(i), Accepted: now.Add(time.Duration(i) * time.Millisecond), Queue: job.Queue{Pool: "p", Attempts: 2, Slack: 4, Target: time.Hour, Permit: &job.PermitCost{}},
-			Steps: []job.Step{{Tasks: 10, Each: job.Resources{Millicores: 1000, MemoryMB: 100}, Gang: i%10 == 9}},
+			ID: fmt.Sprint(i), Accepted: now.Add(time.Duration(i) * time.Millisecond), Queue: job.Queue{Pool: "p", MaxAttempts: 2, SlackFactor: 4, TargetDuration: time.Hour, Permit: &job.PermitCost{}},
+			Steps: []job.Step{{Tasks: 10, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100}, Gang: i%10 == 9}},
 		}
 		t.addWork(w)
 		s := t.entries[w.ID].occurrences[0].stages[0]
@@ -102,13 +102,13 @@
 	has := job.Resources{Millicores: 16000, MemoryMB: 64000}
 	for i := range maxFullScan + 100 {
 		n := tm.nodeFor(fmt.Sprintf("w%04d", i))
-		n.listing = worker.Listing{Info: worker.Info{ID: n.id, Zone: fmt.Sprint("z", i%2), Has: has}, Pool: "p"}
+		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Zone: fmt.Sprint("z", i%2), Has: has}, Pool: "p"}
 		n.listed, n.synced, n.heardAt, n.free = true, i%2 == 1, now.Add(time.Second), has
 		n.updateIndex()
 	}
 	s := stageOf(&job.Work{
 		ID: "check", Zone: "z0", Queue: job.Queue{Pool: "p", Permit: &checkCost},
-		Steps: []job.Step{{Tasks: 3, Each: job.Resources{Millicores: 4000, MemoryMB: 100}}},
+		Steps: []job.Step{{Tasks: 3, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 100}}},
 	})
 	list := tm.unnamedCandidates(s, now)
 	named := list[:tm.nameCount(s, list)]
--- a/dispatch/path_test.go
+++ b/dispatch/path_test.go
@@ -35,16 +35,16 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, run int64) floor.Behaviour {
-			b := floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, MaxAttempts: 2, Resources: job.Resources{Millicores: 1000}}
+			b := floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, MaxAttempts: 2, Resources: job.Resources{Millicores: 1000}}
 			if task.Work == "bad" || (task.Step == 0 && task.Index == 0 && run == 1) {
-				b.Ending = worker.EndingFailed
+				b.Ending = worker.OutcomeFailed
 			}
 			return b
 		}, "vm1", "vm2")
 		c.workers(3, 4)
 		v := c.owner()
 		w := c.work("good", job.Step{Tasks: 2})
-		w.Steps = append(w.Steps, job.Step{Tasks: 2, Each: w.Steps[0].Each, After: []int{0}})
+		w.Steps = append(w.Steps, job.Step{Tasks: 2, TaskResources: w.Steps[0].TaskResources, DependsOn: []int{0}})
 		c.submit(v, w)
 		c.submit(v, c.work("bad", job.Step{Tasks: 1}))
 		c.waitForState(v, "good", job.WorkCompleted, 10*time.Second)
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -67,7 +67,7 @@
 					}
 				}
 				for _, r := range c.floor.History() {
-					is.Equal(r.Ending, worker.EndingDone)
+					is.Equal(r.Ending, worker.OutcomeDone)
 				}
 				is.True(first.disp.IsOwner())
 				c.checkHistory()
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -87,7 +87,7 @@
 func (r *replay) worker(id, zone, rack string, has job.Resources) *node {
 	t := r.term
 	n := t.nodeFor(id)
-	n.listing = worker.Listing{Info: worker.Info{ID: id, Zone: zone, Rack: rack, Has: has}, Pool: "p"}
+	n.listing = worker.ListedWorker{Info: worker.Info{ID: id, Zone: zone, Rack: rack, Has: has}, Pool: "p"}
 	n.listed, n.synced, n.free = true, true, has
 	n.updateIndex()
 	n.agent = &worker.Agent{
@@ -178,6 +178,6 @@
 		task := k.task()
 		now := time.Since(r.began)
 		fmt.Fprintf(&r.decisions, "%9.3f ms %s.%d.%d run %d on %s\n", float64(now.Microseconds())/1000, task.Work, task.Step, task.Index, k.number, k.node.id)
-		r.at(now+r.runs[task.Work]+jitter(task, k.number), func() { r.term.endRun(k, worker.EndingDone, "") })
+		r.at(now+r.runs[task.Work]+jitter(task, k.number), func() { r.term.endRun(k, worker.OutcomeDone, "") })
 	}
 }
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -80,8 +80,8 @@
 func (t *term) releases(out []release, s *stage, n *node, now time.Time) []release {
 	need := s.taskResources()
 	most := len(s.tasks)
-	if s.spec.MostPerWorker > 0 {
-		most = min(most, s.spec.MostPerWorker-s.tasksOn(n))
+	if s.spec.MaxPerWorker > 0 {
+		most = min(most, s.spec.MaxPerWorker-s.tasksOn(n))
 	}
 	room := n.room()
 	had := min(fitCount(room, need), most)
--- a/dispatch/size.go
+++ b/dispatch/size.go
@@ -17,7 +17,7 @@
 	sum := 0.0
 	for i := range w.Steps {
 		s := &w.Steps[i]
-		cores := float64(s.Each.Millicores)/1000 + acceleratorCores*float64(s.Each.Accelerators)
+		cores := float64(s.TaskResources.Millicores)/1000 + acceleratorCores*float64(s.TaskResources.Accelerators)
 		sum += cores * float64(s.Tasks) * s.Estimate.Seconds()
 	}
 	return sum
@@ -106,7 +106,7 @@
 // countExpired notes the works that are worth nothing any more.
 func (t *term) countExpired(now time.Time) {
 	for _, e := range t.entries {
-		if !e.outcomeCounted && e.work.Occurrences == 0 && !e.state.Final() && now.After(e.work.Due(0).Add(expiryFactor*e.objective)) {
+		if !e.outcomeCounted && e.work.Occurrences == 0 && !e.state.Final() && now.After(e.work.DueAt(0).Add(expiryFactor*e.objective)) {
 			t.log.Info("dispatch: work is worth nothing any more", zap.String("id", e.work.ID),
 				zap.Stringer("class", e.class), zap.Bool("started", e.started))
 			t.countOutcomeOnce(e, outcomeLost)
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -19,9 +19,9 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Slack, c.config.Queues[0].Target = 3, time.Second
+		c.config.Queues[0].SlackFactor, c.config.Queues[0].TargetDuration = 3, time.Second
 		c.workers(4, 8)
 		v := c.owner()
 		time.Sleep(5 * time.Second)
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -178,7 +178,7 @@
 	t.cancelCtx()
 	t.wg.Wait()
 	for _, n := range t.sortedNodes {
-		n.agent.End()
+		n.agent.Release()
 	}
 }
 
@@ -204,7 +204,7 @@
 // configuration, since accepted work must be finished.
 func (t *term) applyQueueConfig(e *entry) {
 	if t.config != nil {
-		if q := t.config.Named(e.work.Queue.Name); q != nil {
+		if q := t.config.QueueByName(e.work.Queue.Name); q != nil {
 			e.queue = q
 			e.updateObjective()
 		}
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -82,11 +82,11 @@
 		delete(t.timed, e)
 		return
 	}
-	for e.occurrencesBegun < e.work.Count() && !now.Before(e.work.Due(e.occurrencesBegun)) {
+	for e.occurrencesBegun < e.work.NumOccurrences() && !now.Before(e.work.DueAt(e.occurrencesBegun)) {
 		t.openStages(e.openOccurrence(e.occurrencesBegun))
 		t.save(e, nil)
 	}
-	if e.occurrencesBegun == e.work.Count() {
+	if e.occurrencesBegun == e.work.NumOccurrences() {
 		delete(t.timed, e)
 	}
 }
--- a/dispatch/unresolved.go
+++ b/dispatch/unresolved.go
@@ -28,7 +28,7 @@
 		}
 	}
 	s.unresolved = remaining
-	return s.spec.Service || s.failures+s.unresolvedCount() < s.entry.queue.Attempts
+	return s.spec.Service || s.failures+s.unresolvedCount() < s.entry.queue.MaxAttempts
 }
 
 // unresolvedCount counts the runs that may still turn out to have failed, each once even if several workers may report
@@ -68,13 +68,13 @@
 				continue
 			}
 			r.stage.addUnresolved(r.number, n)
-			t.endRun(r, worker.EndingBroken, "")
+			t.endRun(r, worker.OutcomeGangBroken, "")
 		}
 	}
 }
 
 // onLateEnd handles the reported end of a run that was already counted as over.
-func (t *term) onLateEnd(n *node, e *worker.End) {
+func (t *term) onLateEnd(n *node, e *worker.EndedRun) {
 	entry := t.entries[e.Task.Work]
 	if entry == nil || entry.state.Final() {
 		return
@@ -85,7 +85,7 @@
 		}
 		s := o.stages[e.Task.Step]
 		for _, u := range s.unresolved {
-			if u.number != e.Run || u.worker != n.id || e.How != worker.EndingFailed {
+			if u.number != e.Run || u.worker != n.id || e.Outcome != worker.OutcomeFailed {
 				continue
 			}
 			s.unresolved = slices.DeleteFunc(s.unresolved, func(o unresolvedRun) bool { return o.number == e.Run })
@@ -93,7 +93,7 @@
 			t.log.Info("dispatch: a failure was heard of late", zap.String("id", e.Task.Work),
 				zap.Int("step", e.Task.Step),
 				zap.Int64("run", e.Run), zap.String("worker", n.id), zap.Int("fails", s.failures))
-			if s.failures >= entry.queue.Attempts && !s.spec.Service {
+			if s.failures >= entry.queue.MaxAttempts && !s.spec.Service {
 				t.failWork(s)
 			}
 			t.saveUnlessEnded(entry)
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -98,7 +98,7 @@
 	slices.SortFunc(waiting, func(a, b maintenance.VM) int { return t.runsOn(a) - t.runsOn(b) })
 	for _, vm := range waiting {
 		since, clearing := w.draining[vm.ID]
-		if !clearing && (away >= w.Most || vm.State != maintenance.Up) {
+		if !clearing && (away >= w.MaxUnavailable || vm.State != maintenance.Up) {
 			continue
 		}
 		if !clearing {
@@ -151,8 +151,8 @@
 
 // drainTimeout is how long a VM may be waited for until it is empty, so that the wave is done in time.
 func (w *wave) drainTimeout(away time.Duration) time.Duration {
-	rounds := (len(w.VMs) + w.Most - 1) / w.Most
-	return max(w.Within/time.Duration(max(rounds, 1))-away-upkeepOverhead, upkeepOverhead)
+	rounds := (len(w.VMs) + w.MaxUnavailable - 1) / w.MaxUnavailable
+	return max(w.TimeLimit/time.Duration(max(rounds, 1))-away-upkeepOverhead, upkeepOverhead)
 }
 
 // drainVM empties a VM and orders its upkeep. For the first half of its time what runs there may end; then what
@@ -184,7 +184,7 @@
 // canBeAway reports whether a task that lasts may be made unavailable: so many others of its step as the
 // caller allows are not away for any other cause.
 func (t *term) canBeAway(r *run) bool {
-	most := r.stage.spec.MostAway
+	most := r.stage.spec.MaxUnavailable
 	if most == 0 || r.stopping {
 		return true
 	}
@@ -224,7 +224,7 @@
 		}
 		if err == nil {
 			ctx, cancel := context.WithTimeout(t.ctx, cloudTimeout)
-			err = waves.Cloud.Upkeep(ctx, maintenance.Order{VM: vm.ID, Wave: w.Number, Holder: waves.Self, Fence: t.tenure.Fence})
+			err = waves.Cloud.Upkeep(ctx, maintenance.UpkeepOrder{VM: vm.ID, Wave: w.Number, Holder: waves.Self, Fence: t.tenure.Fence})
 			cancel()
 		}
 		t.post(func() { t.onUpkeepOrdered(w, vm, err) })
@@ -244,7 +244,7 @@
 		t.recordWave(w)
 	case errors.Is(err, maintenance.ErrFenced), errors.Is(err, errTermClosed):
 		t.loseOwnership("an order for upkeep was refused", err)
-	case errors.Is(err, maintenance.ErrNotOfWave):
+	case errors.Is(err, maintenance.ErrNotInWave):
 		w.VMs = slices.DeleteFunc(slices.Clone(w.VMs), func(id string) bool { return id == vm.ID })
 		t.stopDraining(w, vm.ID)
 	default:
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (k *cloud) upkeep(ctx context.Context, o maintenance.Order) error {
+func (k *cloud) upkeep(ctx context.Context, o maintenance.UpkeepOrder) error {
 	time.Sleep(k.slowOrder)
 	lost, err := k.carryOut(o)
 	if lost {
@@ -109,7 +109,7 @@
 }
 
 // carryOut does what an order says; lost says that its answer never arrives.
-func (k *cloud) carryOut(o maintenance.Order) (lost bool, err error) {
+func (k *cloud) carryOut(o maintenance.UpkeepOrder) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ordersToDrop--; k.ordersToDrop >= 0 {
@@ -207,7 +207,7 @@
 				c.boot("vm2")
 				v := c.owner()
 				time.Sleep(3 * time.Second)
-				c.wave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, Within: 40 * time.Second, Most: 1})
+				c.wave(maintenance.Wave{Number: 7, VMs: []string{"host0", "host1", "host2", "host3", "gone"}, TimeLimit: 40 * time.Second, MaxUnavailable: 1})
 				begun := time.Now()
 				for i := 0; !c.completed(7); i++ {
 					is.True(time.Since(begun) < 40*time.Second)
@@ -225,7 +225,7 @@
 				is.Equal(k.faults, nil)
 				time.Sleep(20 * time.Second)
 				for _, r := range c.floor.History() {
-					is.True(r.Ending == worker.EndingDone)
+					is.True(r.Ending == worker.OutcomeDone)
 				}
 				c.checkHistory()
 			})
@@ -239,7 +239,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
-			return floor.Behaviour{Duration: time.Hour, Ending: worker.EndingDone, FullProgress: true, Resources: job.Resources{Millicores: 1000}}
+			return floor.Behaviour{Duration: time.Hour, Ending: worker.OutcomeDone, FullProgress: true, Resources: job.Resources{Millicores: 1000}}
 		})
 		ws := c.workers(2, 4)
 		k := newCloud(c, ws, 2)
@@ -247,11 +247,11 @@
 		c.boot("vm1")
 		v := c.owner()
 		time.Sleep(3 * time.Second)
-		c.submit(v, c.work("desk", job.Step{Tasks: 2, Service: true, MostPerWorker: 1, MostAway: 1}))
+		c.submit(v, c.work("desk", job.Step{Tasks: 2, Service: true, MaxPerWorker: 1, MaxUnavailable: 1}))
 		time.Sleep(2 * time.Second)
 		c.worker("spare", 4)
 		time.Sleep(time.Second)
-		c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, Within: 20 * time.Second, Most: 2})
+		c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1"}, TimeLimit: 20 * time.Second, MaxUnavailable: 2})
 		begun := time.Now()
 		for !c.completed(1) {
 			is.True(time.Since(begun) < 30*time.Second)
@@ -277,7 +277,7 @@
 }
 
 func (c *cell) wholeWave() {
-	c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, Within: 40 * time.Second, Most: 2})
+	c.wave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, TimeLimit: 40 * time.Second, MaxUnavailable: 2})
 }
 
 // An owner dies just after an order, and two VMs that could go at once are left. Orders of the dead owner may
--- a/dispatch/urgency.go
+++ b/dispatch/urgency.go
@@ -36,7 +36,7 @@
 	e := s.entry
 	goal := s.occurrence.deadline(e)
 	wait := time.Duration(t.sizes.WaitFactor(e.work.Queue.Name, e.size) * float64(e.objective))
-	u := urgency{stage: s, priority: e.priority(), turn: e.work.Due(s.occurrence.number).Add(wait).UnixNano()}
+	u := urgency{stage: s, priority: e.priority(), turn: e.work.DueAt(s.occurrence.number).Add(wait).UnixNano()}
 	if s.spec.Service {
 		u.service = 1
 	}
@@ -91,7 +91,7 @@
 		var later, first []urgency
 		var classes []aging.Class
 		for _, i := range at {
-			if len(group[i].stage.spec.After) > 0 {
+			if len(group[i].stage.spec.DependsOn) > 0 {
 				later = append(later, group[i])
 				continue
 			}
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -14,7 +14,7 @@
 // stageOf gives the first stage of the last occurrence of a work.
 func stageOf(w *job.Work) *stage {
 	e := newEntry(w)
-	for range w.Count() {
+	for range w.NumOccurrences() {
 		e.openOccurrence(e.occurrencesBegun)
 	}
 	return e.occurrences[len(e.occurrences)-1].stages[0]
@@ -29,13 +29,13 @@
 	work := func(id string, ago time.Duration, priority int) *job.Work {
 		return &job.Work{
 			ID: id, Accepted: now.Add(-ago), Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}},
-			Queue: job.Queue{Priority: priority, Slack: 2, Target: time.Second},
+			Queue: job.Queue{Priority: priority, SlackFactor: 2, TargetDuration: time.Second},
 		}
 	}
 	service := work("service", time.Hour, 3)
 	service.Steps[0].Service = true
 	timed := work("timed", time.Hour, 1)
-	timed.Occurrences, timed.First, timed.Every = 3, now.Add(-2*time.Minute), time.Minute
+	timed.Occurrences, timed.FirstDue, timed.Interval = 3, now.Add(-2*time.Minute), time.Minute
 	order := []string{"service", "check", "timed", "roster", "batch", "late", "hopeless"}
 	var found []urgency
 	for _, w := range []*job.Work{
@@ -55,8 +55,8 @@
 func TestObjectiveAllowsForPermits(t *testing.T) {
 	is := is.New(t)
 	w := &job.Work{
-		ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}, {Tasks: 1, Estimate: 3 * time.Second, After: []int{0}}},
-		Queue: job.Queue{Slack: 2, Target: time.Second},
+		ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}, {Tasks: 1, Estimate: 3 * time.Second, DependsOn: []int{0}}},
+		Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second},
 	}
 	is.Equal(newEntry(w).objective, 11*time.Second)
 	w.Queue.Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}
@@ -75,8 +75,8 @@
 	}
 	work := func(id string, tasks int) *stage {
 		return stageOf(&job.Work{
-			ID: id, Accepted: now, Queue: job.Queue{Name: "rosters", Slack: 2, Target: time.Second},
-			Steps: []job.Step{{Tasks: tasks, Each: job.Resources{Millicores: 1000}, Estimate: 10 * time.Second}, {Tasks: 1, After: []int{0}}},
+			ID: id, Accepted: now, Queue: job.Queue{Name: "rosters", SlackFactor: 2, TargetDuration: time.Second},
+			Steps: []job.Step{{Tasks: tasks, TaskResources: job.Resources{Millicores: 1000}, Estimate: 10 * time.Second}, {Tasks: 1, DependsOn: []int{0}}},
 		})
 	}
 	service := work("service", 1)
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -65,7 +65,7 @@
 		answeredAt: make(map[string]time.Time),
 	}
 	t.upkeep.waves[m.Number] = w
-	t.log.Info("dispatch: wave of upkeep", zap.Int64("wave", m.Number), zap.Int("vms", len(m.VMs)), zap.Duration("within", m.Within), zap.Int("most", m.Most))
+	t.log.Info("dispatch: wave of upkeep", zap.Int64("wave", m.Number), zap.Int("vms", len(m.VMs)), zap.Duration("within", m.TimeLimit), zap.Int("most", m.MaxUnavailable))
 	t.wg.Go(func() { t.readWave(w) })
 }
 
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -134,7 +134,7 @@
 		c.submit(v, c.work("first", job.Step{Tasks: 8}))
 		time.Sleep(time.Second)
 		is.Equal(ws[0].ActiveRuns(), 4)
-		c.register(worker.Listing{Info: asLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
+		c.register(worker.ListedWorker{Info: asLeaving(ws[0].Info()), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("second", job.Step{Tasks: 8}))
 		c.waitForState(v, "second", job.WorkCompleted, 20*time.Second)
@@ -159,10 +159,10 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
-			b := floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 1000}}
+			b := floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 			switch task.Work {
 			case "service":
-				b.Duration, b.Ending = 2*time.Second, worker.EndingFailed
+				b.Duration, b.Ending = 2*time.Second, worker.OutcomeFailed
 			case "filler":
 				b.Resources = job.Resources{}
 			}
@@ -171,16 +171,16 @@
 		for id, rack := range map[string]string{"w1": "r1", "w2": "r2", "w3": "r3"} {
 			info := worker.Info{ID: id, Address: id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
 			c.floor.Add(info)
-			c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", rack}})
+			c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", rack}})
 		}
 		v := c.owner()
 		time.Sleep(time.Second)
 		c.submit(v, c.work("near", job.Step{Tasks: 3, DataRack: "r2"}))
 		c.submit(v, c.work("label", job.Step{Tasks: 3, Label: "r3"}))
-		c.submit(v, c.work("spread", job.Step{Tasks: 3, MostPerWorker: 1}))
-		c.submit(v, c.work("service", job.Step{Tasks: 1, Service: true, Tail: 100 * time.Millisecond}))
+		c.submit(v, c.work("spread", job.Step{Tasks: 3, MaxPerWorker: 1}))
+		c.submit(v, c.work("service", job.Step{Tasks: 1, Service: true, TailLatency: 100 * time.Millisecond}))
 		time.Sleep(200 * time.Millisecond)
-		c.submit(v, c.work("filler", job.Step{Tasks: 2, Filler: true}))
+		c.submit(v, c.work("filler", job.Step{Tasks: 2, BestEffort: true}))
 		time.Sleep(10 * time.Second)
 		on := make(map[string]map[string]int)
 		for _, r := range c.floor.History() {
@@ -207,13 +207,13 @@
 		c.workers(1, 4)
 		first := c.owner()
 		w := c.work("sweep", job.Step{Tasks: 1})
-		w.Occurrences, w.First, w.Every = 4, time.Now().Add(2*time.Second), 3*time.Second
+		w.Occurrences, w.FirstDue, w.Interval = 4, time.Now().Add(2*time.Second), 3*time.Second
 		c.submit(first, w)
 		time.Sleep(4 * time.Second)
 		c.kill(first)
 		c.waitForState(c.owner(), "sweep", job.WorkCompleted, 30*time.Second)
 		for _, r := range c.floor.History() {
-			late := r.Started.Sub(w.Due(r.Task.Occurrence))
+			late := r.Started.Sub(w.DueAt(r.Task.Occurrence))
 			is.True(late >= 0)
 			is.True(late < 2500*time.Millisecond)
 		}
@@ -281,7 +281,7 @@
 		c.waitForState(v, "check", job.WorkCompleted, 25*time.Second)
 		still := 0
 		for _, r := range c.floor.History() {
-			if r.Ending == worker.EndingStopped {
+			if r.Ending == worker.OutcomeStopped {
 				is.Equal(r.Worker, ws[0].Info().ID)
 				still++
 			}
@@ -317,7 +317,7 @@
 				if ws[1].ActiveRuns() > 0 {
 					w = ws[1]
 				}
-				cell.register(worker.Listing{Info: asLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
+				cell.register(worker.ListedWorker{Info: asLeaving(w.Info()), Pool: pool, Clock: w.Clock()})
 				time.Sleep(time.Second)
 				if c.again > 0 {
 					w.Crash(false)
@@ -358,7 +358,7 @@
 		}
 		failed := 0
 		for _, r := range c.floor.History() {
-			if r.Ending == worker.EndingFailed {
+			if r.Ending == worker.OutcomeFailed {
 				failed++
 			}
 		}
@@ -399,7 +399,7 @@
 		for _, r := range c.floor.History() {
 			is.True(r.Task.Work == "first" || r.Worker == ws[1].Info().ID)
 		}
-		c.register(worker.Listing{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
+		c.register(worker.ListedWorker{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
 		time.Sleep(time.Second)
 		c.submit(v, c.work("third", job.Step{Tasks: 8}))
 		c.waitForState(v, "third", job.WorkCompleted, 5*time.Second)
--- a/dispatch/zone_test.go
+++ b/dispatch/zone_test.go
@@ -25,7 +25,7 @@
 			zone := zones[i%len(zones)]
 			info := worker.Info{ID: fmt.Sprintf("w%02d", i), Address: fmt.Sprintf("w%02d", i), Zone: zone, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}
 			w := c.floor.Add(info)
-			c.register(worker.Listing{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
+			c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 			if zone == zones[2] {
 				cut = append(cut, w)
 			}
--- a/finding/finding.go
+++ b/finding/finding.go
@@ -7,27 +7,27 @@
 
 // Finding is one fault of an input.
 type Finding struct {
-	// Place names the faulty part, as a path such as "rules[3].when".
-	Place string `json:"place" msgpack:"p"`
+	// Path names the faulty part, as a path such as "rules[3].when".
+	Path string `json:"place" msgpack:"p"`
 	// Reason says in one short sentence what is wrong there.
 	Reason string `json:"reason" msgpack:"r"`
 }
 
 // String gives the finding as "place: reason".
-func (f Finding) String() string { return f.Place + ": " + f.Reason }
+func (f Finding) String() string { return f.Path + ": " + f.Reason }
 
 // List is the findings of one input, in the order in which they were met.
 type List []Finding
 
 // Add appends a finding whose reason is formatted as by fmt.Sprintf.
 func (l *List) Add(place, format string, args ...any) {
-	*l = append(*l, Finding{Place: place, Reason: fmt.Sprintf(format, args...)})
+	*l = append(*l, Finding{Path: place, Reason: fmt.Sprintf(format, args...)})
 }
 
 // AddUnder appends the findings of a part, with their places moved below prefix.
 func (l *List) AddUnder(prefix string, part List) {
 	for _, f := range part {
-		*l = append(*l, Finding{Place: prefix + "." + f.Place, Reason: f.Reason})
+		*l = append(*l, Finding{Path: prefix + "." + f.Path, Reason: f.Reason})
 	}
 }
 
--- a/gate/api.go
+++ b/gate/api.go
@@ -127,7 +127,7 @@
 	if size < 0 || size > g.opts.Limits.BodyBytes {
 		size = g.opts.Limits.BodyBytes
 	}
-	if r := g.work.hold(size, g.opts.Limits.HeldBytes); r != nil {
+	if r := g.work.hold(size, g.opts.Limits.BufferedBytes); r != nil {
 		g.meters.shed.Inc(1)
 		reply(ctx, r)
 		return 0, false
--- a/gate/api_test.go
+++ b/gate/api_test.go
@@ -49,8 +49,8 @@
 	return &job.Status{ID: id, State: job.Queued, Zone: "z1"}, nil
 }
 
-func owned() Jobs {
-	return Jobs{
+func owned() JobClient {
+	return JobClient{
 		Submit: func(ctx context.Context, s *job.Submission) (*job.Status, error) { return owner(ctx, s.Key) },
 		Status: owner, Cancel: owner,
 		Wait: func(ctx context.Context, id string) (*job.Status, error) {
@@ -111,7 +111,7 @@
 			Rules(func(c *Check) Decision {
 				switch c.Method {
 				case "refuse":
-					return Decision{Refuse: "closed on Sundays"}
+					return Decision{RefusalReason: "closed on Sundays"}
 				case "hurry":
 					return Decision{Timeout: time.Microsecond}
 				}
@@ -154,7 +154,7 @@
 	near := f.gate()
 	defer near.Close()
 	far := f.gate(Zone("z2"), Peers(func(string) []string { return []string{"10.0.0.1:1"} },
-		func(ctx context.Context, _ string, c *Check) (*Result, error) { return near.Forwarded(ctx, c) }))
+		func(ctx context.Context, _ string, c *Check) (*Result, error) { return near.HandleForwarded(ctx, c) }))
 	defer far.Close()
 	r := httptest.NewRequest(http.MethodPost, "/v1/checks/desk/seat", nil)
 	r.Header.Set("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01")
@@ -176,7 +176,7 @@
 			time.Sleep(time.Second)
 			return echo(ctx, id, r)
 		})
-		g := f.gate(Limit(func(l *Limits) { l.HeldBytes = 10 }))
+		g := f.gate(Limit(func(l *Limits) { l.BufferedBytes = 10 }))
 		defer g.Close()
 		codes := make(chan int, 3)
 		for range 3 {
--- a/gate/check.go
+++ b/gate/check.go
@@ -44,8 +44,8 @@
 
 // Decision is what the rules say about one check; zero fields take the gate's defaults.
 type Decision struct {
-	// Refuse is the reason to refuse the check; empty lets it pass.
-	Refuse string
+	// RefusalReason is the reason to refuse the check; empty lets it pass.
+	RefusalReason string
 	// Service replaces the check's service.
 	Service string
 	// Zone is the zone to prefer.
--- a/gate/forward.go
+++ b/gate/forward.go
@@ -116,8 +116,8 @@
 	return cl.finish(notRun("no answer from gate "+address, 0)), false
 }
 
-// Forwarded serves a check that another zone's gate sent here.
-func (g *Gate) Forwarded(ctx context.Context, c *Check) (*Result, error) {
+// HandleForwarded serves a check that another zone's gate sent here.
+func (g *Gate) HandleForwarded(ctx context.Context, c *Check) (*Result, error) {
 	in := *c
 	in.Forwarded = true
 	return g.Do(ctx, &in), nil
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -24,21 +24,21 @@
 
 // Defaults.
 const (
-	DefaultZone        = "local"
-	DefaultTimeout     = 5 * time.Second
-	DefaultMaxTimeout  = 15 * time.Second
-	DefaultQueue       = 1000
-	DefaultRetries     = 2
-	DefaultGrace       = 250 * time.Millisecond
-	DefaultChecks      = 20000
-	DefaultStreams     = 1000
-	DefaultHeldBytes   = 64 << 20
-	DefaultPipelined   = 16
-	DefaultConnections = 8192
-	DefaultBodyBytes   = 256 << 10
-	DefaultHeaderBytes = 16 << 10
-	DefaultReadTimeout = 10 * time.Second
-	DefaultIdleTimeout = 90 * time.Second
+	DefaultZone          = "local"
+	DefaultTimeout       = 5 * time.Second
+	DefaultMaxTimeout    = 15 * time.Second
+	DefaultQueue         = 1000
+	DefaultRetries       = 2
+	DefaultGrace         = 250 * time.Millisecond
+	DefaultChecks        = 20000
+	DefaultStreams       = 1000
+	DefaultBufferedBytes = 64 << 20
+	DefaultPipelined     = 16
+	DefaultConnections   = 8192
+	DefaultBodyBytes     = 256 << 10
+	DefaultHeaderBytes   = 16 << 10
+	DefaultReadTimeout   = 10 * time.Second
+	DefaultIdleTimeout   = 90 * time.Second
 
 	tracerName      = "turmericgap/gate"
 	refreshInterval = 100 * time.Millisecond
@@ -109,7 +109,7 @@
 		ttl := o.Limits.MaxTimeout * 2 / 3
 		drift := ttl / driftDivisor
 		grace := max(o.Limits.MaxTimeout+o.Limits.Grace, ttl+drift)
-		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift), share.Valid(o.Valid), share.MemberSince(o.Since))
+		return share.New(o.ID, share.RemovalGrace(grace), share.LoanTTL(ttl, drift), share.Valid(o.Valid), share.MemberSince(o.MemberSince))
 	}
 	// A gate that is alone in its zone and has no predecessor needs no removal grace period.
 	a := share.New(o.ID, share.RemovalGrace(0))
@@ -137,7 +137,7 @@
 		Limits: Limits{
 			Timeout: DefaultTimeout, MaxTimeout: DefaultMaxTimeout, Queue: DefaultQueue,
 			Retries: DefaultRetries, Grace: DefaultGrace, Checks: DefaultChecks,
-			Streams: DefaultStreams, HeldBytes: DefaultHeldBytes, Pipelined: DefaultPipelined, SessionLife: session.DefaultLife,
+			Streams: DefaultStreams, BufferedBytes: DefaultBufferedBytes, Pipelined: DefaultPipelined, SessionTTL: session.DefaultTTL,
 			Connections: DefaultConnections, BodyBytes: DefaultBodyBytes, HeaderBytes: DefaultHeaderBytes,
 			ReadTimeout: DefaultReadTimeout, IdleTimeout: DefaultIdleTimeout,
 		},
@@ -209,8 +209,8 @@
 // decide asks the rules and applies the limits.
 func (g *Gate) decide(c *Check) (*call, *Result) {
 	d := g.opts.Rules(c)
-	if d.Refuse != "" {
-		return nil, notRun("refused by rule: "+d.Refuse, 0)
+	if d.RefusalReason != "" {
+		return nil, notRun("refused by rule: "+d.RefusalReason, 0)
 	}
 	l := &g.opts.Limits
 	cl := &call{check: *c, zone: c.Zone, retries: l.Retries, queue: l.Queue}
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -202,7 +202,7 @@
 		synctest.Wait()
 		f.change(func(*target.Info) bool { return false })
 		is.Equal((<-result).Outcome, job.Done)
-		is.Equal(g.Page().Shares.Used, 0)
+		is.Equal(g.Status().Shares.Used, 0)
 		f.mu.Lock()
 		f.infos = all
 		f.mu.Unlock()
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -129,8 +129,8 @@
 	var l finding.List
 	if errors.As(err, &l) {
 		for i := range l {
-			if l[i].Place == "settings" {
-				l[i].Place = "body"
+			if l[i].Path == "settings" {
+				l[i].Path = "body"
 			}
 		}
 		return l
--- a/gate/options.go
+++ b/gate/options.go
@@ -16,8 +16,8 @@
 // leaves open whether the check ran.
 type Forward func(ctx context.Context, address string, c *Check) (*Result, error)
 
-// Siblings reach the other gates of this zone, by the ids of the gate table.
-type Siblings struct {
+// SiblingClient reach the other gates of this zone, by the ids of the gate table.
+type SiblingClient struct {
 	Borrow  func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error)
 	Return  func(ctx context.Context, gate string, r *share.LoanReturn) error
 	Confirm func(ctx context.Context, gate string, c *share.Confirmation) (*share.Confirmation, error)
@@ -33,16 +33,16 @@
 	Forward Forward
 	// Valid tells whether the gate holds its membership; nil makes the gate the only one of its zone.
 	Valid func() bool
-	// Since gives the table version with which the present membership began.
-	Since    func() int64
-	Siblings Siblings
-	Keys     [][]byte
-	Jobs     Jobs
-	Rules    func(*Check) Decision
-	Logger   *zap.Logger
-	Metrics  *metric.Registry
-	Limits   Limits
-	Seed     uint64
+	// MemberSince gives the table version with which the present membership began.
+	MemberSince func() int64
+	Siblings    SiblingClient
+	Keys        [][]byte
+	Jobs        JobClient
+	Rules       func(*Check) Decision
+	Logger      *zap.Logger
+	Metrics     *metric.Registry
+	Limits      Limits
+	Seed        uint64
 }
 
 // Limits bound what a Gate holds and how long it waits.
@@ -59,12 +59,12 @@
 	// Checks bounds the checks and streams in progress.
 	Checks int
 	// Streams bounds the streams among them, HeldBytes the bodies of all checks in progress.
-	Streams   int
-	HeldBytes int64
+	Streams       int
+	BufferedBytes int64
 	// Pipelined bounds the requests of one session that wait for each other.
 	Pipelined int
-	// SessionLife is how long a session token holds.
-	SessionLife time.Duration
+	// SessionTTL is how long a session token holds.
+	SessionTTL time.Duration
 	// Connections bounds the callers' connections.
 	Connections int
 	// BodyBytes bounds the body of a check, HeaderBytes all headers of a request.
@@ -98,11 +98,11 @@
 // Member makes the gate one of several in its zone: it uses nothing while valid is false or before
 // SetTable has listed it, nor what it held before the membership that began with version since.
 func Member(valid func() bool, since func() int64) Option {
-	return func(o *Options) { o.Valid, o.Since = valid, since }
+	return func(o *Options) { o.Valid, o.MemberSince = valid, since }
 }
 
-// Neighbours sets how the zone's other gates are reached.
-func Neighbours(s Siblings) Option { return func(o *Options) { o.Siblings = s } }
+// Siblings sets how the zone's other gates are reached.
+func Siblings(s SiblingClient) Option { return func(o *Options) { o.Siblings = s } }
 
 // OverRPC reaches the gates of all zones over rpc; address gives that of a gate of this zone by the
 // id that the gate table has for it, and peers those of another zone's gates.
@@ -120,7 +120,7 @@
 func SessionKeys(keys ...[]byte) Option { return func(o *Options) { o.Keys = keys } }
 
 // JobOwner sets the functions that reach the owner of a job.
-func JobOwner(j Jobs) Option { return func(o *Options) { o.Jobs = j } }
+func JobOwner(j JobClient) Option { return func(o *Options) { o.Jobs = j } }
 
 // Rules sets the function that decides about each check.
 func Rules(f func(*Check) Decision) Option { return func(o *Options) { o.Rules = f } }
--- a/gate/page.go
+++ b/gate/page.go
@@ -11,8 +11,8 @@
 	"turmericgap/share"
 )
 
-// Page is what an operator sees of a gate.
-type Page struct {
+// Status is what an operator sees of a gate.
+type Status struct {
 	ID       string `json:"id"`
 	Zone     string `json:"zone"`
 	Draining bool   `json:"draining"`
@@ -35,10 +35,10 @@
 	Targets          []balancer.Report `json:"targets"`
 }
 
-// Page gives the gate's present state.
-func (g *Gate) Page() *Page {
+// Status gives the gate's present state.
+func (g *Gate) Status() *Status {
 	now := time.Now()
-	p := &Page{
+	p := &Status{
 		ID: g.opts.ID, Zone: g.opts.Zone, Draining: g.work.isDraining(), InProgress: g.work.left(),
 		Streams: g.work.openStreams(), Shares: g.shares.Report(now),
 	}
@@ -54,10 +54,10 @@
 	return p
 }
 
-// ServePage answers an operator with Page as JSON.
-func (g *Gate) ServePage(w http.ResponseWriter, _ *http.Request) {
+// ServeStatus answers an operator with Page as JSON.
+func (g *Gate) ServeStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(g.Page())
+	_ = enc.Encode(g.Status())
 }
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -43,14 +43,14 @@
 }
 
 // picker takes the first target with a free slot in the order of the policy, and knows no health.
-func (p *policy) picker(b *balancer.Balancer, infos []target.Info) func(*balancer.Ask, time.Time) (balancer.Choice, bool) {
+func (p *policy) picker(b *balancer.Balancer, infos []target.Info) func(*balancer.Constraints, time.Time) (balancer.Choice, bool) {
 	order := p.order()
-	return func(ask *balancer.Ask, now time.Time) (balancer.Choice, bool) {
+	return func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool) {
 		for _, i := range order(len(infos)) {
 			if infos[i].ID == ask.Avoid {
 				continue
 			}
-			if c, ok := b.Take(infos[i].ID, ask, now); ok {
+			if c, ok := b.PickByID(infos[i].ID, ask, now); ok {
 				return c, true
 			}
 		}
--- a/gate/pool.go
+++ b/gate/pool.go
@@ -32,7 +32,7 @@
 type pool struct {
 	balancer *balancer.Balancer
 	// pick chooses a target; tests put other policies here to compare them.
-	pick    func(ask *balancer.Ask, now time.Time) (balancer.Choice, bool)
+	pick    func(ask *balancer.Constraints, now time.Time) (balancer.Choice, bool)
 	shares  *share.Allocator
 	clients map[string]*client
 	waiting *list.List
@@ -61,7 +61,7 @@
 
 type waiter struct {
 	pool  *pool
-	ask   balancer.Ask
+	ask   balancer.Constraints
 	bound string
 	// until gives when a request that is sent now has surely left its target.
 	until func(now time.Time) time.Time
@@ -133,13 +133,13 @@
 // grant gives a waiter a target if one may take it now.
 func (p *pool) grant(w *waiter, now time.Time) *ticket {
 	until := w.until(now)
-	w.ask.Free = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
+	w.ask.FreeSlots = func(info *target.Info) int { return p.shares.FreeSlots(info.ID, info.Slots, until, now) }
 	var c balancer.Choice
 	var ok bool
 	if w.bound == "" {
 		c, ok = p.pick(&w.ask, now)
 	} else {
-		c, ok = p.balancer.Take(w.bound, &w.ask, now)
+		c, ok = p.balancer.PickByID(w.bound, &w.ask, now)
 	}
 	if !ok {
 		return nil
@@ -212,7 +212,7 @@
 		if len(local[service]) == 0 && p.len() == 0 {
 			delete(g.pools, service)
 		}
-		ejected += p.balancer.Ejected()
+		ejected += p.balancer.EjectedCount()
 	}
 	g.meters.ejected.Update(int64(ejected))
 	g.meters.streams.Update(int64(g.work.openStreams()))
@@ -254,7 +254,7 @@
 func (g *Gate) acquire(ctx context.Context, cl *call) (*ticket, *Result) {
 	start := time.Now()
 	w := &waiter{
-		ask:   balancer.Ask{Avoid: cl.avoid, Probe: cl.check.Repeatable},
+		ask:   balancer.Constraints{Avoid: cl.avoid, Repeatable: cl.check.Repeatable},
 		bound: cl.check.Target,
 		until: func(now time.Time) time.Time { return g.attemptEnd(cl, now).Add(g.opts.Limits.Grace) },
 	}
@@ -285,7 +285,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.pools[cl.check.Service]
-	if p == nil || (w.bound == "" && p.balancer.Usable() == 0) {
+	if p == nil || (w.bound == "" && p.balancer.UsableCount() == 0) {
 		return nil, notRun("no usable target", noTargetRetry)
 	}
 	if !g.shares.Valid() {
--- a/gate/send.go
+++ b/gate/send.go
@@ -31,7 +31,7 @@
 // attempt is one request to a target and what came of it.
 type attempt struct {
 	ending  ending
-	verdict balancer.Verdict
+	verdict balancer.Outcome
 	reason  string
 	answer  *job.Answer
 	leaving bool
@@ -148,15 +148,15 @@
 		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer to another request"}
 	case resp.Busy:
 		return &attempt{ending: notStarted, verdict: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
-	case !resp.Answer.Whole():
+	case !resp.Answer.IsIntact():
 		g.meters.dropped.Inc(1)
 		return &attempt{ending: mayHaveRun, verdict: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
 	}
-	return &attempt{ending: whole, verdict: balancer.Good, answer: &resp.Answer, leaving: resp.Leaving}
+	return &attempt{ending: whole, verdict: balancer.Succeeded, answer: &resp.Answer, leaving: resp.Leaving}
 }
 
 // failedUnless gives Failed unless the caller itself went away.
-func failedUnless(ctx context.Context) balancer.Verdict {
+func failedUnless(ctx context.Context) balancer.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return balancer.Abandoned
 	}
--- a/gate/session_test.go
+++ b/gate/session_test.go
@@ -62,18 +62,18 @@
 	token string
 }
 
-func (c *caller) call(method, path, body string) (int, Body, Opened) {
+func (c *caller) call(method, path, body string) (int, Body, OpenedSession) {
 	req, _ := http.NewRequest(method, "http://gate/v1"+path, strings.NewReader(body))
 	req.Header.Set(HeaderSession, c.token)
 	req.Header.Set(HeaderDeadline, "2000")
 	resp, err := c.Do(req)
 	if err != nil {
-		return 0, Body{Reason: err.Error()}, Opened{}
+		return 0, Body{Reason: err.Error()}, OpenedSession{}
 	}
 	defer resp.Body.Close()
 	raw, _ := io.ReadAll(resp.Body)
 	var b Body
-	var o Opened
+	var o OpenedSession
 	_ = json.Unmarshal(raw, &b)
 	_ = json.Unmarshal(raw, &o)
 	return resp.StatusCode, b, o
@@ -118,7 +118,7 @@
 			Targets(func() []target.Info { return nil }), Peers(func(zone string) []string { return []string{zone} },
 				func(ctx context.Context, zone string, in *Check) (*Result, error) {
 					is.Equal(zone, "z1")
-					return second.Forwarded(ctx, in)
+					return second.HandleForwarded(ctx, in)
 				}))
 		far.token = opened.Token
 		_, b, _ = far.call("POST", "/sessions/desk/requests?method=add", "2")
@@ -260,7 +260,7 @@
 				got = append(got, string(b.Answer.Body[len(b.Answer.Body)-1:]))
 				continue
 			}
-			got = append(got, b.Findings[0].Place)
+			got = append(got, b.Findings[0].Path)
 		}
 		is.Equal(got, []string{"1", "methd", "2", "stream"})
 	})
--- a/gate/sessions.go
+++ b/gate/sessions.go
@@ -26,8 +26,8 @@
 	reasonMove      = "gate is stopping; go on with the token at another one"
 )
 
-// Opened is the answer to the opening of a session.
-type Opened struct {
+// OpenedSession is the answer to the opening of a session.
+type OpenedSession struct {
 	Token   string    `json:"token"`
 	Session string    `json:"session"`
 	Target  string    `json:"target"`
@@ -35,8 +35,8 @@
 	Expires time.Time `json:"expires"`
 }
 
-// Line is one request of a stream.
-type Line struct {
+// StreamRequest is one request of a stream.
+type StreamRequest struct {
 	Method         string `json:"method"`
 	Key            string `json:"key,omitempty"`
 	Body           []byte `json:"body,omitempty"`
@@ -75,11 +75,11 @@
 		reply(ctx, notRun("token not made", noTargetRetry))
 		return
 	}
-	write(ctx, http.StatusCreated, &Opened{token, s.ID, s.Target, s.Zone, s.Expires})
+	write(ctx, http.StatusCreated, &OpenedSession{token, s.ID, s.Target, s.Zone, s.Expires})
 }
 
 func (g *Gate) token(s *session.Session) (string, error) {
-	s.Expires = time.Now().Add(g.opts.Limits.SessionLife).UTC().Truncate(time.Second)
+	s.Expires = time.Now().Add(g.opts.Limits.SessionTTL).UTC().Truncate(time.Second)
 	return g.tokens.Sign(s)
 }
 
@@ -92,7 +92,7 @@
 	defer g.mu.Unlock()
 	for _, zone := range zones {
 		if p := g.pools[cl.check.Service]; zone == g.opts.Zone && p != nil {
-			c, ok := p.balancer.Pick(&balancer.Ask{Bind: true}, now)
+			c, ok := p.balancer.Pick(&balancer.Constraints{PlacementOnly: true}, now)
 			if ok {
 				p.balancer.Undo(c)
 				return c.Info, true
@@ -112,7 +112,7 @@
 
 // open checks the token of a request and gives the check that it stands for.
 func (g *Gate) open(ctx iris.Context) (*session.Session, *Check, bool) {
-	s, err := g.tokens.Open(ctx.GetHeader(HeaderSession), time.Now())
+	s, err := g.tokens.Verify(ctx.GetHeader(HeaderSession), time.Now())
 	if errors.Is(err, session.ErrExpired) {
 		write(ctx, http.StatusGone, &Body{Outcome: job.NotRun, Reason: err.Error()})
 		return nil, nil, false
@@ -167,7 +167,7 @@
 
 // renewed gives a new token when more than half of the old one's life is over.
 func (g *Gate) renewed(s *session.Session) string {
-	if time.Until(s.Expires) > g.opts.Limits.SessionLife/2 {
+	if time.Until(s.Expires) > g.opts.Limits.SessionTTL/2 {
 		return ""
 	}
 	next := *s
--- a/gate/settle.go
+++ b/gate/settle.go
@@ -11,9 +11,9 @@
 	// The pool of the ticket: the list may have lost the service, or have it anew, since then.
 	p := t.pool
 	took := now.Sub(t.granted)
-	p.balancer.Ended(t.info.ID, a.verdict, took, now)
+	p.balancer.RecordOutcome(t.info.ID, a.verdict, took, now)
 	if a.leaving {
-		p.balancer.Leaving(t.info.ID)
+		p.balancer.MarkLeaving(t.info.ID)
 	}
 	if a.ending != notStarted {
 		p.learn(took)
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Hear serves a sibling's confirmation and answers with this gate's own.
-func (g *Gate) Hear(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
+// HandleConfirmation serves a sibling's confirmation and answers with this gate's own.
+func (g *Gate) HandleConfirmation(_ context.Context, c *share.Confirmation) (*share.Confirmation, error) {
 	now := time.Now()
 	g.shares.AddConfirmation(*c, now)
 	signal(g.kick)
@@ -132,8 +132,8 @@
 	return ctx, cancel
 }
 
-// Lend serves a sibling's request for idle slots.
-func (g *Gate) Lend(_ context.Context, r *share.LoanRequest) (*share.LoanReply, error) {
+// HandleBorrow serves a sibling's request for idle slots.
+func (g *Gate) HandleBorrow(_ context.Context, r *share.LoanRequest) (*share.LoanReply, error) {
 	loans := g.shares.Lend(r, time.Now())
 	for _, l := range loans.Loans {
 		g.meters.lent.Inc(int64(l.Slots))
--- a/gate/siblings.go
+++ b/gate/siblings.go
@@ -18,16 +18,16 @@
 
 // Register serves the calls of other gates.
 func (g *Gate) Register(s *rpc.Server) {
-	rpc.Handle(s, MethodCheck, g.Forwarded)
-	rpc.Handle(s, MethodBorrow, g.Lend)
+	rpc.Handle(s, MethodCheck, g.HandleForwarded)
+	rpc.Handle(s, MethodBorrow, g.HandleBorrow)
 	rpc.Handle(s, MethodReturn, g.AcceptReturn)
-	rpc.Handle(s, MethodConfirm, g.Hear)
+	rpc.Handle(s, MethodConfirm, g.HandleConfirmation)
 }
 
 var errNotListed = errors.New("gate is not listed")
 
-func siblingsOverRPC(pool *rpc.Pool, address func(gate string) (string, bool)) Siblings {
-	return Siblings{
+func siblingsOverRPC(pool *rpc.Pool, address func(gate string) (string, bool)) SiblingClient {
+	return SiblingClient{
 		Borrow: func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error) {
 			return callGate[share.LoanRequest, share.LoanReply](ctx, pool, address, gate, MethodBorrow, r)
 		},
--- a/gate/status.go
+++ b/gate/status.go
@@ -6,9 +6,9 @@
 	"turmericgap/job"
 )
 
-// Jobs reaches the owner of a job's home zone. A *rpc.Fault is a definite answer; any other error
+// JobClient reaches the owner of a job's home zone. A *rpc.Fault is a definite answer; any other error
 // leaves open whether the call took effect.
-type Jobs struct {
+type JobClient struct {
 	Submit func(ctx context.Context, s *job.Submission) (*job.Status, error)
 	Status func(ctx context.Context, id string) (*job.Status, error)
 	Cancel func(ctx context.Context, id string) (*job.Status, error)
--- a/gate/stream.go
+++ b/gate/stream.go
@@ -101,7 +101,7 @@
 }
 
 func (st *stream) parse(raw []byte) (*Check, finding.List) {
-	var in Line
+	var in StreamRequest
 	c := st.template
 	check := func(l *finding.List) {
 		if in.Method == "" {
--- a/gate/target/check.go
+++ b/gate/target/check.go
@@ -18,7 +18,7 @@
 	switch {
 	case r.ID != id:
 		return fmt.Errorf("request %s, answer %s: %w", id, r.ID, ErrMismatch)
-	case !r.Busy && !r.Answer.Whole():
+	case !r.Busy && !r.Answer.IsIntact():
 		return fmt.Errorf("request %s: %w", id, ErrTruncated)
 	}
 	return nil
--- a/gate/target/web/web.go
+++ b/gate/target/web/web.go
@@ -40,7 +40,7 @@
 		return nil, errors.Join(target.ErrNotSent, ctx.Err())
 	}
 	out := &target.Response{}
-	call := &webcall.Call{Address: c.info.Address, Path: DoPath, In: r, Out: out, Parent: r.Parent}
+	call := &webcall.Call{Address: c.info.Address, Path: DoPath, In: r, Out: out, TraceParent: r.Parent}
 	if err := c.pool.Do(ctx, call); err != nil {
 		return nil, c.wrap(err)
 	}
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -67,17 +67,17 @@
 
 // direct gives the siblings among some gates, reached by calls that take a while.
 func direct(gates map[string]*Gate, takes time.Duration) Option {
-	return Neighbours(Siblings{
+	return Siblings(SiblingClient{
 		func(ctx context.Context, gate string, r *share.LoanRequest) (*share.LoanReply, error) {
 			time.Sleep(takes)
-			return gates[gate].Lend(ctx, r)
+			return gates[gate].HandleBorrow(ctx, r)
 		},
 		func(ctx context.Context, gate string, r *share.LoanReturn) error {
 			_, err := gates[gate].AcceptReturn(ctx, r)
 			return err
 		},
 		func(ctx context.Context, gate string, c *share.Confirmation) (*share.Confirmation, error) {
-			return gates[gate].Hear(ctx, c)
+			return gates[gate].HandleConfirmation(ctx, c)
 		},
 	})
 }
@@ -231,7 +231,7 @@
 			go func() { results <- z.gates["g1"].Do(context.Background(), &Check{Service: "desk"}) }()
 		}
 		time.Sleep(200 * time.Millisecond)
-		page := z.gates["g1"].Page()
+		page := z.gates["g1"].Status()
 		is.Equal(page.Shares, share.Report{Valid: true, Version: 1, Agreed: 1, Used: 4, Borrowed: 2})
 		is.Equal(page.Services[0].Targets[0].Outstanding, 6)
 		go func() {
@@ -243,7 +243,7 @@
 		time.Sleep(3 * time.Second) // What was borrowed is returned.
 		is.Equal(z.gates["g2"].Drain(time.Now()), 0)
 		z.table(2, "g1")
-		is.Equal(z.gates["g1"].Page().Shares.Agreed, int64(2)) // It has left, and need not be waited for.
+		is.Equal(z.gates["g1"].Status().Shares.Agreed, int64(2)) // It has left, and need not be waited for.
 		z.close()
 		pool.Close()
 		for _, s := range servers {
--- a/history/event.go
+++ b/history/event.go
@@ -15,20 +15,20 @@
 	Accepted Kind = "accepted"
 	// Intent means that a start was about to be sent.
 	Intent Kind = "intent"
-	// WorkerHas tells the resources of a worker.
-	WorkerHas Kind = "workerHas"
+	// WorkerCapacity tells the resources of a worker.
+	WorkerCapacity Kind = "workerHas"
 	// Started and Ended bound the time in which an attempt ran at a worker.
 	Started Kind = "started"
 	Ended   Kind = "ended"
-	// Told means that a caller heard an outcome.
-	Told Kind = "told"
+	// Reported means that a caller heard an outcome.
+	Reported Kind = "told"
 	// Live means that the job was still queued or running at the end of the run.
 	Live Kind = "live"
-	// TargetHas tells the slots of a target.
-	TargetHas Kind = "targetHas"
-	// RequestBegan and RequestEnded bound the time in which a target worked on a request.
-	RequestBegan Kind = "requestBegan"
-	RequestEnded Kind = "requestEnded"
+	// TargetCapacity tells the slots of a target.
+	TargetCapacity Kind = "targetHas"
+	// RequestStarted and RequestEnded bound the time in which a target worked on a request.
+	RequestStarted Kind = "requestBegan"
+	RequestEnded   Kind = "requestEnded"
 	// Leaving means that a target was announced as leaving.
 	Leaving Kind = "leaving"
 )
@@ -50,8 +50,8 @@
 	Resources job.Resources `json:"resources,omitzero"`
 	Slots     int           `json:"slots,omitempty"`
 	Outcome   job.Outcome   `json:"outcome,omitempty"`
-	// Whole says that the told answer had its stated length and checksum.
-	Whole bool `json:"whole,omitempty"`
+	// Intact says that the told answer had its stated length and checksum.
+	Intact bool `json:"whole,omitempty"`
 	// Repeatable says that a task of the job may run again after it has surely ended.
 	Repeatable bool `json:"repeatable,omitempty"`
 	// Session marks a request that continues a session.
--- a/history/history.go
+++ b/history/history.go
@@ -111,7 +111,7 @@
 
 // rank puts the facts of an instant before what happened in it.
 func rank(k Kind) int {
-	if k == WorkerHas || k == TargetHas || k == Accepted {
+	if k == WorkerCapacity || k == TargetCapacity || k == Accepted {
 		return 0
 	}
 	return 1
@@ -179,17 +179,17 @@
 		j.intents[e.Attempt] = true
 	case Live:
 		j.job(e.Job).live = true
-	case Told:
+	case Reported:
 		j.told(e)
-	case WorkerHas:
+	case WorkerCapacity:
 		get(j.workers, e.Worker).has = e.Resources
 	case Started:
 		j.started(e)
 	case Ended:
 		j.ended(e)
-	case TargetHas:
+	case TargetCapacity:
 		get(j.targets, e.Worker).slots = e.Slots
-	case RequestBegan:
+	case RequestStarted:
 		j.requestBegan(e)
 	case RequestEnded:
 		get(j.targets, e.Worker).inUse--
@@ -207,7 +207,7 @@
 	}
 	w := get(j.workers, e.Worker)
 	w.used = w.used.Plus(e.Resources)
-	if !w.used.Fits(w.has) {
+	if !w.used.FitsIn(w.has) {
 		j.list.Add("worker "+e.Worker, "overfilled by %s: uses %+v of %+v", e.Attempt, w.used, w.has)
 	}
 	for _, o := range j.running[task] {
@@ -246,7 +246,7 @@
 		return
 	}
 	switch {
-	case !e.Whole:
+	case !e.Intact:
 		j.list.Add("job "+e.Job, "was told done without its whole answer")
 	case r.accepted && !r.started:
 		j.list.Add("job "+e.Job, "was told done and never started")
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -19,9 +19,9 @@
 // good is a run that keeps all promises; event i happens i seconds after the start.
 func good() []Event {
 	return []Event{
-		0:  {Kind: WorkerHas, Worker: "w1", Resources: one},
-		1:  {Kind: WorkerHas, Worker: "w2", Resources: one},
-		2:  {Kind: TargetHas, Worker: "t1", Slots: 1},
+		0:  {Kind: WorkerCapacity, Worker: "w1", Resources: one},
+		1:  {Kind: WorkerCapacity, Worker: "w2", Resources: one},
+		2:  {Kind: TargetCapacity, Worker: "t1", Slots: 1},
 		3:  {Kind: Accepted, Job: "j1", Repeatable: true},
 		4:  {Kind: Accepted, Job: "j2"},
 		5:  {Kind: Accepted, Job: "j3"},
@@ -33,18 +33,18 @@
 		11: {Kind: Intent, Attempt: "j2/0/1"},
 		12: {Kind: Started, Worker: "w1", Attempt: "j2/0/1", Resources: one},
 		13: {Kind: Ended, Worker: "w2", Attempt: "j1/0/2", Resources: one},
-		14: {Kind: Told, Job: "j1", Outcome: job.Done, Whole: true},
-		15: {Kind: Told, Job: "j2", Outcome: job.Unknown},
+		14: {Kind: Reported, Job: "j1", Outcome: job.Done, Intact: true},
+		15: {Kind: Reported, Job: "j2", Outcome: job.Unknown},
 		16: {Kind: Ended, Worker: "w1", Attempt: "j2/0/1", Resources: one},
-		17: {Kind: Told, Job: "j3", Outcome: job.NotRun},
+		17: {Kind: Reported, Job: "j3", Outcome: job.NotRun},
 		18: {Kind: Accepted, Job: "k1"},
-		19: {Kind: RequestBegan, Worker: "t1", Attempt: "r1", Key: "k1"},
+		19: {Kind: RequestStarted, Worker: "t1", Attempt: "r1", Key: "k1"},
 		20: {Kind: RequestEnded, Worker: "t1", Attempt: "r1", Key: "k1"},
-		21: {Kind: Told, Job: "k1", Outcome: job.Done, Whole: true},
+		21: {Kind: Reported, Job: "k1", Outcome: job.Done, Intact: true},
 		22: {Kind: Leaving, Worker: "t1"},
-		23: {Kind: RequestBegan, Worker: "t1", Attempt: "r2", Key: "k2"},
+		23: {Kind: RequestStarted, Worker: "t1", Attempt: "r2", Key: "k2"},
 		24: {Kind: RequestEnded, Worker: "t1", Attempt: "r2", Key: "k2"},
-		31: {Kind: RequestBegan, Worker: "t1", Attempt: "r3", Session: true},
+		31: {Kind: RequestStarted, Worker: "t1", Attempt: "r3", Session: true},
 		32: {Kind: RequestEnded, Worker: "t1", Attempt: "r3"},
 		33: {Kind: Accepted, Job: "j4"},
 		34: {Kind: Live, Job: "j4"},
@@ -91,7 +91,7 @@
 				Event{At: at(17), Kind: Started, Worker: "w2", Attempt: "j2/0/2", Resources: one})
 		}, "task j2/0: is not repeatable and ran again as j2/0/2"},
 		{"check not repeatable, again", func(e []Event) []Event {
-			return append(e, Event{At: at(20), Kind: RequestBegan, Worker: "t1", Attempt: "r9", Key: "k1"},
+			return append(e, Event{At: at(20), Kind: RequestStarted, Worker: "t1", Attempt: "r9", Key: "k1"},
 				Event{At: at(21), Kind: RequestEnded, Worker: "t1", Attempt: "r9", Key: "k1"})
 		}, "check k1: is not repeatable and ran again as r9"},
 		{"not run, but started", func(e []Event) []Event { e[15].Outcome = job.NotRun; return e }, "job j2: was told notRun"},
@@ -100,12 +100,12 @@
 				Event{At: at(41), Kind: Started, Worker: "w1", Attempt: "j3/0/1", Resources: one})
 		}, "job j3: was told notRun"},
 		{"check not run, but worked on", func(e []Event) []Event { e[21].Outcome = job.NotRun; return e }, "job k1: was told notRun"},
-		{"done in part", func(e []Event) []Event { e[14].Whole = false; return e }, "job j1: was told done without"},
+		{"done in part", func(e []Event) []Event { e[14].Intact = false; return e }, "job j1: was told done without"},
 		{"two outcomes", func(e []Event) []Event {
-			return append(e, Event{At: at(40), Kind: Told, Job: "j2", Outcome: job.Done, Whole: true})
+			return append(e, Event{At: at(40), Kind: Reported, Job: "j2", Outcome: job.Done, Intact: true})
 		}, "job j2: was told unknown and then done"},
 		{"done without a run", func(e []Event) []Event {
-			e[17].Outcome, e[17].Whole = job.Done, true
+			e[17].Outcome, e[17].Intact = job.Done, true
 			return e
 		}, "job j3: was told done and never started"},
 		{"done before its end", func(e []Event) []Event { e[14].At = at(12); return e }, "job j1: was told done while it runs"},
@@ -114,7 +114,7 @@
 		{"no intent", func(e []Event) []Event { e[6].At = at(7); return e }, "task j1/0: started as j1/0/1 without"},
 		{"slots", func(e []Event) []Event { e[20].At = at(23); return e }, "target t1: works on 2 requests"},
 		{"slots of an unknown target", func(e []Event) []Event {
-			return append(e, Event{At: at(40), Kind: RequestBegan, Worker: "t2", Attempt: "r9"})
+			return append(e, Event{At: at(40), Kind: RequestStarted, Worker: "t2", Attempt: "r9"})
 		}, "target t2: works on 1 requests with 0 slots"},
 		{"new work while leaving", func(e []Event) []Event { e[31].Session = false; return e }, "target t1: got r3"},
 	}
@@ -140,7 +140,7 @@
 		{Kind: Started, Worker: "w", Attempt: "j1/0/1", Resources: one},
 		{Kind: Ended, Worker: "w", Attempt: "j1/0/1", Resources: one},
 		{Kind: Started, Worker: "w", Attempt: "j1/0/2", Resources: one},
-		{Kind: WorkerHas, Worker: "w", Resources: one},
+		{Kind: WorkerCapacity, Worker: "w", Resources: one},
 		{Kind: Accepted, Job: "j1", Repeatable: true},
 		{Kind: Live, Job: "j1"},
 	} {
@@ -152,7 +152,7 @@
 
 func TestRunTooLong(t *testing.T) {
 	c := New(MaxEvents(1))
-	c.Record(Event{Kind: WorkerHas, Worker: "w"})
-	c.Record(Event{Kind: WorkerHas, Worker: "w"})
+	c.Record(Event{Kind: WorkerCapacity, Worker: "w"})
+	c.Record(Event{Kind: WorkerCapacity, Worker: "w"})
 	is.New(t).Equal(c.Check().Error(), "run: has 1 events too many to be judged")
 }
--- a/job/answer.go
+++ b/job/answer.go
@@ -17,7 +17,7 @@
 	return Answer{Exit: exit, Body: body, Length: len(body), Sum: xxhash.Sum64(body)}
 }
 
-// Whole reports whether the body has the stated length and checksum.
-func (a *Answer) Whole() bool {
+// IsIntact reports whether the body has the stated length and checksum.
+func (a *Answer) IsIntact() bool {
 	return len(a.Body) == a.Length && xxhash.Sum64(a.Body) == a.Sum
 }
--- a/job/job.go
+++ b/job/job.go
@@ -66,8 +66,8 @@
 	return Resources{r.Millicores * k, r.MemoryMB * k, r.Accelerators * k}
 }
 
-// Fits reports whether r is at most o in every part.
-func (r Resources) Fits(o Resources) bool {
+// FitsIn reports whether r is at most o in every part.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.Millicores <= o.Millicores && r.MemoryMB <= o.MemoryMB && r.Accelerators <= o.Accelerators
 }
 
@@ -89,8 +89,8 @@
 	Tasks int `json:"tasks" msgpack:"q"`
 	// Gang asks that all tasks start together or none does.
 	Gang bool `json:"gang" msgpack:"g,omitempty"`
-	// Each is what one task needs.
-	Each Resources `json:"each" msgpack:"e"`
+	// TaskResources is what one task needs.
+	TaskResources Resources `json:"each" msgpack:"e"`
 	// Repeatable says that a task may be run again after its earlier attempt has surely ended.
 	Repeatable bool `json:"repeatable" msgpack:"r,omitempty"`
 	// Urgent marks work that may preempt.
@@ -117,9 +117,9 @@
 	if s.Tasks < 1 || s.Tasks > MaxTasks {
 		l.Add("tasks", "must be from 1 to %d", MaxTasks)
 	}
-	checkQuantity(&l, "each.millicores", s.Each.Millicores, 1)
-	checkQuantity(&l, "each.memoryMB", s.Each.MemoryMB, 1)
-	checkQuantity(&l, "each.accelerators", s.Each.Accelerators, 0)
+	checkQuantity(&l, "each.millicores", s.TaskResources.Millicores, 1)
+	checkQuantity(&l, "each.memoryMB", s.TaskResources.MemoryMB, 1)
+	checkQuantity(&l, "each.accelerators", s.TaskResources.Accelerators, 0)
 	checkQuantity(&l, "runSeconds", s.RunSeconds, 0)
 	if len(s.Zone) > MaxNameBytes {
 		l.Add("zone", "must be at most %d bytes", MaxNameBytes)
--- a/job/work.go
+++ b/job/work.go
@@ -23,9 +23,9 @@
 	Steps []Step `msgpack:"s"`
 	// Occurrences is how many times the steps run; zero means once, at once.
 	Occurrences int `msgpack:"o,omitempty"`
-	// First is when occurrence 0 is due, Every the time between two of them.
-	First time.Time     `msgpack:"f,omitempty"`
-	Every time.Duration `msgpack:"e,omitempty"`
+	// FirstDue is when occurrence 0 is due, Every the time between two of them.
+	FirstDue time.Time     `msgpack:"f,omitempty"`
+	Interval time.Duration `msgpack:"e,omitempty"`
 	// Accepted is when the entry VM took the work, by its own time of day.
 	Accepted time.Time `msgpack:"a"`
 	// Zone is the availability zone of the entry VM that took it, and so that of its caller.
@@ -34,12 +34,12 @@
 
 // Step is a part of a Work.
 type Step struct {
-	Tasks int       `msgpack:"n"`
-	Each  Resources `msgpack:"r"`
+	Tasks         int       `msgpack:"n"`
+	TaskResources Resources `msgpack:"r"`
 	// Estimate is the caller's guess of a task's run time.
 	Estimate time.Duration `msgpack:"e,omitempty"`
-	// After lists earlier steps whose tasks must all be done first.
-	After []int `msgpack:"a,omitempty"`
+	// DependsOn lists earlier steps whose tasks must all be done first.
+	DependsOn []int `msgpack:"a,omitempty"`
 	// Gang says that the tasks run together or not at all.
 	Gang bool `msgpack:"g,omitempty"`
 	// SameRack says that tasks on more than one rack run slower.
@@ -48,33 +48,33 @@
 	Label string `msgpack:"l,omitempty"`
 	// DataRack is the rack near the data; elsewhere tasks run slower. Empty means any.
 	DataRack string `msgpack:"d,omitempty"`
-	// MostPerWorker bounds the tasks of one occurrence on one worker; zero means no bound.
-	MostPerWorker int `msgpack:"m,omitempty"`
+	// MaxPerWorker bounds the tasks of one occurrence on one worker; zero means no bound.
+	MaxPerWorker int `msgpack:"m,omitempty"`
 	// Checkpoints says that the tasks save their progress.
 	Checkpoints bool `msgpack:"c,omitempty"`
-	// Copies says that a task may run more than once in parallel; the first end counts.
-	Copies bool `msgpack:"v,omitempty"`
+	// Speculative says that a task may run more than once in parallel; the first end counts.
+	Speculative bool `msgpack:"v,omitempty"`
 	// Service says that the tasks run until the work is cancelled.
 	Service bool `msgpack:"x,omitempty"`
 	// Image names the program; tasks of one image behave alike.
 	Image string `msgpack:"b,omitempty"`
-	// Tail is the bound for the tail of a service task's response times; zero means none.
-	Tail time.Duration `msgpack:"u,omitempty"`
-	// Filler says that the tasks run on what others leave unused and are not charged for processors.
-	Filler bool `msgpack:"y,omitempty"`
-	// MostAway bounds the service tasks that may be unavailable by our own actions at a time.
-	MostAway int `msgpack:"w,omitempty"`
+	// TailLatency is the bound for the tail of a service task's response times; zero means none.
+	TailLatency time.Duration `msgpack:"u,omitempty"`
+	// BestEffort says that the tasks run on what others leave unused and are not charged for processors.
+	BestEffort bool `msgpack:"y,omitempty"`
+	// MaxUnavailable bounds the service tasks that may be unavailable by our own actions at a time.
+	MaxUnavailable int `msgpack:"w,omitempty"`
 }
 
-// Count gives how many occurrences the work has.
-func (w *Work) Count() int { return max(w.Occurrences, 1) }
+// NumOccurrences gives how many occurrences the work has.
+func (w *Work) NumOccurrences() int { return max(w.Occurrences, 1) }
 
-// Due gives when an occurrence may start.
-func (w *Work) Due(occurrence int) time.Time {
+// DueAt gives when an occurrence may start.
+func (w *Work) DueAt(occurrence int) time.Time {
 	if w.Occurrences == 0 {
 		return w.Accepted
 	}
-	return w.First.Add(time.Duration(occurrence) * w.Every)
+	return w.FirstDue.Add(time.Duration(occurrence) * w.Interval)
 }
 
 // Queue is what the operators configured for one kind of work.
@@ -87,11 +87,11 @@
 	Pool string `msgpack:"p"`
 	// Priority orders queues, 0 first.
 	Priority int `msgpack:"y,omitempty"`
-	// Attempts is how often a task may fail before its work has failed.
-	Attempts int `msgpack:"a"`
-	// Slack times the longest chain of work, and Target more, is when the work should be done.
-	Slack  float64       `msgpack:"s"`
-	Target time.Duration `msgpack:"t"`
+	// MaxAttempts is how often a task may fail before its work has failed.
+	MaxAttempts int `msgpack:"a"`
+	// SlackFactor times the longest chain of work, and Target more, is when the work should be done.
+	SlackFactor    float64       `msgpack:"s"`
+	TargetDuration time.Duration `msgpack:"t"`
 	// Permit is how the queue's policy service answers; nil means that any worker may run its steps.
 	Permit *PermitCost `msgpack:"c,omitempty"`
 }
@@ -106,19 +106,19 @@
 type Config struct {
 	Version int64
 	Queues  []Queue
-	// Standby lists the pools whose VMs are off.
-	Standby map[string]bool
-	Limits  Limits
+	// StandbyPools lists the pools whose VMs are off.
+	StandbyPools map[string]bool
+	Limits       Limits
 }
 
 // Limits bound what callers may send.
 type Limits struct {
-	HeaderBytes, BodyBytes int
-	HeaderTimeout, Idle    time.Duration
+	HeaderBytes, BodyBytes     int
+	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Match gives the queue of a request by host and the longest prefix of its path, or nil.
-func (c *Config) Match(host, path string) *Queue {
+// MatchQueue gives the queue of a request by host and the longest prefix of its path, or nil.
+func (c *Config) MatchQueue(host, path string) *Queue {
 	var best *Queue
 	for i := range c.Queues {
 		q := &c.Queues[i]
@@ -132,8 +132,8 @@
 	return best
 }
 
-// Named gives the queue of that name, or nil.
-func (c *Config) Named(name string) *Queue {
+// QueueByName gives the queue of that name, or nil.
+func (c *Config) QueueByName(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
 			return &c.Queues[i]
--- a/logger/bounded.go
+++ b/logger/bounded.go
@@ -21,8 +21,8 @@
 	boundedBytes = 4 << 10
 )
 
-// Bounded writes lines to an output without ever making the writer of a line wait.
-type Bounded struct {
+// AsyncWriter writes lines to an output without ever making the writer of a line wait.
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
@@ -32,15 +32,15 @@
 	wg      sync.WaitGroup
 }
 
-// NewBounded returns a Bounded that writes to out until it is closed.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedRing), out: out, chunk: make([]byte, 0, boundedBytes), stop: make(chan struct{})}
+// NewAsyncWriter returns a Bounded that writes to out until it is closed.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	b := &AsyncWriter{lines: make(chan []byte, boundedRing), out: out, chunk: make([]byte, 0, boundedBytes), stop: make(chan struct{})}
 	b.wg.Go(b.run)
 	return b
 }
 
 // Write takes a line; it is dropped when too many wait.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -50,18 +50,18 @@
 }
 
 // Sync leaves the lines to the writing goroutine.
-func (b *Bounded) Sync() error { return nil }
+func (b *AsyncWriter) Sync() error { return nil }
 
 // Dropped counts the lines that were dropped.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes what waits and ends.
-func (b *Bounded) Close() {
+func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.stop) })
 	b.wg.Wait()
 }
 
-func (b *Bounded) run() {
+func (b *AsyncWriter) run() {
 	for {
 		select {
 		case <-b.stop:
@@ -79,7 +79,7 @@
 }
 
 // gather writes all that waits.
-func (b *Bounded) gather() {
+func (b *AsyncWriter) gather() {
 	for {
 		select {
 		case line := <-b.lines:
@@ -92,14 +92,14 @@
 }
 
 // put adds a line to the next write, after one with what it has no room for.
-func (b *Bounded) put(line []byte) {
+func (b *AsyncWriter) put(line []byte) {
 	if len(b.chunk)+len(line) > boundedBytes {
 		b.flush()
 	}
 	b.chunk = append(b.chunk, line...)
 }
 
-func (b *Bounded) flush() {
+func (b *AsyncWriter) flush() {
 	if len(b.chunk) == 0 {
 		return
 	}
@@ -108,8 +108,8 @@
 	b.chunk = b.chunk[:0]
 }
 
-// NewTo returns the root logger of a program that writes JSON lines to out.
-func NewTo(program string, out zapcore.WriteSyncer) *zap.Logger {
+// NewWithOutput returns the root logger of a program that writes JSON lines to out.
+func NewWithOutput(program string, out zapcore.WriteSyncer) *zap.Logger {
 	c := zap.NewProductionEncoderConfig()
 	c.TimeKey = "time"
 	c.EncodeTime = zapcore.ISO8601TimeEncoder
--- a/logger/bounded_test.go
+++ b/logger/bounded_test.go
@@ -30,7 +30,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &writes{}
-		b := NewBounded(out)
+		b := NewAsyncWriter(out)
 		lines := 0
 		for i := range 2000 {
 			line := fmt.Appendf(nil, "{\"line\":%d,\"pad\":\"%s\"}\n", i, bytes.Repeat([]byte("x"), i%300))
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &writes{}
-		b := NewBounded(out)
+		b := NewAsyncWriter(out)
 		long := append(bytes.Repeat([]byte("y"), 3*boundedBytes), '\n')
 		for _, line := range [][]byte{[]byte("a\n"), long, []byte("b\n")} {
 			_, err := b.Write(line)
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -29,13 +29,13 @@
 type Wave struct {
 	Number int64
 	VMs    []string
-	// Within is how long the wave may take, Most how many of its VMs may be away at once.
-	Within time.Duration
-	Most   int
+	// TimeLimit is how long the wave may take, Most how many of its VMs may be away at once.
+	TimeLimit      time.Duration
+	MaxUnavailable int
 }
 
-// Order is an order for the upkeep of one VM. Everything that runs there ends at once.
-type Order struct {
+// UpkeepOrder is an order for the upkeep of one VM. Everything that runs there ends at once.
+type UpkeepOrder struct {
 	VM   string
 	Wave int64
 	// Holder and Fence name the owner of the cell and its tenure.
@@ -49,8 +49,8 @@
 	ErrBusy = errors.New("the VM is busy")
 	// ErrFenced means that a later owner has given an order for the VM.
 	ErrFenced = errors.New("a later owner has given an order for the VM")
-	// ErrNotOfWave means that the VM does not belong to the wave, or is not there.
-	ErrNotOfWave = errors.New("the VM is not of that wave")
+	// ErrNotInWave means that the VM does not belong to the wave, or is not there.
+	ErrNotInWave = errors.New("the VM is not of that wave")
 	// ErrDeclined means that the platform takes no more calls just now; nothing was done.
 	ErrDeclined = errors.New("the platform declines calls")
 )
@@ -60,5 +60,5 @@
 	// List gives all VMs.
 	List func(ctx context.Context) ([]VM, error)
 	// Upkeep orders the upkeep of a VM; it succeeds as well where that was done before.
-	Upkeep func(ctx context.Context, o Order) error
+	Upkeep func(ctx context.Context, o UpkeepOrder) error
 }
--- a/member/member.go
+++ b/member/member.go
@@ -304,7 +304,7 @@
 		g.resetMembership()
 	}
 	if g.pool != nil {
-		g.pool.Keep(g.addresses())
+		g.pool.Retain(g.addresses())
 	}
 	g.wakeUp()
 	notifyChan(g.tableChanged)
--- a/operate/operate.go
+++ b/operate/operate.go
@@ -18,14 +18,14 @@
 const (
 	// CallState is the rpc name under which a scheduler tells its state.
 	CallState = "operate.state"
-	// AskTimeout bounds one question to an owner, so that a dead one does not hold up a page.
-	AskTimeout = 2 * time.Second
-	// Silent is after which time without a sign a process is not known to be there.
-	Silent = 30 * time.Second
+	// StateTimeout bounds one question to an owner, so that a dead one does not hold up a page.
+	StateTimeout = 2 * time.Second
+	// SilentAfter is after which time without a sign a process is not known to be there.
+	SilentAfter = 30 * time.Second
 )
 
-// Ask asks a scheduler for its state.
-type Ask struct {
+// StateRequest asks a scheduler for its state.
+type StateRequest struct {
 	// Zone asks for the zone's state too, which only its owner has.
 	Zone bool `msgpack:"z"`
 }
@@ -51,7 +51,7 @@
 func (s *Source) Register(server *rpc.Server) { rpc.Handle(server, CallState, s.State) }
 
 // State serves rpc "operate.state".
-func (s *Source) State(ctx context.Context, a *Ask) (*State, error) {
+func (s *Source) State(ctx context.Context, a *StateRequest) (*State, error) {
 	out := &State{At: time.Now().UTC(), Members: s.Members(), InForce: s.InForce()}
 	if !a.Zone {
 		return out, nil
@@ -101,9 +101,9 @@
 }
 
 func (z *Zone) ask(ctx context.Context, pool *rpc.Pool) {
-	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, StateTimeout)
 	defer cancel()
-	s, err := rpc.Call[Ask, State](ctx, pool.Get(z.Address), CallState, &Ask{Zone: true})
+	s, err := rpc.Call[StateRequest, State](ctx, pool.Get(z.Address), CallState, &StateRequest{Zone: true})
 	if err == nil {
 		z.Basis = s.Members.Basis
 	}
@@ -139,8 +139,8 @@
 	return out
 }
 
-// Classes gives the classes with waiting tasks, the fullest first.
-func Classes(pending map[string]int) []string {
+// PendingClasses gives the classes with waiting tasks, the fullest first.
+func PendingClasses(pending map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(pending), func(a, b string) int {
 		return cmp.Or(cmp.Compare(pending[b], pending[a]), cmp.Compare(a, b))
 	})
@@ -151,11 +151,11 @@
 	return func(ctx context.Context) Cell { return Collect(ctx, pool, s.View(), s.InForce()) }
 }
 
-// Doubt says in a sentence why an owner that answers may still start nothing; empty if all is well.
+// Warning says in a sentence why an owner that answers may still start nothing; empty if all is well.
 //
 // Failure: the store was lost or restored and the owner's lease with it. Symptom: its workers look
 // as if their heartbeats failed, because it may not send any. The basis tells the two apart.
-func (z *Zone) Doubt() string {
+func (z *Zone) Warning() string {
 	switch z.Basis {
 	case member.ByNothing:
 		return "its owner holds neither lease nor promises, so that it starts and renews nothing; see its log and the store"
--- a/operate/rules.go
+++ b/operate/rules.go
@@ -18,12 +18,12 @@
 const (
 	// HistoryPrefix is where the store keeps past rules; it lies outside the prefix that all VMs watch.
 	HistoryPrefix = "/turmericgap/rules/"
-	// HistoryMost bounds the versions that are kept.
-	HistoryMost = 16
+	// MaxHistory bounds the versions that are kept.
+	MaxHistory = 16
 )
 
-// Edition is one accepted version of the rules.
-type Edition struct {
+// RulesVersion is one accepted version of the rules.
+type RulesVersion struct {
 	Version int64           `json:"version"`
 	Editor  string          `json:"editor"`
 	At      time.Time       `json:"at"`
@@ -44,7 +44,7 @@
 // as view.SetRules does.
 func SetRules(ctx context.Context, s *store.Store, e view.Edit) (int64, error) {
 	e.Check = Check
-	numbered, err := number(e.Raw, e.Base+1)
+	numbered, err := number(e.Raw, e.BaseVersion+1)
 	if err != nil {
 		return 0, err
 	}
@@ -73,13 +73,13 @@
 func recording(s *store.Store, e *view.Edit) *store.Store {
 	out := *s
 	out.Txn = func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-		version := e.Base + 1
-		raw, err := json.Marshal(&Edition{Version: version, Editor: e.Editor, At: time.Now().UTC(), Rules: e.Raw})
+		version := e.BaseVersion + 1
+		raw, err := json.Marshal(&RulesVersion{Version: version, Editor: e.Editor, At: time.Now().UTC(), Rules: e.Raw})
 		if err != nil {
 			return store.TxnResult{}, eris.Wrap(err, "encode edition")
 		}
 		t.Then = append(slices.Clone(t.Then), store.Op{Key: editionKey(version), Value: raw})
-		if old := version - HistoryMost; old > 0 {
+		if old := version - MaxHistory; old > 0 {
 			t.Then = append(t.Then, store.Op{Delete: true, Key: HistoryPrefix, End: editionKey(old + 1)})
 		}
 		return s.Txn(ctx, t)
@@ -91,12 +91,12 @@
 func editionKey(version int64) string { return fmt.Sprintf("%s%012d", HistoryPrefix, version) }
 
 // History gives the editions that are kept, the newest first.
-func History(ctx context.Context, s *store.Store) ([]Edition, error) {
+func History(ctx context.Context, s *store.Store) ([]RulesVersion, error) {
 	got, err := s.Range(ctx, store.Range{Key: HistoryPrefix, End: store.PrefixEnd(HistoryPrefix)})
 	if err != nil {
 		return nil, err
 	}
-	out := make([]Edition, len(got.Pairs))
+	out := make([]RulesVersion, len(got.Pairs))
 	for i, p := range got.Pairs {
 		if err := json.Unmarshal(p.Value, &out[i]); err != nil {
 			return nil, eris.Wrapf(err, "decode edition %s", p.Key)
@@ -107,11 +107,11 @@
 }
 
 // Current gives the rules that the store holds; its version is zero where there are none yet.
-func Current(ctx context.Context, s *store.Store) (Edition, error) {
+func Current(ctx context.Context, s *store.Store) (RulesVersion, error) {
 	got, err := s.Range(ctx, store.Range{Key: view.RulesKey})
 	if err != nil || len(got.Pairs) == 0 {
-		return Edition{}, err
+		return RulesVersion{}, err
 	}
-	var e Edition
+	var e RulesVersion
 	return e, eris.Wrap(json.Unmarshal(got.Pairs[0].Value, &e), "decode rule document")
 }
--- a/operate/rules_test.go
+++ b/operate/rules_test.go
@@ -28,16 +28,16 @@
 func TestSetRulesKeepsEditions(t *testing.T) {
 	is := is.New(t)
 	ctx, s := context.Background(), memory.New().Store()
-	for base := range int64(HistoryMost + 3) {
-		version, err := SetRules(ctx, s, view.Edit{Base: base, Raw: doc("a"), Editor: "asha"})
+	for base := range int64(MaxHistory + 3) {
+		version, err := SetRules(ctx, s, view.Edit{BaseVersion: base, Raw: doc("a"), Editor: "asha"})
 		is.NoErr(err)
 		is.Equal(version, base+1)
 	}
 	l, err := History(ctx, s)
 	is.NoErr(err)
-	is.Equal(len(l), HistoryMost)
-	is.Equal(l[0].Version, int64(HistoryMost+3))
-	is.Equal(l[HistoryMost-1].Version, int64(4))
+	is.Equal(len(l), MaxHistory)
+	is.Equal(l[0].Version, int64(MaxHistory+3))
+	is.Equal(l[MaxHistory-1].Version, int64(4))
 	now, err := Current(ctx, s)
 	is.NoErr(err)
 	parsed, err := rule.Parse(now.Rules)
@@ -54,19 +54,19 @@
 	_, err := SetRules(ctx, s, view.Edit{Raw: doc("a"), Editor: "asha"})
 	is.NoErr(err)
 	var l finding.List
-	_, err = SetRules(ctx, s, view.Edit{Base: 1, Raw: doc("a", "a"), Editor: "ravi"})
+	_, err = SetRules(ctx, s, view.Edit{BaseVersion: 1, Raw: doc("a", "a"), Editor: "ravi"})
 	is.True(errors.As(err, &l))
 	var conflict *view.Conflict
 	_, err = SetRules(ctx, s, view.Edit{Raw: doc("b"), Editor: "ravi"})
 	is.True(errors.As(err, &conflict))
 	raced := *s
 	raced.Txn = func(ctx context.Context, t store.Txn) (store.TxnResult, error) {
-		_, err := SetRules(ctx, s, view.Edit{Base: 1, Raw: doc("c"), Editor: "meera"})
+		_, err := SetRules(ctx, s, view.Edit{BaseVersion: 1, Raw: doc("c"), Editor: "meera"})
 		is.NoErr(err)
 		raced.Txn = s.Txn
 		return s.Txn(ctx, t)
 	}
-	_, err = SetRules(ctx, &raced, view.Edit{Base: 1, Raw: doc("b"), Editor: "ravi"})
+	_, err = SetRules(ctx, &raced, view.Edit{BaseVersion: 1, Raw: doc("b"), Editor: "ravi"})
 	is.True(errors.As(err, &conflict))
 	editions, err := History(ctx, s)
 	is.NoErr(err)
--- a/options.go
+++ b/options.go
@@ -10,17 +10,17 @@
 
 // Options are what a Service is made of.
 type Options struct {
-	Name           string
-	Logger         *zap.Logger
-	Metrics        *metric.Registry
-	OpsAddress     string
-	TraceExporter  string
-	TraceAddress   string
-	ShutdownWithin time.Duration
-	Start          []func() error
-	Stop           []func(deadline time.Time)
-	Ready          func() error
-	Pages          map[string]Page
+	Name            string
+	Logger          *zap.Logger
+	Metrics         *metric.Registry
+	OpsAddress      string
+	TraceExporter   string
+	TraceAddress    string
+	ShutdownTimeout time.Duration
+	Start           []func() error
+	Stop            []func(deadline time.Time)
+	Ready           func() error
+	Pages           map[string]Page
 }
 
 // Option sets up a Service.
@@ -40,8 +40,8 @@
 	return func(o *Options) { o.TraceExporter, o.TraceAddress = exporter, address }
 }
 
-// ShutdownWithin bounds a graceful shutdown.
-func ShutdownWithin(d time.Duration) Option { return func(o *Options) { o.ShutdownWithin = d } }
+// ShutdownTimeout bounds a graceful shutdown.
+func ShutdownTimeout(d time.Duration) Option { return func(o *Options) { o.ShutdownTimeout = d } }
 
 // Start adds a function that is run when the service starts; the first error ends the service.
 func Start(f func() error) Option { return func(o *Options) { o.Start = append(o.Start, f) } }
--- a/placement/grid.go
+++ b/placement/grid.go
@@ -96,7 +96,7 @@
 		nodes = nodes[:maxCompared]
 	}
 	for _, n := range nodes {
-		if !allFit && !request.Fits(n.avail) {
+		if !allFit && !request.FitsIn(n.avail) {
 			continue
 		}
 		left := leftover(n, request)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -288,7 +288,7 @@
 			continue
 		}
 		for _, n := range r.nodes {
-			if !q.Request.Fits(n.avail) || (q.Request.Accelerators == 0) != (n.Info.Has.Accelerators == 0) {
+			if !q.Request.FitsIn(n.avail) || (q.Request.Accelerators == 0) != (n.Info.Has.Accelerators == 0) {
 				continue
 			}
 			nodeCount := q.tasksOn(n)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -79,7 +79,7 @@
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "taken") {
 			n := x.Node(fmt.Sprintf("vm%04d", rapid.IntRange(0, 7).Draw(t, "node")))
-			if request := draw("take"); request.Fits(n.Free) {
+			if request := draw("take"); request.FitsIn(n.Free) {
 				x.Allocate(n, request)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "reserve") == 0 {
@@ -88,9 +88,9 @@
 		}
 		request := draw("each")
 		exists := false
-		x.ForEach(func(n *Node) { exists = exists || request.Fits(n.Available()) })
+		x.ForEach(func(n *Node) { exists = exists || request.FitsIn(n.Available()) })
 		n := x.Find(&Query{Request: request, Strategy: Pack})
-		if (n != nil) != exists || (n != nil && !request.Fits(n.Available())) {
+		if (n != nil) != exists || (n != nil && !request.FitsIn(n.Available())) {
 			t.Fatalf("fits somewhere: %v, found %v", exists, n)
 		}
 	})
--- a/planner/admit.go
+++ b/planner/admit.go
@@ -23,7 +23,7 @@
 	case d.RefusalReason != "":
 	case p.index.Len() == 0:
 		d.RefusalReason, d.RetryAfter = "no worker is known yet", noWorkersRetryAfter
-	case !p.index.Feasible(j.Spec.Each, j.Spec.Tasks, j.Spec.Gang, j.Spec.Zone):
+	case !p.index.Feasible(j.Spec.TaskResources, j.Spec.Tasks, j.Spec.Gang, j.Spec.Zone):
 		d.RefusalReason, d.Infeasible = infeasibleReason(j.Spec), true
 	case p.pending+j.Spec.Tasks > p.options.MaxPending:
 		d.RefusalReason, d.RetryAfter = "the queue is full", fullQueueRetryAfter
@@ -57,11 +57,11 @@
 
 // quotaAllows reports whether the job could ever start under a quota that does not allow borrowing.
 func (p *Planner) quotaAllows(s *job.Submission, e *rule.Effect) bool {
-	need := s.Each
+	need := s.TaskResources
 	if s.Gang {
 		need = need.Times(s.Tasks)
 	}
-	return e.Quota == nil || e.Quota.Borrow || need.Fits(e.Quota.Most)
+	return e.Quota == nil || e.Quota.Borrow || need.FitsIn(e.Quota.Most)
 }
 
 // evaluateRules evaluates the rules for a job as of the time it was accepted.
@@ -142,11 +142,11 @@
 // still fits a worker. A gang is charged as declared, since that is the size with which it was admitted.
 func (p *Planner) charge(e *entry) job.Resources {
 	if !e.estimate.Learned || e.spec.Gang {
-		return e.spec.Each
+		return e.spec.TaskResources
 	}
-	want := e.estimate.Charge(e.spec.Each, p.index.MaxCapacity())
-	if want == e.spec.Each || !p.index.Feasible(want, 1, false, e.spec.Zone) {
-		return e.spec.Each
+	want := e.estimate.Charge(e.spec.TaskResources, p.index.MaxCapacity())
+	if want == e.spec.TaskResources || !p.index.Feasible(want, 1, false, e.spec.Zone) {
+		return e.spec.TaskResources
 	}
 	return want
 }
@@ -188,7 +188,7 @@
 	// A recovering owner releases tasks whose run time it does not know. Learning a run time of zero would make
 	// the class look instantaneous and leave no slack before its deadlines.
 	if end.Completed && end.RunTime > 0 && !e.isService() {
-		p.learner.Observe(e.classKey, end.RunTime, e.spec.Each, end.PeakUsage.Max(t.peakUsage))
+		p.learner.Observe(e.classKey, end.RunTime, e.spec.TaskResources, end.PeakUsage.Max(t.peakUsage))
 	}
 	if end.Requeue && !e.final {
 		e.pending = append(e.pending, index)
--- a/planner/next.go
+++ b/planner/next.go
@@ -122,7 +122,7 @@
 func (p *Planner) findNode(now time.Time, e *entry) *placement.Node {
 	if r := e.reservation; r != nil {
 		for _, k := range r.workers {
-			if n := p.index.Node(k.worker); n != nil && e.charge.Fits(n.AvailableNow()) {
+			if n := p.index.Node(k.worker); n != nil && e.charge.FitsIn(n.AvailableNow()) {
 				return n
 			}
 		}
@@ -149,7 +149,7 @@
 // knownUnfit reports whether an equal or smaller request failed since capacity was last freed.
 func (p *Planner) knownUnfit(e *entry) bool {
 	for i := range p.unfitRequests {
-		if u := &p.unfitRequests[i]; u.request.Fits(e.charge) && (u.zone == "" || u.zone == e.spec.Zone) {
+		if u := &p.unfitRequests[i]; u.request.FitsIn(e.charge) && (u.zone == "" || u.zone == e.spec.Zone) {
 			return true
 		}
 	}
@@ -159,7 +159,7 @@
 // noteUnfit remembers that the job's request fits no worker and drops larger requests that this implies.
 func (p *Planner) noteUnfit(e *entry) {
 	p.unfitRequests = slices.DeleteFunc(p.unfitRequests, func(u unfitRequest) bool {
-		return e.charge.Fits(u.request) && (e.spec.Zone == "" || e.spec.Zone == u.zone)
+		return e.charge.FitsIn(u.request) && (e.spec.Zone == "" || e.spec.Zone == u.zone)
 	})
 	if len(p.unfitRequests) < maxUnfitRequests {
 		p.unfitRequests = append(p.unfitRequests, unfitRequest{e.charge, e.spec.Zone})
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -194,7 +194,7 @@
 		return len(p.freedNodes) > 0
 	}
 	for _, n := range p.freedNodes {
-		if k.Request.Fits(n.AvailableNow()) {
+		if k.Request.FitsIn(n.AvailableNow()) {
 			return true
 		}
 	}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -23,7 +23,7 @@
 func newSpec(class string, tasks int, millicores int64) *job.Submission {
 	return &job.Submission{
 		Key: class, Team: "desk", Class: class, Kind: job.Batch, Tasks: tasks, Repeatable: true, RunSeconds: 60,
-		Each: job.Resources{Millicores: millicores, MemoryMB: 1000},
+		TaskResources: job.Resources{Millicores: millicores, MemoryMB: 1000},
 	}
 }
 
@@ -84,8 +84,8 @@
 		}
 		c.running[k] = s
 		c.unstarted[s.Job]--
-		c.used[s.Worker] = c.used[s.Worker].Plus(c.specs[s.Job].Each)
-		if !c.used[s.Worker].Fits(c.capacity[s.Worker]) {
+		c.used[s.Worker] = c.used[s.Worker].Plus(c.specs[s.Job].TaskResources)
+		if !c.used[s.Worker].FitsIn(c.capacity[s.Worker]) {
 			return s.Worker + " is overfilled"
 		}
 		if c.closed[s.Worker] {
@@ -106,12 +106,12 @@
 func (c *cell) end(k string, requeue bool) {
 	s := c.running[k]
 	delete(c.running, k)
-	c.used[s.Worker] = c.used[s.Worker].Minus(c.specs[s.Job].Each)
+	c.used[s.Worker] = c.used[s.Worker].Minus(c.specs[s.Job].TaskResources)
 	if requeue {
 		c.unstarted[s.Job]++
 	}
 	c.Release(c.now, s.Job, s.Task, AttemptResult{
-		Completed: !requeue, Requeue: requeue, RunTime: time.Minute, PeakUsage: c.specs[s.Job].Each.Times(c.peakFactor),
+		Completed: !requeue, Requeue: requeue, RunTime: time.Minute, PeakUsage: c.specs[s.Job].TaskResources.Times(c.peakFactor),
 	})
 }
 
--- a/planner/reserve.go
+++ b/planner/reserve.go
@@ -72,7 +72,7 @@
 		}
 		for _, w := range r.workers {
 			n := p.index.Node(w.worker)
-			if n != nil && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.Fits(n.AvailableNow()) {
+			if n != nil && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) && e.charge.FitsIn(n.AvailableNow()) {
 				return n
 			}
 		}
@@ -200,7 +200,7 @@
 	}
 	p.index.ForEach(func(n *placement.Node) {
 		if n.Open && !n.Probe && !n.Reserved() && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) &&
-			e.charge.Fits(n.Info.Has) {
+			e.charge.FitsIn(n.Info.Has) {
 			f.add(n, n.AvailableNow())
 		}
 	})
--- a/policy/baseline.go
+++ b/policy/baseline.go
@@ -37,7 +37,7 @@
 func FirstFit() Policy {
 	return newBaseline("first fit", func(nodes []*node, request job.Resources) *node {
 		for _, n := range nodes {
-			if request.Fits(n.free) {
+			if request.FitsIn(n.free) {
 				return n
 			}
 		}
@@ -55,7 +55,7 @@
 			a, b = b, a
 		}
 		for _, n := range append([]*node{a, b}, nodes...) {
-			if request.Fits(n.free) {
+			if request.FitsIn(n.free) {
 				return n
 			}
 		}
@@ -102,7 +102,7 @@
 	failed := map[failedRequest]bool{}
 	remaining := b.order[:0]
 	for _, w := range b.order {
-		request := failedRequest{w.Spec.Each, 1}
+		request := failedRequest{w.Spec.TaskResources, 1}
 		if w.Spec.Gang {
 			request.tasks = len(w.pending)
 		}
@@ -133,16 +133,16 @@
 func (b *baseline) startTasks(now time.Time, w *queuedJob, nodes []*node, count int, plan *planner.Plan) bool {
 	var selected []*node
 	for range count {
-		n := b.pick(nodes, w.Spec.Each)
+		n := b.pick(nodes, w.Spec.TaskResources)
 		if n == nil {
 			break
 		}
-		n.free = n.free.Minus(w.Spec.Each)
+		n.free = n.free.Minus(w.Spec.TaskResources)
 		selected = append(selected, n)
 	}
 	if len(selected) < count {
 		for _, n := range selected {
-			n.free = n.free.Plus(w.Spec.Each)
+			n.free = n.free.Plus(w.Spec.TaskResources)
 		}
 		return false
 	}
@@ -159,7 +159,7 @@
 func (b *baseline) release(_ time.Time, jobID string, task int, _ planner.AttemptResult) {
 	w := b.jobs[jobID]
 	n := w.placed[task]
-	n.free = n.free.Plus(w.Spec.Each)
+	n.free = n.free.Plus(w.Spec.TaskResources)
 	delete(w.placed, task)
 	if b.running--; len(w.placed) == 0 && len(w.pending) == 0 {
 		delete(b.jobs, jobID)
