--- a/policy/load.go
+++ b/policy/load.go
@@ -47,7 +47,7 @@
 		if a.RunTimes == nil {
 			seconds = a.Spec.Tasks * int(l.To.Sub(a.At).Seconds())
 		}
-		work = work.Plus(a.Spec.Each.Times(seconds))
+		work = work.Plus(a.Spec.TaskResources.Times(seconds))
 	}
 	seconds := l.To.Sub(l.From).Seconds()
 	return max(
@@ -115,18 +115,18 @@
 		Key: fmt.Sprintf("%s-%05d", k.class, len(g.load.Jobs)), Team: k.team, Class: k.class, Kind: job.Batch,
 		Tasks: g.between(k.tasks[0], k.tasks[1]), Gang: k.gang, Repeatable: !k.notRepeatable, Urgent: k.urgent, Deadline: k.deadline,
 	}
-	s.Each.Millicores = k.millicores[g.IntN(len(k.millicores))]
+	s.TaskResources.Millicores = k.millicores[g.IntN(len(k.millicores))]
 	perCore := int64(g.between(int(k.memoryPerCore[0]), int(k.memoryPerCore[1])))
-	s.Each.MemoryMB = max(100, s.Each.Millicores*perCore/1000)
-	s.Each.Accelerators = k.accelerators
+	s.TaskResources.MemoryMB = max(100, s.TaskResources.Millicores*perCore/1000)
+	s.TaskResources.Accelerators = k.accelerators
 	if k.service {
 		s.Kind = job.Service
 	}
 	// The declared run time is wrong by a factor of up to three in either direction.
 	s.RunSeconds = int64(k.run.Seconds()*math.Exp(g.Float64()*2.2-1.1)) + 1
-	a := Arrival{At: at, Spec: s, PeakUsage: s.Each}
-	a.PeakUsage.MemoryMB = s.Each.MemoryMB * int64(g.between(30, 100)) / 100
-	a.PeakUsage.Millicores = s.Each.Millicores * int64(g.between(30, 100)) / 100
+	a := Arrival{At: at, Spec: s, PeakUsage: s.TaskResources}
+	a.PeakUsage.MemoryMB = s.TaskResources.MemoryMB * int64(g.between(30, 100)) / 100
+	a.PeakUsage.Millicores = s.TaskResources.Millicores * int64(g.between(30, 100)) / 100
 	if !k.service {
 		for range s.Tasks {
 			run := float64(k.run) * math.Exp(g.NormFloat64()*k.spread)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -73,7 +73,7 @@
 		s := &job.Submission{
 			Key: fmt.Sprint(i), Team: fmt.Sprintf("team%02d", i%22), Class: []string{"sweep", "matching", "other"}[i%3],
 			Kind: job.Batch, Tasks: 10, Repeatable: true, RunSeconds: 10,
-			Each: job.Resources{Millicores: int64(1000 + 250*(i/22%sizes)), MemoryMB: int64(2000 + 500*(i/22%sizes))},
+			TaskResources: job.Resources{Millicores: int64(1000 + 250*(i/22%sizes)), MemoryMB: int64(2000 + 500*(i/22%sizes))},
 		}
 		p.Add(now, &planner.Job{ID: s.Key, Spec: s, Accepted: now})
 	}
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -133,7 +133,7 @@
 		r.jobIndex[j.ID] = i
 		r.jobs[i] = progress{remaining: a.Spec.Tasks, attempts: map[int]int{}, started: map[int]time.Time{}, done: map[int]bool{}}
 		r.pending += a.Spec.Tasks
-		r.demand = r.demand.Plus(a.Spec.Each.Times(a.Spec.Tasks))
+		r.demand = r.demand.Plus(a.Spec.TaskResources.Times(a.Spec.Tasks))
 	}
 }
 
@@ -149,12 +149,12 @@
 		if e.stopped {
 			j.attempts[e.task]++
 			r.pending++
-			r.report.LostCoreSeconds += int64(ran.Seconds()) * a.Spec.Each.Millicores / 1000
+			r.report.LostCoreSeconds += int64(ran.Seconds()) * a.Spec.TaskResources.Millicores / 1000
 			r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Requeue: true, RunTime: ran})
 			continue
 		}
 		j.done[e.task] = true
-		r.demand = r.demand.Minus(a.Spec.Each)
+		r.demand = r.demand.Minus(a.Spec.TaskResources)
 		r.policy.Release(now, a.Spec.Key, e.task, planner.AttemptResult{Completed: true, RunTime: ran, PeakUsage: a.PeakUsage})
 		if j.remaining--; j.remaining == 0 {
 			r.report.recordEnd(a, now)
@@ -197,7 +197,7 @@
 // capacity: full use is then the upper bound for any policy.
 func (r *replay) samplePacking(now time.Time) {
 	capacity := r.report.capacity
-	if now.After(r.load.To) || r.demand.Fits(capacity) {
+	if now.After(r.load.To) || r.demand.FitsIn(capacity) {
 		return
 	}
 	used := r.policy.Stats(now).Used
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -74,7 +74,7 @@
 // Fits reports whether the pool could use r more within its quota.
 func (l *Ledger) Fits(name string, r job.Resources) bool {
 	p, ok := l.pools[name]
-	return !ok || !p.limited || p.usage.Plus(r).Fits(p.limit)
+	return !ok || !p.limited || p.usage.Plus(r).FitsIn(p.limit)
 }
 
 // CanBorrow reports whether the pool may exceed its quota.
@@ -86,7 +86,7 @@
 // Exceeded reports whether the pool uses more than its quota.
 func (l *Ledger) Exceeded(name string) bool {
 	p, ok := l.pools[name]
-	return ok && p.limited && !p.usage.Fits(p.limit)
+	return ok && p.limited && !p.usage.FitsIn(p.limit)
 }
 
 // Usage returns the resources that the pool uses.
--- a/record/inspect_test.go
+++ b/record/inspect_test.go
@@ -47,7 +47,7 @@
 				is.NoErr(err)
 				var places []string
 				for _, f := range got.Findings {
-					places = append(places, f.Place)
+					places = append(places, f.Path)
 				}
 				is.Equal(places, c.wantPlaces)
 				if c.wantPlaces == nil {
--- a/relay/agent.go
+++ b/relay/agent.go
@@ -78,7 +78,7 @@
 	return r.Clock, err
 }
 
-func (a *agent) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+func (a *agent) hold(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 	relayed, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.mu.Lock()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -42,8 +42,8 @@
 	return &worker.Agent{
 		Launch: func(context.Context, *worker.Launch) (time.Duration, error) { return time.Second, err },
 		Halt:   func(context.Context, *worker.Halt) (time.Duration, error) { return time.Second, err },
-		Hold: func(context.Context, *worker.Hold) (*worker.Held, error) {
-			return &worker.Held{Active: []worker.Active{{Task: worker.Task{Work: by}}}}, err
+		Hold: func(context.Context, *worker.Hold) (*worker.HoldReply, error) {
+			return &worker.HoldReply{Active: []worker.ActiveRun{{Task: worker.Task{Work: by}}}}, err
 		},
 	}
 }
@@ -105,10 +105,10 @@
 		ask("south", 20)
 		is.Equal(calls, map[string]int{"self": 2, "north0": maxWorkersPerRelay, "north1": 10, "south0": 20})
 		for _, a := range agents[2 : 2+maxWorkersPerRelay+10] {
-			a.End()
+			a.Release()
 		}
 		is.Equal(len(r.links), 1)
-		agents[0].End()
+		agents[0].Release()
 		ask("south", 1)
 		is.Equal(calls["self"], 3)
 		v.close(r)
@@ -119,13 +119,13 @@
 // pass through a relay unchanged, and every other one as unknown.
 func TestEndingsComeThrough(t *testing.T) {
 	is := is.New(t)
-	for _, err := range []error{nil, worker.ErrReplaced, worker.ErrUnwell, worker.ErrNotSent} {
+	for _, err := range []error{nil, worker.ErrReplaced, worker.ErrUnhealthy, worker.ErrNotSent} {
 		var r result
 		r.Outcome, r.Reason, r.Text = outcomeOf(err)
 		is.True(errors.Is(r.toError(), err))
 	}
-	for _, reason := range []worker.Reason{
-		worker.ReasonFenced, worker.ReasonOld, worker.ReasonLate, worker.ReasonRoom, worker.ReasonPermit, worker.ReasonInvalid,
+	for _, reason := range []worker.RefusalReason{
+		worker.ReasonFenced, worker.ReasonStaleRun, worker.ReasonExpired, worker.ReasonNoCapacity, worker.ReasonPermit, worker.ReasonInvalid,
 	} {
 		var r result
 		r.Outcome, r.Reason, r.Text = outcomeOf(fmt.Errorf("call: %w", &worker.Refusal{Reason: reason}))
@@ -136,7 +136,7 @@
 	var r result
 	r.Outcome, r.Reason, r.Text = outcomeOf(context.DeadlineExceeded)
 	is.Equal(r.Outcome, outcomeUnknown)
-	for _, definite := range []error{worker.ErrReplaced, worker.ErrUnwell, worker.ErrNotSent} {
+	for _, definite := range []error{worker.ErrReplaced, worker.ErrUnhealthy, worker.ErrNotSent} {
 		is.True(!errors.Is(r.toError(), definite))
 	}
 }
@@ -147,7 +147,7 @@
 		is := is.New(t)
 		v := newVMs(1, "north")
 		v.servers["north0"].direct = func(worker.Info) *worker.Agent {
-			return &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.Held, error) {
+			return &worker.Agent{Hold: func(ctx context.Context, _ *worker.Hold) (*worker.HoldReply, error) {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}}
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -25,13 +25,13 @@
 
 // result is the result of an order.
 type result struct {
-	Number  uint64        `msgpack:"n"`
-	Clock   time.Duration `msgpack:"c,omitempty"`
-	Held    *worker.Held  `msgpack:"h,omitempty"`
-	Outcome outcome       `msgpack:"e,omitempty"`
+	Number  uint64            `msgpack:"n"`
+	Clock   time.Duration     `msgpack:"c,omitempty"`
+	Held    *worker.HoldReply `msgpack:"h,omitempty"`
+	Outcome outcome           `msgpack:"e,omitempty"`
 	// Reason is the worker's reason with outcomeRefused. Text is the error text with outcomeUnknown and outcomeNotSent.
-	Reason worker.Reason `msgpack:"r,omitempty"`
-	Text   string        `msgpack:"x,omitempty"`
+	Reason worker.RefusalReason `msgpack:"r,omitempty"`
+	Text   string               `msgpack:"x,omitempty"`
 }
 
 // outcome classifies a failed call; it is empty for a successful one.
@@ -46,7 +46,7 @@
 )
 
 // outcomeOf classifies the error of a call.
-func outcomeOf(err error) (e outcome, reason worker.Reason, text string) {
+func outcomeOf(err error) (e outcome, reason worker.RefusalReason, text string) {
 	var refused *worker.Refusal
 	switch {
 	case err == nil:
@@ -55,7 +55,7 @@
 		return outcomeRefused, refused.Reason, ""
 	case errors.Is(err, worker.ErrReplaced):
 		return outcomeReplaced, "", ""
-	case errors.Is(err, worker.ErrUnwell):
+	case errors.Is(err, worker.ErrUnhealthy):
 		return outcomeUnwell, "", ""
 	case errors.Is(err, worker.ErrNotSent):
 		return outcomeNotSent, "", err.Error()
@@ -73,7 +73,7 @@
 	case outcomeReplaced:
 		return worker.ErrReplaced
 	case outcomeUnwell:
-		return worker.ErrUnwell
+		return worker.ErrUnhealthy
 	case outcomeNotSent:
 		return errors.Join(worker.ErrNotSent, errors.New(r.Text))
 	default:
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -86,7 +86,7 @@
 				c, stop := cell(map[string]*owner{"a": &tc.a, "b": &tc.b})
 				defer stop()
 				st, err := c.Submit(context.Background(), &job.Submission{
-					Key: "k", Team: "t", Class: "c", Kind: job.Batch, Tasks: 1, Each: job.Resources{Millicores: 1, MemoryMB: 1},
+					Key: "k", Team: "t", Class: "c", Kind: job.Batch, Tasks: 1, TaskResources: job.Resources{Millicores: 1, MemoryMB: 1},
 				})
 				is.Equal(tc.a.callCount, tc.calls)
 				if tc.fault != "" {
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -154,8 +154,8 @@
 	return c
 }
 
-// Keep closes and forgets the clients of all addresses but these.
-func (p *Pool) Keep(addresses map[string]bool) {
+// Retain closes and forgets the clients of all addresses but these.
+func (p *Pool) Retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, c := range p.clients {
@@ -167,4 +167,4 @@
 }
 
 // Close closes all clients.
-func (p *Pool) Close() { p.Keep(nil) }
+func (p *Pool) Close() { p.Retain(nil) }
--- a/rpc/fuzz_test.go
+++ b/rpc/fuzz_test.go
@@ -27,7 +27,7 @@
 		Fault *Fault
 	}
 	for _, b := range []any{
-		Envelope[body]{Body: body{"a", map[string][]int64{"k": {1}}, &Fault{Findings: finding.List{{Place: "p"}}}}},
+		Envelope[body]{Body: body{"a", map[string][]int64{"k": {1}}, &Fault{Findings: finding.List{{Path: "p"}}}}},
 		nil, "text",
 		[]byte{0xdf, 0xff, 0xff, 0xff, 0xff},
 	} {
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -81,10 +81,10 @@
 
 // Envelope is a request with what net/rpc does not carry.
 type Envelope[Req any] struct {
-	// Left is the time until the caller's deadline, measured when the request was sent.
-	Left   time.Duration `msgpack:"l"`
-	Parent string        `msgpack:"t,omitempty"`
-	Body   Req           `msgpack:"b"`
+	// TimeLeft is the time until the caller's deadline, measured when the request was sent.
+	TimeLeft    time.Duration `msgpack:"l"`
+	TraceParent string        `msgpack:"t,omitempty"`
+	Body        Req           `msgpack:"b"`
 }
 
 // Reply is an answer or a fault.
@@ -101,7 +101,7 @@
 
 // Call runs the handler within the deadline and the trace of the envelope.
 func (e *endpoint[Req, Resp]) Call(in *Envelope[Req], out *Reply[Resp]) error {
-	ctx, cancel := context.WithTimeout(trace.WithParent(context.Background(), in.Parent), in.Left)
+	ctx, cancel := context.WithTimeout(trace.WithParent(context.Background(), in.TraceParent), in.TimeLeft)
 	defer cancel()
 	ctx, span := otel.Tracer(tracerName).Start(ctx, "serve "+e.name, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 	defer span.End()
@@ -195,7 +195,7 @@
 	}
 	deadline, _ := ctx.Deadline()
 	sent := time.Now()
-	in := &Envelope[Req]{Left: time.Until(deadline), Parent: trace.Parent(ctx), Body: *req}
+	in := &Envelope[Req]{TimeLeft: time.Until(deadline), TraceParent: trace.Parent(ctx), Body: *req}
 	out := &Reply[Resp]{}
 	select {
 	case done := <-conn.Go(name+".Call", in, out, make(chan *netrpc.Call, 1)).Done:
--- a/rule/request.go
+++ b/rule/request.go
@@ -51,7 +51,7 @@
 	*r = Request{
 		Class: s.Class, Team: s.Team, Kind: string(s.Kind), Tasks: s.Tasks, Gang: s.Gang,
 		Urgent: s.Urgent, Repeatable: s.Repeatable, RunSeconds: s.RunSeconds, Zone: s.Zone,
-		Each:              TaskResources{s.Each.Millicores, s.Each.MemoryMB, s.Each.Accelerators},
+		Each:              TaskResources{s.TaskResources.Millicores, s.TaskResources.MemoryMB, s.TaskResources.Accelerators},
 		SecondsToDeadline: NoDeadline,
 	}
 	if !s.Deadline.IsZero() {
@@ -76,7 +76,7 @@
 		if s.Service {
 			r.Kind = string(job.Service)
 		}
-		each = each.Max(s.Each)
+		each = each.Max(s.TaskResources)
 		runs += s.Estimate
 	}
 	r.Each = TaskResources{each.Millicores, each.MemoryMB, each.Accelerators}
--- a/rule/standard/standard_test.go
+++ b/rule/standard/standard_test.go
@@ -20,7 +20,7 @@
 		t.Run(class, func(t *testing.T) {
 			is := is.New(t)
 			var r rule.Request
-			r.ForJob(now, &job.Submission{Class: class, Kind: job.Batch, Tasks: 4, Each: job.Resources{Millicores: 1}})
+			r.ForJob(now, &job.Submission{Class: class, Kind: job.Batch, Tasks: 4, TaskResources: job.Resources{Millicores: 1}})
 			got, err := json.MarshalIndent(List().Explain(&r), "", "  ")
 			is.NoErr(err)
 			golden.Equal(t, "testdata/explain-"+class+".json", append(got, '\n'))
--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -181,7 +181,7 @@
 // conflict otherwise.
 func (t *term) resubmit(e *entry, spec *job.Submission) submitResult {
 	if !reflect.DeepEqual(e.Spec, *spec) {
-		l := finding.List{{Place: "key", Reason: "was used for another submission, job " + e.id}}
+		l := finding.List{{Path: "key", Reason: "was used for another submission, job " + e.id}}
 		return submitResult{fault: &rpc.Fault{Code: rpc.CodeConflict, Reason: l.Error(), Findings: l}}
 	}
 	if e.committed != nil {
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -152,7 +152,7 @@
 func spec(key string, tasks int, change ...func(*job.Submission)) *job.Submission {
 	s := &job.Submission{
 		Key: key, Team: "team", Class: "roster", Kind: job.Batch, Tasks: tasks, Repeatable: true,
-		Each: job.Resources{Millicores: 1000, MemoryMB: 1000},
+		TaskResources: job.Resources{Millicores: 1000, MemoryMB: 1000},
 	}
 	for _, f := range change {
 		f(s)
@@ -237,9 +237,9 @@
 	}
 	whole := true
 	for _, k := range st.Tasks {
-		whole = whole && (k.Answer == nil || k.Answer.Whole())
+		whole = whole && (k.Answer == nil || k.Answer.IsIntact())
 	}
-	c.checker.Record(history.Event{At: time.Now(), Kind: history.Told, Job: st.ID, Outcome: st.Outcome, Whole: whole})
+	c.checker.Record(history.Event{At: time.Now(), Kind: history.Reported, Job: st.ID, Outcome: st.Outcome, Intact: whole})
 }
 
 // stop stops everything and returns the violations found by the checker and the workers.
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -339,7 +339,7 @@
 		a, b := c.add(), c.add()
 		c.makeOwner(a)
 		time.Sleep(2 * time.Second)
-		big := spec("big", 2, func(s *job.Submission) { s.Each.Accelerators, s.Gang = 4, true })
+		big := spec("big", 2, func(s *job.Submission) { s.TaskResources.Accelerators, s.Gang = 4, true })
 		for _, n := range []*node{a, a, b} {
 			if n == b {
 				killOwner(c, a, b)
@@ -352,7 +352,7 @@
 			is.Equal(rpc.AsFault(err).Code, rpc.CodeMoved)
 			is.Equal(rpc.AsFault(err).Zone, "kollam-hall")
 		}
-		_, err := b.sched.Submit(context.Background(), spec("huge", 1, func(s *job.Submission) { s.Each.Accelerators = 9 }), "")
+		_, err := b.sched.Submit(context.Background(), spec("huge", 1, func(s *job.Submission) { s.TaskResources.Accelerators = 9 }), "")
 		is.Equal(rpc.AsFault(err).Code, rpc.CodeRefused)
 		is.Equal(rpc.AsFault(err).RetryAfter, time.Duration(0))
 		is.NoErr(c.stop())
--- a/scheduler/link.go
+++ b/scheduler/link.go
@@ -165,7 +165,7 @@
 		return
 	}
 	s := &worker.Start{
-		Attempt: attemptID(e.id, i, k.Attempt), Each: e.Spec.Each, Epoch: t.epoch,
+		Attempt: attemptID(e.id, i, k.Attempt), Resources: e.Spec.TaskResources, Epoch: t.epoch,
 		LeaseMillis: worker.LeaseMillis(t.o.WorkerLease), RunSeconds: e.Spec.RunSeconds, Class: e.Spec.Class,
 		Service: e.Spec.Kind == serviceKind, Payload: e.Spec.Payload, Checkpoint: k.Checkpoint,
 	}
@@ -175,7 +175,7 @@
 		defer cancel()
 		ctx, span := startSpan(ctx, parent, "worker.start", s.Attempt)
 		defer span.End()
-		s.Parent = tracing.Parent(ctx)
+		s.TraceParent = tracing.Parent(ctx)
 		report, err := l.client.Start(ctx, s)
 		t.post(func() { t.onStarted(l, s.Attempt, report, err) })
 	})
--- a/scheduler/move.go
+++ b/scheduler/move.go
@@ -36,8 +36,8 @@
 func tasksThatFit(spec *job.Submission, workers []worker.Info) int {
 	n := 0
 	for _, w := range workers {
-		for free := w.Has; spec.Each.Fits(free) && n < spec.Tasks; n++ {
-			free = free.Minus(spec.Each)
+		for free := w.Has; spec.TaskResources.FitsIn(free) && n < spec.Tasks; n++ {
+			free = free.Minus(spec.TaskResources)
 		}
 	}
 	return n
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -24,7 +24,7 @@
 	case r.State == worker.Stopped:
 		next.applyStop(k, r)
 		t.retryOrEnd(e, &next, stopReason(k), now)
-	case r.Answer == nil || !r.Answer.Whole() || len(r.Answer.Body) > MaxAnswerBytes:
+	case r.Answer == nil || !r.Answer.IsIntact() || len(r.Answer.Body) > MaxAnswerBytes:
 		next.Ran = true
 		next.Failures++
 		t.retryOrEnd(e, &next, "its answer was cut or is too long", now)
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -33,7 +33,7 @@
 	for i := range b.reply.Reports {
 		t.onHeartbeatReport(l, &b.reply.Reports[i], now)
 	}
-	if b.reply.Whole {
+	if b.reply.Full {
 		t.onFullReport(l, b.reply, now)
 	}
 }
@@ -160,7 +160,7 @@
 	if len(e.tasks) == 1 && !e.Spec.Repeatable {
 		id = ""
 	}
-	t.fleet.RecordOutcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.Whole() && r.Answer.Exit == 0)
+	t.fleet.RecordOutcome(now, k.Worker, id, e.Spec.Class, r.Answer != nil && r.Answer.IsIntact() && r.Answer.Exit == 0)
 	if l := t.links[k.Worker]; l != nil {
 		t.updateWorker(now, l)
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -14,8 +14,8 @@
 
 // Limits.
 const (
-	// DefaultLife is how long a token holds.
-	DefaultLife = 12 * time.Hour
+	// DefaultTTL is how long a token holds.
+	DefaultTTL = 12 * time.Hour
 	// MaxTokenBytes bounds a token.
 	MaxTokenBytes = 1024
 	// MinKeyBytes is the length of the shortest key.
@@ -70,8 +70,8 @@
 	return body + "." + encoding.EncodeToString(sum(s.keys[0], body)), nil
 }
 
-// Open gives the session of a token that is genuine and has not expired.
-func (s *Signer) Open(token string, now time.Time) (*Session, error) {
+// Verify gives the session of a token that is genuine and has not expired.
+func (s *Signer) Verify(token string, now time.Time) (*Session, error) {
 	body, tag, ok := strings.Cut(token, ".")
 	if !ok || len(token) > MaxTokenBytes {
 		return nil, ErrInvalid
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -45,7 +45,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := New(c.keys...).Open(c.token, c.now)
+			got, err := New(c.keys...).Verify(c.token, c.now)
 			is.True(errors.Is(err, c.want))
 			is.Equal(got != nil, c.want == nil)
 			if got != nil {
@@ -71,7 +71,7 @@
 	f.Add(token)
 	f.Add("a.b")
 	f.Fuzz(func(t *testing.T, in string) {
-		if v, err := s.Open(in, start); (err == nil) != (in == token) || (v != nil) != (err == nil) {
+		if v, err := s.Verify(in, start); (err == nil) != (in == token) || (v != nil) != (err == nil) {
 			t.Fatalf("%q opened as %v, %v", in, v, err)
 		}
 	})
--- a/setting/fuzz_test.go
+++ b/setting/fuzz_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("not a list of findings: %v", err)
 		}
 		for _, x := range l {
-			if x.Place == "" || x.Reason == "" {
+			if x.Path == "" || x.Reason == "" {
 				t.Fatalf("finding without place or reason: %q", x)
 			}
 		}
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -133,7 +133,7 @@
 	done := make(map[worker.Task]bool)
 	gangs := make(map[int]bool)
 	for _, run := range s.cell.cluster.History() {
-		if run.Task.Work == c.work.ID && run.Ending == worker.EndingDone {
+		if run.Task.Work == c.work.ID && run.Ending == worker.OutcomeDone {
 			done[run.Task] = true
 			gangs[run.Task.Step] = true
 		}
@@ -158,7 +158,7 @@
 	failed := make(map[attempt]bool)
 	count := make(map[worker.Task]int)
 	for _, r := range history {
-		if r.Task.Work != w.ID || r.Ending != worker.EndingFailed {
+		if r.Task.Work != w.ID || r.Ending != worker.OutcomeFailed {
 			continue
 		}
 		t := r.Task
@@ -171,7 +171,7 @@
 		}
 	}
 	for _, n := range count {
-		if n >= w.Queue.Attempts {
+		if n >= w.Queue.MaxAttempts {
 			return true
 		}
 	}
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -84,9 +84,9 @@
 func queues() []job.Queue {
 	cost := &job.PermitCost{Base: 50 * time.Millisecond, PerWorker: time.Millisecond, Valid: 1500 * time.Millisecond}
 	return []job.Queue{
-		{Name: "check", Host: "desk.example", Prefix: "/check/", Pool: "desk", Attempts: 3, Slack: 3, Target: time.Second},
-		{Name: "roster", Host: "desk.example", Prefix: "/roster/", Pool: "desk", Priority: 1, Attempts: 3, Slack: 3, Target: time.Second, Permit: cost},
-		{Name: "batch", Host: "desk.example", Prefix: "/batch/", Pool: "desk", Priority: 2, Attempts: 3, Slack: 4, Target: 2 * time.Second},
+		{Name: "check", Host: "desk.example", Prefix: "/check/", Pool: "desk", MaxAttempts: 3, SlackFactor: 3, TargetDuration: time.Second},
+		{Name: "roster", Host: "desk.example", Prefix: "/roster/", Pool: "desk", Priority: 1, MaxAttempts: 3, SlackFactor: 3, TargetDuration: time.Second, Permit: cost},
+		{Name: "batch", Host: "desk.example", Prefix: "/batch/", Pool: "desk", Priority: 2, MaxAttempts: 3, SlackFactor: 4, TargetDuration: 2 * time.Second},
 	}
 }
 
@@ -193,7 +193,7 @@
 	w.current = w.cell.cluster.Add(info)
 	h := platform.WorkerHandler(info.ID, w.cell.cluster.Client(info))
 	w.handler.Store(&h)
-	key, raw, err := platform.EncodeWorker(&worker.Listing{Info: info, Pool: "desk", Labels: []string{"a", "r1"}})
+	key, raw, err := platform.EncodeWorker(&worker.ListedWorker{Info: info, Pool: "desk", Labels: []string{"a", "r1"}})
 	if err != nil {
 		return err
 	}
--- a/soak/work_test.go
+++ b/soak/work_test.go
@@ -21,7 +21,7 @@
 func (c *Cell) newWork(r *rand.Rand, n int) *job.Work {
 	w := &job.Work{ID: fmt.Sprintf("%016x", r.Uint64()), Spec: fmt.Sprint("soak ", n)}
 	step := func(tasks int, cores int64) job.Step {
-		return job.Step{Tasks: tasks, Estimate: time.Second, Each: job.Resources{Millicores: cores * 1000, MemoryMB: 500}}
+		return job.Step{Tasks: tasks, Estimate: time.Second, TaskResources: job.Resources{Millicores: cores * 1000, MemoryMB: 500}}
 	}
 	switch k := r.IntN(10); {
 	case k < 6:
@@ -35,7 +35,7 @@
 	default:
 		w.Queue = c.queues[2]
 		first, second := step(1+r.IntN(4), 1), step(1+r.IntN(4), 1)
-		first.Checkpoints, second.After = true, []int{0}
+		first.Checkpoints, second.DependsOn = true, []int{0}
 		w.Steps = []job.Step{first, second}
 	}
 	c.mu.Lock()
@@ -56,20 +56,20 @@
 	w := c.work(t.Work)
 	if w == nil {
 		c.addFinding("a task that nobody handed in was started: " + fmt.Sprint(t))
-		return floor.Behaviour{Duration: time.Second, Ending: worker.EndingDone}
+		return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone}
 	}
 	s := &w.Steps[t.Step]
 	h := hashOf(t.Work, t.Step, t.Index)
 	b := floor.Behaviour{
-		Duration: 200*time.Millisecond + time.Duration(h%1000)*time.Millisecond, Ending: worker.EndingDone,
-		Resources: s.Each, MaxAttempts: w.Queue.Attempts,
+		Duration: 200*time.Millisecond + time.Duration(h%1000)*time.Millisecond, Ending: worker.OutcomeDone,
+		Resources: s.TaskResources, MaxAttempts: w.Queue.MaxAttempts,
 	}
 	if s.Gang {
 		b.GangSize = s.Tasks
 		b.Duration = 500 * time.Millisecond
 	}
 	if run == 1 && h%12 == 0 {
-		b.Ending = worker.EndingFailed
+		b.Ending = worker.OutcomeFailed
 	}
 	return b
 }
--- a/standin/floor/floor.go
+++ b/standin/floor/floor.go
@@ -12,7 +12,7 @@
 type Behaviour struct {
 	// Duration is the run time, Ending the result after it.
 	Duration time.Duration
-	Ending   worker.Ending
+	Ending   worker.RunOutcome
 	// Resources are allocated on the worker while the run is present.
 	Resources job.Resources
 	// GangSize is the number of tasks that must be present before any of them starts; zero is no gang.
@@ -43,7 +43,7 @@
 	Worker       string
 	Started      time.Time
 	Ended        time.Time
-	Ending       worker.Ending
+	Ending       worker.RunOutcome
 	Acknowledged bool
 	gang         int
 	maxAttempts  int
@@ -97,10 +97,10 @@
 			if before.Ended.IsZero() || before.Ended.After(r.Started) {
 				out = append(out, "twice at once: "+r.describe()+" beside "+before.describe())
 			}
-			if before.Ending == worker.EndingDone && before.Acknowledged {
+			if before.Ending == worker.OutcomeDone && before.Acknowledged {
 				out = append(out, "started again after it was done: "+r.describe()+" after "+before.describe())
 			}
-			if before.Ending == worker.EndingFailed && before.Acknowledged {
+			if before.Ending == worker.OutcomeFailed && before.Acknowledged {
 				fails++
 			}
 		}
--- a/standin/floor/floor_test.go
+++ b/standin/floor/floor_test.go
@@ -44,7 +44,7 @@
 		}},
 		"too many attempts": {"last attempt", func(f *Cluster, a, b *worker.Agent, _ *Worker) {
 			f.BehaviourOf = func(worker.Task, int64) Behaviour {
-				return Behaviour{Duration: time.Second, Ending: worker.EndingFailed, MaxAttempts: 1}
+				return Behaviour{Duration: time.Second, Ending: worker.OutcomeFailed, MaxAttempts: 1}
 			}
 			launch(a, "x", 1)
 			time.Sleep(2 * time.Second)
@@ -53,7 +53,7 @@
 		}},
 		"capacity exceeded": {"too much on worker", func(f *Cluster, a, _ *worker.Agent, _ *Worker) {
 			f.BehaviourOf = func(worker.Task, int64) Behaviour {
-				return Behaviour{Duration: time.Second, Ending: worker.EndingDone, Resources: job.Resources{Millicores: 3000}}
+				return Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 3000}}
 			}
 			launch(a, "x", 1)
 			launch(a, "y", 1)
@@ -62,7 +62,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := New(func(worker.Task, int64) Behaviour { return Behaviour{Duration: time.Second, Ending: worker.EndingDone} })
+				f := New(func(worker.Task, int64) Behaviour {
+					return Behaviour{Duration: time.Second, Ending: worker.OutcomeDone}
+				})
 				info := worker.Info{ID: "a", Has: job.Resources{Millicores: 4000}}
 				wa := f.Add(info)
 				other := info
--- a/standin/floor/gang.go
+++ b/standin/floor/gang.go
@@ -29,10 +29,10 @@
 }
 
 // endGang ends the other members of a gang: as done if one is done, otherwise as broken.
-func (c *Cluster) endGang(key runKey, ending worker.Ending) {
-	memberEnding := worker.EndingBroken
-	if ending == worker.EndingDone {
-		memberEnding = worker.EndingDone
+func (c *Cluster) endGang(key runKey, ending worker.RunOutcome) {
+	memberEnding := worker.OutcomeGangBroken
+	if ending == worker.OutcomeDone {
+		memberEnding = worker.OutcomeDone
 	}
 	for r, w := range c.members(key) {
 		if w.runs[r.key] == r {
--- a/standin/floor/hold.go
+++ b/standin/floor/hold.go
@@ -7,7 +7,7 @@
 	"turmericgap/worker"
 )
 
-func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.Held, error) {
+func (w *Worker) hold(ctx context.Context, h *worker.Hold) (*worker.HoldReply, error) {
 	if err := w.checkReachable(ctx); err != nil {
 		return nil, err
 	}
@@ -60,12 +60,12 @@
 	}
 }
 
-func (w *Worker) holdReply() *worker.Held {
+func (w *Worker) holdReply() *worker.HoldReply {
 	w.cluster.mu.Lock()
 	defer w.cluster.mu.Unlock()
-	h := &worker.Held{Clock: w.clock(), Ended: append([]worker.End(nil), w.pendingEnds[:min(len(w.pendingEnds), maxEnds)]...)}
+	h := &worker.HoldReply{Clock: w.clock(), Ended: append([]worker.EndedRun(nil), w.pendingEnds[:min(len(w.pendingEnds), maxEnds)]...)}
 	for key, r := range w.runs {
-		h.Active = append(h.Active, worker.Active{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
+		h.Active = append(h.Active, worker.ActiveRun{Task: key.task, Run: key.run, Checkpoint: r.checkpoint, Percent: r.percent()})
 	}
 	return h
 }
--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -56,7 +56,7 @@
 	fence       int64
 	runs        map[runKey]*activeRun
 	maxRun      map[worker.Task]int64
-	pendingEnds []worker.End
+	pendingEnds []worker.EndedRun
 	pendingRuns []*Run // the runs of pendingEnds, in the same order
 	lastEnd     int64
 	leaseEnd    time.Duration
@@ -88,7 +88,7 @@
 	defer w.cluster.mu.Unlock()
 	w.crashed, w.replaced = true, replaced
 	for _, r := range w.runs {
-		w.endRun(r, worker.EndingLapsed)
+		w.endRun(r, worker.OutcomeLeaseExpired)
 	}
 	w.pendingEnds = nil
 }
@@ -104,7 +104,7 @@
 	return &worker.Agent{
 		Launch: func(context.Context, *worker.Launch) (time.Duration, error) { return 0, worker.ErrNotSent },
 		Halt:   func(context.Context, *worker.Halt) (time.Duration, error) { return 0, worker.ErrNotSent },
-		Hold:   func(context.Context, *worker.Hold) (*worker.Held, error) { return nil, worker.ErrNotSent },
+		Hold:   func(context.Context, *worker.Hold) (*worker.HoldReply, error) { return nil, worker.ErrNotSent },
 	}
 }
 
@@ -181,7 +181,7 @@
 		<-ctx.Done()
 		return errNoAnswer
 	case unwell:
-		return worker.ErrUnwell
+		return worker.ErrUnhealthy
 	}
 	return nil
 }
@@ -204,10 +204,10 @@
 		return nil
 	}
 	if l.Run <= w.maxRun[l.Task] {
-		return &worker.Refusal{Reason: worker.ReasonOld}
+		return &worker.Refusal{Reason: worker.ReasonStaleRun}
 	}
 	if l.Until < w.clock() {
-		return &worker.Refusal{Reason: worker.ReasonLate}
+		return &worker.Refusal{Reason: worker.ReasonExpired}
 	}
 	w.extendLease(l.Until)
 	behaviour := w.cluster.BehaviourOf(l.Task, l.Run)
@@ -220,7 +220,7 @@
 		return nil
 	}
 	if w.faults.FailRuns {
-		r.behaviour.Duration, r.behaviour.Ending = failureDelay, worker.EndingFailed
+		r.behaviour.Duration, r.behaviour.Ending = failureDelay, worker.OutcomeFailed
 		w.startWork(r)
 		return nil
 	}
@@ -228,7 +228,7 @@
 		w.startWork(r)
 		return nil
 	}
-	r.timer = time.AfterFunc(w.cluster.GangTimeout, func() { w.finishRun(r, worker.EndingAlone) })
+	r.timer = time.AfterFunc(w.cluster.GangTimeout, func() { w.finishRun(r, worker.OutcomeGangIncomplete) })
 	w.cluster.startGang(r.key, behaviour.GangSize)
 	return nil
 }
@@ -239,7 +239,7 @@
 	for _, r := range w.runs {
 		sum = sum.Plus(r.behaviour.Resources)
 	}
-	if !sum.Fits(w.info.Has) {
+	if !sum.FitsIn(w.info.Has) {
 		w.cluster.violations = append(w.cluster.violations, fmt.Sprintf("too much on worker %s: %v of %v", w.info.ID, sum, w.info.Has))
 	}
 }
@@ -252,7 +252,7 @@
 	r.timer = time.AfterFunc(r.behaviour.Duration, func() { w.finishRun(r, r.behaviour.Ending) })
 }
 
-func (w *Worker) finishRun(r *activeRun, ending worker.Ending) {
+func (w *Worker) finishRun(r *activeRun, ending worker.RunOutcome) {
 	w.cluster.mu.Lock()
 	defer w.cluster.mu.Unlock()
 	if w.runs[r.key] == r {
@@ -261,7 +261,7 @@
 }
 
 // endRun records the end of a run and ends the other members of its gang.
-func (w *Worker) endRun(r *activeRun, ending worker.Ending) {
+func (w *Worker) endRun(r *activeRun, ending worker.RunOutcome) {
 	delete(w.runs, r.key)
 	if r.timer != nil {
 		r.timer.Stop()
@@ -269,7 +269,7 @@
 	r.record.Ended, r.record.Ending = time.Now(), ending
 	w.maxRun[r.key.task] = max(w.maxRun[r.key.task], r.key.run)
 	w.lastEnd++
-	w.pendingEnds = append(w.pendingEnds, worker.End{Number: w.lastEnd, Task: r.key.task, Run: r.key.run, How: ending, Checkpoint: r.checkpoint})
+	w.pendingEnds = append(w.pendingEnds, worker.EndedRun{Number: w.lastEnd, Task: r.key.task, Run: r.key.run, Outcome: ending, Checkpoint: r.checkpoint})
 	w.pendingRuns = append(w.pendingRuns, r.record)
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -284,7 +284,7 @@
 	}
 	w.maxRun[h.Task] = max(w.maxRun[h.Task], h.Run)
 	if r := w.runs[runKey{h.Task, h.Run}]; r != nil {
-		w.endRun(r, worker.EndingStopped)
+		w.endRun(r, worker.OutcomeStopped)
 	}
 	return nil
 }
@@ -307,7 +307,7 @@
 		return
 	}
 	for _, r := range w.runs {
-		w.endRun(r, worker.EndingLapsed)
+		w.endRun(r, worker.OutcomeLeaseExpired)
 	}
 	// Ends that were not acknowledged before the lease expired are not violations when the task starts again.
 	w.pendingRuns = make([]*Run, len(w.pendingRuns))
--- a/standin/list/list.go
+++ b/standin/list/list.go
@@ -41,7 +41,7 @@
 type vm struct {
 	worker         *worker.Info
 	target         *target.Info
-	entry          *vmlist.Entry
+	entry          *vmlist.EntryVM
 	lastRegistered time.Time
 }
 
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -63,7 +63,7 @@
 	}
 	t := &Target{opts: o, answers: make(map[string]*keyedAnswer), sessions: make(map[string]int64), thawed: make(chan struct{})}
 	close(t.thawed)
-	t.record(history.Event{Kind: history.TargetHas, Slots: info.Slots})
+	t.record(history.Event{Kind: history.TargetCapacity, Slots: info.Slots})
 	return t
 }
 
@@ -237,7 +237,7 @@
 	t.inUse++
 	t.maxInUse = max(t.maxInUse, t.inUse)
 	t.startCount++
-	t.record(history.Event{Kind: history.RequestBegan, Attempt: r.ID, Key: r.Key, Session: continues})
+	t.record(history.Event{Kind: history.RequestStarted, Attempt: r.ID, Key: r.Key, Session: continues})
 	return true
 }
 
--- a/standin/worker/attempt.go
+++ b/standin/worker/attempt.go
@@ -28,7 +28,7 @@
 	a := &attempt{start: *s, state: worker.Running, startedAt: now, checkpoint: s.Checkpoint}
 	a.start.Payload = nil
 	w.attempts[s.Attempt] = a
-	w.used = w.used.Plus(s.Each)
+	w.used = w.used.Plus(s.Resources)
 	w.record(history.Started, s.Attempt, a, now)
 	w.markChanged(a)
 	w.schedule(s, a, now)
@@ -84,7 +84,7 @@
 		return nil
 	case s.Epoch < w.epoch:
 		return fmt.Errorf("%w: epoch %d is older than %d", worker.ErrRefused, s.Epoch, w.epoch)
-	case !w.used.Plus(s.Each).Fits(w.opts.Info.Has):
+	case !w.used.Plus(s.Resources).FitsIn(w.opts.Info.Has):
 		return fmt.Errorf("%w: attempt %s does not fit", worker.ErrRefused, s.Attempt)
 	}
 	return nil
@@ -92,7 +92,7 @@
 
 // checkViolations records the violations that a start causes.
 func (w *Worker) checkViolations(s *worker.Start) {
-	if used := w.used.Plus(s.Each); !used.Fits(w.opts.Info.Has) {
+	if used := w.used.Plus(s.Resources); !used.FitsIn(w.opts.Info.Has) {
 		w.addViolation(fmt.Sprintf("overfilled by %s: %+v of %+v", s.Attempt, used, w.opts.Info.Has))
 	}
 	if _, ok := w.everStarted.states[s.Attempt]; ok {
@@ -145,7 +145,7 @@
 func (w *Worker) finish(id string, a *attempt, state worker.State, exit int, at time.Time) {
 	w.stopTimers(a)
 	a.state = state
-	w.used = w.used.Minus(a.start.Each)
+	w.used = w.used.Minus(a.start.Resources)
 	if state == worker.Ended {
 		answer := job.NewAnswer(exit, w.opts.Answer(&a.start, exit))
 		a.answer = &answer
@@ -235,9 +235,9 @@
 	if w.fault.Frozen {
 		return nil, nil, w.thawed
 	}
-	reply = &worker.HeartbeatReply{Boot: w.boot, Cursor: w.seq, Whole: cursor < w.firstSeq || cursor > w.seq}
+	reply = &worker.HeartbeatReply{Boot: w.boot, Cursor: w.seq, Full: cursor < w.firstSeq || cursor > w.seq}
 	answerBytes := 0
-	for _, id := range w.changedAfter(cursor, reply.Whole) {
+	for _, id := range w.changedAfter(cursor, reply.Full) {
 		a := w.attempts[id]
 		if a.answer != nil && answerBytes >= MaxReplyBytes {
 			w.deferEnd(reply, id, a)
@@ -260,7 +260,7 @@
 // leases.
 func (w *Worker) deferEnd(reply *worker.HeartbeatReply, id string, a *attempt) {
 	reply.Cursor = min(reply.Cursor, a.seq-1)
-	if reply.Whole {
+	if reply.Full {
 		reply.Reports = append(reply.Reports, worker.Report{Attempt: id, State: worker.Running, Usage: a.usage})
 	}
 }
--- a/standin/worker/call.go
+++ b/standin/worker/call.go
@@ -54,7 +54,7 @@
 	defer timer.Stop()
 	for timedOut := wait <= 0; ; {
 		reply, changed, thawed := w.changes(h.Cursor)
-		if reply != nil && (timedOut || reply.Whole || len(reply.Reports) > 0) {
+		if reply != nil && (timedOut || reply.Full || len(reply.Reports) > 0) {
 			return reply, nil
 		}
 		select {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -33,7 +33,7 @@
 type Worker struct {
 	opts Options
 	// cutReplies belongs to the in-process client.
-	cutReplies worker.CutReplies
+	cutReplies worker.TruncatedReplies
 
 	mu   sync.Mutex
 	boot string
@@ -88,11 +88,11 @@
 	close(w.thawed)
 	w.everStarted = newAttemptStates(maxEverStarted, 0)
 	w.startBoot()
-	o.Record(history.Event{At: time.Now(), Kind: history.WorkerHas, Worker: info.ID, Resources: info.Has})
+	o.Record(history.Event{At: time.Now(), Kind: history.WorkerCapacity, Worker: info.ID, Resources: info.Has})
 	return w
 }
 
-func declaredUsage(s *worker.Start) job.Resources { return s.Each }
+func declaredUsage(s *worker.Start) job.Resources { return s.Resources }
 
 // defaultAnswer is the default for Options.Answer.
 func defaultAnswer(s *worker.Start, exit int) []byte {
@@ -166,7 +166,7 @@
 
 func (w *Worker) record(kind history.Kind, id string, a *attempt, at time.Time) {
 	w.opts.Record(history.Event{
-		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Each,
+		At: at, Kind: kind, Attempt: id, Worker: w.opts.Info.ID, Resources: a.start.Resources,
 	})
 }
 
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -43,7 +43,7 @@
 				w.mu.Lock()
 				for _, a := range w.attempts {
 					if a.state == worker.Running {
-						running = running.Plus(a.start.Each)
+						running = running.Plus(a.start.Resources)
 					}
 				}
 				w.mu.Unlock()
@@ -52,7 +52,7 @@
 				}
 			}
 			for _, f := range checker.Check() {
-				if f.Place == "worker w" {
+				if f.Path == "worker w" {
 					t.Fatal(f)
 				}
 			}
@@ -65,9 +65,9 @@
 	each := job.Resources{Millicores: int64(rapid.IntRange(1, 3).Draw(t, "cores")) * 1000, MemoryMB: 1000}
 	switch rapid.IntRange(0, 5).Draw(t, "step") {
 	case 0, 1:
-		_, _ = w.Start(ctx, &worker.Start{Attempt: id, Each: each, LeaseMillis: 1000})
+		_, _ = w.Start(ctx, &worker.Start{Attempt: id, Resources: each, LeaseMillis: 1000})
 	case 2:
-		_, _ = w.Start(ctx, &worker.Start{Attempt: old, Each: each, LeaseMillis: 1000})
+		_, _ = w.Start(ctx, &worker.Start{Attempt: old, Resources: each, LeaseMillis: 1000})
 	case 3:
 		_, _ = w.Act(ctx, &worker.Act{Attempt: old, Verb: worker.Stop})
 	case 4:
@@ -87,11 +87,11 @@
 		w := New(info, Record(checker.Record))
 		defer w.Close()
 		for _, id := range []string{"j1/0/1", "j2/0/1"} {
-			_, err := w.Start(t.Context(), &worker.Start{Attempt: id, Each: job.Resources{Millicores: 3000}})
+			_, err := w.Start(t.Context(), &worker.Start{Attempt: id, Resources: job.Resources{Millicores: 3000}})
 			is.NoErr(err)
 		}
 		is.Equal(len(checker.Check()), 1)
-		is.Equal(checker.Check()[0].Place, "worker w")
+		is.Equal(checker.Check()[0].Path, "worker w")
 	})
 }
 
--- a/status/status.go
+++ b/status/status.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// DefaultKeep is how long a page is shown again: more readers ask the owners no more often.
-	DefaultKeep = 2 * time.Second
+	// DefaultCacheTTL is how long a page is shown again: more readers ask the owners no more often.
+	DefaultCacheTTL = 2 * time.Second
 	// endsMost bounds the jobs that are shown.
 	endsMost = 40
 )
@@ -122,13 +122,13 @@
 			p.alarm("Zone %s: %s.", z.Name, z.Problem)
 			continue
 		}
-		if doubt := z.Doubt(); doubt != "" {
+		if doubt := z.Warning(); doubt != "" {
 			p.alarm("Zone %s: %s.", z.Name, doubt)
 		}
 		if s := z.State.Stats; s.Workers > 0 && 2*s.Open < s.Workers {
 			p.alarm("Zone %s: only %d of %d workers get new tasks.", z.Name, s.Open, s.Workers)
 		}
-		for _, class := range operate.Classes(z.State.Stats.Pending) {
+		for _, class := range operate.PendingClasses(z.State.Stats.Pending) {
 			p.Queues = append(p.Queues, Queue{z.Name, class, z.State.Stats.Pending[class]})
 		}
 		p.Ejections = append(p.Ejections, z.State.Ejections...)
@@ -202,7 +202,7 @@
 
 func (p *Page) addProcess(t *member.Table, m member.Member, f view.Process, present map[string]bool) {
 	out := Process{Member: m, Owns: t.Owner == m.ID, Epoch: t.Epoch, Rules: f.Rules, Heard: "never", Lease: "not known"}
-	silent := f.Heard.IsZero() || p.At.Sub(f.Heard) > operate.Silent
+	silent := f.Heard.IsZero() || p.At.Sub(f.Heard) > operate.SilentAfter
 	if !f.Heard.IsZero() {
 		out.Heard = max(0, p.At.Sub(f.Heard)).Round(time.Second).String() + " ago"
 	}
@@ -258,7 +258,7 @@
 func (s *Server) current(ctx context.Context) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last != nil && time.Since(s.made) < DefaultKeep {
+	if s.last != nil && time.Since(s.made) < DefaultCacheTTL {
 		return s.last, nil
 	}
 	// The page is for all readers, so that one that goes away does not cut it short.
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -102,7 +102,7 @@
 			get()
 		}
 		is.Equal(asked, 1)
-		time.Sleep(DefaultKeep)
+		time.Sleep(DefaultCacheTTL)
 		get()
 		is.Equal(asked, 2)
 	})
--- a/turmericgap.go
+++ b/turmericgap.go
@@ -21,10 +21,10 @@
 
 // Defaults.
 const (
-	DefaultName           = "turmericgap"
-	DefaultShutdownWithin = 30 * time.Second
-	opsReadTimeout        = 5 * time.Second
-	opsHeaderBytes        = 16 << 10
+	DefaultName            = "turmericgap"
+	DefaultShutdownTimeout = 30 * time.Second
+	opsReadTimeout         = 5 * time.Second
+	opsHeaderBytes         = 16 << 10
 )
 
 // Page answers a request on the operators' port.
@@ -39,7 +39,7 @@
 
 // New returns a Service; without options it logs, and stops on a signal.
 func New(opts ...Option) *Service {
-	o := Options{Name: DefaultName, ShutdownWithin: DefaultShutdownWithin, Pages: map[string]Page{}}
+	o := Options{Name: DefaultName, ShutdownTimeout: DefaultShutdownTimeout, Pages: map[string]Page{}}
 	for _, f := range opts {
 		f(&o)
 	}
@@ -91,7 +91,7 @@
 
 func (s *Service) shutdown(flush func(context.Context) error) {
 	s.stopping.Store(true)
-	deadline := time.Now().Add(s.opts.ShutdownWithin)
+	deadline := time.Now().Add(s.opts.ShutdownTimeout)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for _, f := range s.opts.Stop {
--- a/view/board.go
+++ b/view/board.go
@@ -21,8 +21,8 @@
 	Raw     []byte
 }
 
-// Listing is one reading of the VM list.
-type Listing struct {
+// VMList is one reading of the VM list.
+type VMList struct {
 	Version int64
 	Workers []worker.Info
 	Targets []target.Info
@@ -55,8 +55,8 @@
 	return member.Table{}, false
 }
 
-// Listed gives the entry VMs of the VM list, in the form that member.Listed takes.
-func (v *View) Listed() (vms map[string]bool, known bool) { return v.Entries, v.ListVersion > 0 }
+// ListedVMs gives the entry VMs of the VM list, in the form that member.ListedVMs takes.
+func (v *View) ListedVMs() (vms map[string]bool, known bool) { return v.Entries, v.ListVersion > 0 }
 
 // board holds the newest view and takes in only what is newer.
 type board struct {
@@ -156,7 +156,7 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Role, b.Role))
 }
 
-func (b *board) offerList(l Listing) bool {
+func (b *board) offerList(l VMList) bool {
 	return b.update(func(v *View) bool {
 		if l.Version <= v.ListVersion {
 			return false
--- a/view/cell_test.go
+++ b/view/cell_test.go
@@ -33,7 +33,7 @@
 	mu   sync.Mutex
 	at   map[string]*process // by address
 	cut  map[[2]string]bool  // by addresses
-	list Listing
+	list VMList
 }
 
 // vm is one entry VM.
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &cell{
 			I: is.New(t), svc: memory.New(), at: map[string]*process{}, cut: map[[2]string]bool{},
-			list: Listing{Version: 1, Entries: map[string]bool{}},
+			list: VMList{Version: 1, Entries: map[string]bool{}},
 		}
 		c.pool = rpc.NewPool(rpc.Dial(c.dial))
 		for i := range vms {
@@ -87,13 +87,13 @@
 	v := &vm{scheduler: &process{server: rpc.NewServer()}, gate: &process{server: rpc.NewServer()}}
 	self := member.Member{Zone: zones[i%len(zones)], VM: fmt.Sprint(i), ID: fmt.Sprint(i)}
 	self.Role, self.Address = member.RoleScheduler, fmt.Sprintf("10.0.0.%d:1", i)
-	v.keeper = New(c.svc.Client(&v.scheduler.faults), append(c.wire(v.scheduler, self, func(m member.Member, n int64) { v.keeper.Heard(m, n) }),
-		List(func(context.Context) (Listing, error) { c.mu.Lock(); defer c.mu.Unlock(); return c.list, nil }))...)
+	v.keeper = New(c.svc.Client(&v.scheduler.faults), append(c.wire(v.scheduler, self, func(m member.Member, n int64) { v.keeper.NotifyNewerRules(m, n) }),
+		List(func(context.Context) (VMList, error) { c.mu.Lock(); defer c.mu.Unlock(); return c.list, nil }))...)
 	v.scheduler.view = v.keeper.View
 	v.keeper.Register(v.scheduler.server)
 	beside := self.Address
 	self.Role, self.Address = member.RoleGate, fmt.Sprintf("10.0.0.%d:2", i)
-	v.follower = NewFollower(beside, c.wire(v.gate, self, func(m member.Member, n int64) { v.follower.Heard(m, n) })...)
+	v.follower = NewFollower(beside, c.wire(v.gate, self, func(m member.Member, n int64) { v.follower.NotifyNewerRules(m, n) })...)
 	v.gate.view = v.follower.View
 	v.follower.Register(v.gate.server)
 	v.scheduler.close = func() { v.keeper.Close(); v.scheduler.group.Stop() }
@@ -111,7 +111,7 @@
 // wire makes the group of a process, and gives the options of its view.
 func (c *cell) wire(p *process, self member.Member, heard func(member.Member, int64)) []Option {
 	p.group = member.New(c.svc.Client(&p.faults), self,
-		member.ListedVMs(func() (map[string]bool, bool) { return p.view().Listed() }),
+		member.ListedVMs(func() (map[string]bool, bool) { return p.view().ListedVMs() }),
 		member.Rules(func() int64 { return p.view().Rules.Version }, heard),
 		member.Call(func(ctx context.Context, to string, b *member.Heartbeat) (*member.HeartbeatReply, error) {
 			return call[member.Heartbeat, member.HeartbeatReply](ctx, c, [2]string{self.Address, to}, member.HeartbeatMethod, b)
@@ -119,11 +119,11 @@
 	rpc.Handle(p.server, member.HeartbeatMethod, p.group.HandleHeartbeat)
 	return []Option{
 		Self(self), Groups(p.group),
-		Call(func(ctx context.Context, to string, q *RulesCall) (*RulesReply, error) {
-			return call[RulesCall, RulesReply](ctx, c, [2]string{self.Address, to}, RulesMethod, q)
+		CallRules(func(ctx context.Context, to string, q *RulesRequest) (*RulesReply, error) {
+			return call[RulesRequest, RulesReply](ctx, c, [2]string{self.Address, to}, RulesMethod, q)
 		}),
-		Ask(func(ctx context.Context, to string, q *NextCall) (*NextReply, error) {
-			return call[NextCall, NextReply](ctx, c, [2]string{self.Address, to}, NextMethod, q)
+		CallNext(func(ctx context.Context, to string, q *NextRequest) (*NextReply, error) {
+			return call[NextRequest, NextReply](ctx, c, [2]string{self.Address, to}, NextMethod, q)
 		}),
 	}
 }
@@ -200,5 +200,5 @@
 }
 
 func (c *cell) edit(base int64, raw string) (int64, error) {
-	return SetRules(context.Background(), c.svc.Store(), Edit{Base: base, Raw: []byte(raw), Editor: "asha"})
+	return SetRules(context.Background(), c.svc.Store(), Edit{BaseVersion: base, Raw: []byte(raw), Editor: "asha"})
 }
--- a/view/edit.go
+++ b/view/edit.go
@@ -41,9 +41,9 @@
 
 // Edit is an operator's change of the rules.
 type Edit struct {
-	// Base is the version that the editor changed; zero where there was none.
-	Base int64
-	Raw  []byte
+	// BaseVersion is the version that the editor changed; zero where there was none.
+	BaseVersion int64
+	Raw         []byte
 	// Editor names who edits.
 	Editor string
 	// Check gives the findings of a document; nothing is written while there are any.
@@ -124,12 +124,12 @@
 		}
 	}
 	// A store that was restored may hold less than the base that peers still have.
-	if d.Version > e.Base {
-		return 0, &Conflict{Yours: Rules{Version: e.Base, Raw: e.Raw}, Theirs: d.rules(), Editor: d.Editor}
+	if d.Version > e.BaseVersion {
+		return 0, &Conflict{Yours: Rules{Version: e.BaseVersion, Raw: e.Raw}, Theirs: d.rules(), Editor: d.Editor}
 	}
 	next := document{
-		Version: e.Base + 1, Editor: e.Editor, Rules: e.Raw,
-		Edits: append(d.Edits[max(0, len(d.Edits)-maxEdits+1):], pastEdit{identity, e.Base + 1}),
+		Version: e.BaseVersion + 1, Editor: e.Editor, Rules: e.Raw,
+		Edits: append(d.Edits[max(0, len(d.Edits)-maxEdits+1):], pastEdit{identity, e.BaseVersion + 1}),
 	}
 	raw, err := json.Marshal(&next)
 	if err != nil {
--- a/view/follower.go
+++ b/view/follower.go
@@ -19,8 +19,8 @@
 	probeEvery = 5 * time.Second
 )
 
-// NextCall asks a Keeper for the view after the one that the caller last had from it.
-type NextCall struct {
+// NextRequest asks a Keeper for the view after the one that the caller last had from it.
+type NextRequest struct {
 	Keeper string
 	After  uint64
 	Wait   time.Duration
@@ -78,20 +78,20 @@
 // Changed gives a channel that closes at the next change of the view.
 func (f *Follower) Changed() <-chan struct{} { return f.board.wait() }
 
-// Offer takes rules from a peer if they are newer than those known.
-func (f *Follower) Offer(r Rules) { f.spread.take(&r) }
+// OfferRules takes rules from a peer if they are newer than those known.
+func (f *Follower) OfferRules(r Rules) { f.spread.take(&r) }
 
-// Heard is told that a process has newer rules, so that they are fetched at once.
-func (f *Follower) Heard(from member.Member, version int64) { f.spread.heard(from, version) }
+// NotifyNewerRules is told that a process has newer rules, so that they are fetched at once.
+func (f *Follower) NotifyNewerRules(from member.Member, version int64) { f.spread.heard(from, version) }
 
-// InForce gives, process by process, the newest rules that it is known to have.
-func (f *Follower) InForce() []Process { return f.spread.inForce() }
+// RulesByProcess gives, process by process, the newest rules that it is known to have.
+func (f *Follower) RulesByProcess() []Process { return f.spread.inForce() }
 
 // Register serves the Follower's calls.
 func (f *Follower) Register(s *rpc.Server) { rpc.Handle(s, RulesMethod, f.ServeRules) }
 
 // ServeRules serves rpc "view.rules".
-func (f *Follower) ServeRules(_ context.Context, c *RulesCall) (*RulesReply, error) {
+func (f *Follower) ServeRules(_ context.Context, c *RulesRequest) (*RulesReply, error) {
 	return f.spread.serve(c), nil
 }
 
@@ -128,7 +128,7 @@
 func (f *Follower) ask(ctx context.Context, address string, last *NextReply, wait time.Duration) (*NextReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+PeerTimeout)
 	defer cancel()
-	return f.opts.Ask(ctx, address, &NextCall{Keeper: last.Keeper, After: last.View.Version, Wait: wait})
+	return f.opts.CallNext(ctx, address, &NextRequest{Keeper: last.Keeper, After: last.View.Version, Wait: wait})
 }
 
 // keepers gives the addresses of the Keepers, the one beside first, then those of the own zone.
@@ -160,5 +160,5 @@
 	f.spread.take(&v.Rules)
 	f.board.offerTables(v.Tables...)
 	f.board.offerPresent(v.Present)
-	f.board.offerList(Listing{Version: v.ListVersion, Workers: v.Workers, Targets: v.Targets, Entries: v.Entries})
+	f.board.offerList(VMList{Version: v.ListVersion, Workers: v.Workers, Targets: v.Targets, Entries: v.Entries})
 }
--- a/view/options.go
+++ b/view/options.go
@@ -15,24 +15,24 @@
 	// Self is this process; it is not asked for its own rules.
 	Self member.Member
 	// List reads the VM list; without it the view has none.
-	List func(ctx context.Context) (Listing, error)
-	// ListEvery is the interval at which the VM list is read.
-	ListEvery time.Duration
-	// Refresh is the interval at which everything in the store is read again.
-	Refresh time.Duration
+	List func(ctx context.Context) (VMList, error)
+	// ListInterval is the interval at which the VM list is read.
+	ListInterval time.Duration
+	// RefreshInterval is the interval at which everything in the store is read again.
+	RefreshInterval time.Duration
 	// Groups are told the tables and the vanished keys.
 	Groups []*member.Group
 	// Seeds are addresses of processes to ask before any table is known.
 	Seeds []string
-	// Spread is the interval at which processes are looked for that lack the newest rules.
-	Spread time.Duration
-	// Quiet is how long a process may stay unheard before it is asked again.
-	Quiet time.Duration
-	// Call asks a process for its rules; the default is rpc "view.rules".
-	Call func(ctx context.Context, address string, c *RulesCall) (*RulesReply, error)
-	// Ask asks a Keeper for its next view; the default is rpc "view.next".
-	Ask    func(ctx context.Context, address string, c *NextCall) (*NextReply, error)
-	Logger *zap.Logger
+	// SpreadInterval is the interval at which processes are looked for that lack the newest rules.
+	SpreadInterval time.Duration
+	// MaxSilence is how long a process may stay unheard before it is asked again.
+	MaxSilence time.Duration
+	// CallRules asks a process for its rules; the default is rpc "view.rules".
+	CallRules func(ctx context.Context, address string, c *RulesRequest) (*RulesReply, error)
+	// CallNext asks a Keeper for its next view; the default is rpc "view.next".
+	CallNext func(ctx context.Context, address string, c *NextRequest) (*NextReply, error)
+	Logger   *zap.Logger
 	// Metrics gets the versions that are known and what fails.
 	Metrics *metric.Registry
 }
@@ -44,15 +44,15 @@
 func Self(m member.Member) Option { return func(o *Options) { o.Self = m } }
 
 // List sets how the VM list is read.
-func List(f func(ctx context.Context) (Listing, error)) Option {
+func List(f func(ctx context.Context) (VMList, error)) Option {
 	return func(o *Options) { o.List = f }
 }
 
-// ListEvery sets the interval at which the VM list is read.
-func ListEvery(d time.Duration) Option { return func(o *Options) { o.ListEvery = d } }
+// ListInterval sets the interval at which the VM list is read.
+func ListInterval(d time.Duration) Option { return func(o *Options) { o.ListInterval = d } }
 
-// Refresh sets the interval at which everything in the store is read again.
-func Refresh(d time.Duration) Option { return func(o *Options) { o.Refresh = d } }
+// RefreshInterval sets the interval at which everything in the store is read again.
+func RefreshInterval(d time.Duration) Option { return func(o *Options) { o.RefreshInterval = d } }
 
 // Groups adds groups of this process that are told of tables and vanished keys.
 func Groups(g ...*member.Group) Option {
@@ -62,20 +62,20 @@
 // Seeds sets the addresses to ask before any table is known.
 func Seeds(addresses ...string) Option { return func(o *Options) { o.Seeds = addresses } }
 
-// Spread sets the interval at which processes are looked for that lack the newest rules.
-func Spread(d time.Duration) Option { return func(o *Options) { o.Spread = d } }
+// SpreadInterval sets the interval at which processes are looked for that lack the newest rules.
+func SpreadInterval(d time.Duration) Option { return func(o *Options) { o.SpreadInterval = d } }
 
-// Quiet sets how long a process may stay unheard before it is asked again.
-func Quiet(d time.Duration) Option { return func(o *Options) { o.Quiet = d } }
+// MaxSilence sets how long a process may stay unheard before it is asked again.
+func MaxSilence(d time.Duration) Option { return func(o *Options) { o.MaxSilence = d } }
 
-// Call sets how a process is asked for its rules.
-func Call(f func(ctx context.Context, address string, c *RulesCall) (*RulesReply, error)) Option {
-	return func(o *Options) { o.Call = f }
+// CallRules sets how a process is asked for its rules.
+func CallRules(f func(ctx context.Context, address string, c *RulesRequest) (*RulesReply, error)) Option {
+	return func(o *Options) { o.CallRules = f }
 }
 
-// Ask sets how a Keeper is asked for its next view.
-func Ask(f func(ctx context.Context, address string, c *NextCall) (*NextReply, error)) Option {
-	return func(o *Options) { o.Ask = f }
+// CallNext sets how a Keeper is asked for its next view.
+func CallNext(f func(ctx context.Context, address string, c *NextRequest) (*NextReply, error)) Option {
+	return func(o *Options) { o.CallNext = f }
 }
 
 // Logger sets the log.
--- a/view/spread.go
+++ b/view/spread.go
@@ -28,8 +28,8 @@
 	maxFailed = 2
 )
 
-// RulesCall tells a process which rules the caller has and asks for newer ones.
-type RulesCall struct {
+// RulesRequest tells a process which rules the caller has and asks for newer ones.
+type RulesRequest struct {
 	From    member.Member
 	Version int64
 	// Rules are the caller's, given if the callee is thought to lack them.
@@ -94,7 +94,7 @@
 	defer s.wg.Wait()
 	for ctx.Err() == nil {
 		addresses := s.addresses()
-		pool.Keep(addresses)
+		pool.Retain(addresses)
 		for _, address := range s.due(addresses) {
 			select {
 			case s.slots <- struct{}{}:
@@ -106,7 +106,7 @@
 				s.tell(ctx, address)
 			})
 		}
-		t := time.NewTimer(retry.Jitter(s.opts.Spread))
+		t := time.NewTimer(retry.Jitter(s.opts.SpreadInterval))
 		select {
 		case <-ctx.Done():
 		case <-s.kicked:
@@ -142,9 +142,9 @@
 			delete(s.peers, a)
 		}
 	}
-	quiet := s.opts.Quiet
+	quiet := s.opts.MaxSilence
 	if !s.inTable() {
-		quiet = 2 * s.opts.Spread // The others do not know this process, so that it has to ask.
+		quiet = 2 * s.opts.SpreadInterval // The others do not know this process, so that it has to ask.
 	}
 	var out []string
 	for a := range addresses {
@@ -154,7 +154,7 @@
 			s.peers[a] = p
 		}
 		tried := now.Sub(p.tried)
-		behind := p.rules != newest && tried >= s.opts.Spread<<min(p.failed, maxFailed)/2
+		behind := p.rules != newest && tried >= s.opts.SpreadInterval<<min(p.failed, maxFailed)/2
 		if !p.calling && (behind || tried >= quiet && now.Sub(p.heard) >= quiet) {
 			p.calling, p.tried = true, now
 			out = append(out, a)
@@ -180,13 +180,13 @@
 	ctx, cancel := context.WithTimeout(ctx, PeerTimeout)
 	defer cancel()
 	mine := s.board.view.Load().Rules
-	c := &RulesCall{From: s.opts.Self, Version: mine.Version}
+	c := &RulesRequest{From: s.opts.Self, Version: mine.Version}
 	s.mu.Lock()
 	if p := s.peers[address]; p != nil && p.rules < mine.Version {
 		c.Rules = &mine
 	}
 	s.mu.Unlock()
-	r, err := s.opts.Call(ctx, address, c)
+	r, err := s.opts.CallRules(ctx, address, c)
 	s.note(address, func(p *known) {
 		p.calling = false
 		p.failed++
@@ -217,7 +217,7 @@
 }
 
 // serve answers a process that tells or asks for rules.
-func (s *spread) serve(c *RulesCall) *RulesReply {
+func (s *spread) serve(c *RulesRequest) *RulesReply {
 	s.take(c.Rules)
 	mine := s.board.view.Load().Rules
 	s.note(c.From.Address, func(p *known) {
--- a/view/view.go
+++ b/view/view.go
@@ -18,15 +18,15 @@
 
 // Defaults.
 const (
-	DefaultListEvery = 2 * time.Second
-	DefaultSpread    = 500 * time.Millisecond
-	DefaultQuiet     = 10 * time.Second
+	DefaultListInterval   = 2 * time.Second
+	DefaultSpreadInterval = 500 * time.Millisecond
+	DefaultMaxSilence     = 10 * time.Second
 	// CallTimeout bounds one call of the store, which may be slow, or of the VM list.
 	CallTimeout = 5 * time.Second
 	// PeerTimeout bounds one call of another process, but for one that waits for a change.
 	PeerTimeout = time.Second
-	// DefaultRefresh is the interval at which everything is read again.
-	DefaultRefresh = 30 * time.Second
+	// DefaultRefreshInterval is the interval at which everything is read again.
+	DefaultRefreshInterval = 30 * time.Second
 	// RulesKey is the store's key of the rule document.
 	RulesKey = member.CellPrefix + "rules"
 
@@ -59,21 +59,21 @@
 
 func build(opts []Option) (Options, *rpc.Pool) {
 	o := Options{
-		ListEvery: DefaultListEvery, Spread: DefaultSpread, Quiet: DefaultQuiet, Refresh: DefaultRefresh,
+		ListInterval: DefaultListInterval, SpreadInterval: DefaultSpreadInterval, MaxSilence: DefaultMaxSilence, RefreshInterval: DefaultRefreshInterval,
 		Logger: zap.NewNop(), Metrics: metric.New(),
 	}
 	for _, f := range opts {
 		f(&o)
 	}
 	pool := rpc.NewPool()
-	if o.Call == nil {
-		o.Call = func(ctx context.Context, address string, c *RulesCall) (*RulesReply, error) {
-			return rpc.Call[RulesCall, RulesReply](ctx, pool.Get(address), RulesMethod, c)
+	if o.CallRules == nil {
+		o.CallRules = func(ctx context.Context, address string, c *RulesRequest) (*RulesReply, error) {
+			return rpc.Call[RulesRequest, RulesReply](ctx, pool.Get(address), RulesMethod, c)
 		}
 	}
-	if o.Ask == nil {
-		o.Ask = func(ctx context.Context, address string, c *NextCall) (*NextReply, error) {
-			return rpc.Call[NextCall, NextReply](ctx, pool.Get(address), NextMethod, c)
+	if o.CallNext == nil {
+		o.CallNext = func(ctx context.Context, address string, c *NextRequest) (*NextReply, error) {
+			return rpc.Call[NextRequest, NextReply](ctx, pool.Get(address), NextMethod, c)
 		}
 	}
 	return o, pool
@@ -99,24 +99,24 @@
 // View gives the newest view.
 func (k *Keeper) View() *View { return k.board.view.Load() }
 
-// Offer takes rules from a peer if they are newer than those known.
-func (k *Keeper) Offer(r Rules) {
+// OfferRules takes rules from a peer if they are newer than those known.
+func (k *Keeper) OfferRules(r Rules) {
 	if k.board.offerRules(r) {
 		k.spread.kick()
 	}
 }
 
-// Next waits for a view after a version; when ctx ends it gives the view as it is.
-func (k *Keeper) Next(ctx context.Context, after uint64) *View { return k.board.next(ctx, after) }
+// WaitNext waits for a view after a version; when ctx ends it gives the view as it is.
+func (k *Keeper) WaitNext(ctx context.Context, after uint64) *View { return k.board.next(ctx, after) }
 
 // Changed gives a channel that closes at the next change of the view.
 func (k *Keeper) Changed() <-chan struct{} { return k.board.wait() }
 
-// InForce gives, process by process, the newest rules that it is known to have.
-func (k *Keeper) InForce() []Process { return k.spread.inForce() }
+// RulesByProcess gives, process by process, the newest rules that it is known to have.
+func (k *Keeper) RulesByProcess() []Process { return k.spread.inForce() }
 
-// Heard is told that a process has newer rules, so that they are fetched at once.
-func (k *Keeper) Heard(from member.Member, version int64) { k.spread.heard(from, version) }
+// NotifyNewerRules is told that a process has newer rules, so that they are fetched at once.
+func (k *Keeper) NotifyNewerRules(from member.Member, version int64) { k.spread.heard(from, version) }
 
 // Register serves the Keeper's calls.
 func (k *Keeper) Register(s *rpc.Server) {
@@ -125,12 +125,12 @@
 }
 
 // ServeRules serves rpc "view.rules".
-func (k *Keeper) ServeRules(_ context.Context, c *RulesCall) (*RulesReply, error) {
+func (k *Keeper) ServeRules(_ context.Context, c *RulesRequest) (*RulesReply, error) {
 	return k.spread.serve(c), nil
 }
 
 // ServeNext serves rpc "view.next".
-func (k *Keeper) ServeNext(ctx context.Context, c *NextCall) (*NextReply, error) {
+func (k *Keeper) ServeNext(ctx context.Context, c *NextRequest) (*NextReply, error) {
 	after := c.After
 	if c.Keeper != k.name {
 		after = 0 // The caller's count is another Keeper's.
@@ -177,7 +177,7 @@
 		*from = revision + 1
 	}
 	// Without the refresh, a watch that is open but brings nothing would freeze the tables here.
-	ctx, cancel := context.WithTimeoutCause(ctx, retry.Jitter(k.opts.Refresh), errRefresh)
+	ctx, cancel := context.WithTimeoutCause(ctx, retry.Jitter(k.opts.RefreshInterval), errRefresh)
 	defer cancel()
 	err := k.store.Watch(ctx, member.CellPrefix, *from, func(batch store.Batch) {
 		for _, e := range batch.Events {
@@ -221,7 +221,7 @@
 			k.log.Error("view: rule document not understood", zap.Error(err))
 			return
 		}
-		k.Offer(doc.rules())
+		k.OfferRules(doc.rules())
 	case strings.HasPrefix(key, member.TablePrefix) && !e.Deleted:
 		t, err := member.DecodeTable(e.Pair)
 		if err != nil {
@@ -235,7 +235,7 @@
 }
 
 func (k *Keeper) pollList(ctx context.Context) {
-	for wait := time.Duration(0); retry.Sleep(ctx, wait); wait = retry.Jitter(k.opts.ListEvery) {
+	for wait := time.Duration(0); retry.Sleep(ctx, wait); wait = retry.Jitter(k.opts.ListInterval) {
 		l, err := k.list(ctx)
 		if err != nil {
 			k.opts.Metrics.Counter("view_listFailed_total").Inc(1)
@@ -246,7 +246,7 @@
 	}
 }
 
-func (k *Keeper) list(ctx context.Context) (Listing, error) {
+func (k *Keeper) list(ctx context.Context) (VMList, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	return k.opts.List(ctx)
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -47,8 +47,8 @@
 				c.NoErr(err)
 				took := c.until(3*time.Second, c.inForce(version))
 				t.Log("in force everywhere after", took)
-				time.Sleep(DefaultQuiet)
-				behind := slices.DeleteFunc(c.vms[0].keeper.InForce(), func(p Process) bool { return p.Rules == version })
+				time.Sleep(DefaultMaxSilence)
+				behind := slices.DeleteFunc(c.vms[0].keeper.RulesByProcess(), func(p Process) bool { return p.Rules == version })
 				c.Equal(len(behind), tc.unheard)
 			})
 		})
@@ -57,7 +57,7 @@
 		run(t, 8, func(c *cell) {
 			c.each(func(p *process) { p.faults.Down(true) })
 			time.Sleep(15 * time.Second)
-			c.vms[5].keeper.Offer(Rules{Version: 7, Raw: []byte(`{}`)})
+			c.vms[5].keeper.OfferRules(Rules{Version: 7, Raw: []byte(`{}`)})
 			t.Log("in force everywhere after", c.until(3*time.Second, c.inForce(7)))
 		})
 	})
@@ -67,13 +67,13 @@
 // A peer brings version 9; then the store, restored or slow, brings version 1, and a peer 8.
 func TestNeverBack(t *testing.T) {
 	run(t, 2, func(c *cell) {
-		c.vms[0].keeper.Offer(Rules{Version: 9, Raw: []byte(`9`)})
+		c.vms[0].keeper.OfferRules(Rules{Version: 9, Raw: []byte(`9`)})
 		c.until(3*time.Second, c.inForce(9))
 		_, err := c.edit(0, `1`)
 		c.NoErr(err)
-		c.vms[1].keeper.Offer(Rules{Version: 8, Raw: []byte(`8`)})
+		c.vms[1].keeper.OfferRules(Rules{Version: 8, Raw: []byte(`8`)})
 		c.svc.Compact()
-		time.Sleep(2 * DefaultRefresh)
+		time.Sleep(2 * DefaultRefreshInterval)
 		c.each(func(p *process) { c.Equal(string(p.view().Rules.Raw), `9`) })
 		version, err := c.edit(9, `10`)
 		c.NoErr(err)
@@ -89,7 +89,7 @@
 		gate := c.vms[0].follower
 		c.kill(c.vms[0].scheduler)
 		c.mu.Lock()
-		c.list = Listing{Version: 2, Entries: c.list.Entries, Workers: []worker.Info{{ID: "w"}}}
+		c.list = VMList{Version: 2, Entries: c.list.Entries, Workers: []worker.Info{{ID: "w"}}}
 		c.mu.Unlock()
 		c.until(6*time.Second, func() bool { return gate.View().ListVersion == 2 })
 		c.Equal(len(gate.View().Workers), 0)
@@ -104,15 +104,15 @@
 // A process that starts while the store is down would have no rules, though its peers have them.
 func TestNewProcessAsksPeers(t *testing.T) {
 	run(t, 2, func(c *cell) {
-		c.vms[0].keeper.Offer(Rules{Version: 3, Raw: []byte(`3`)})
+		c.vms[0].keeper.OfferRules(Rules{Version: 3, Raw: []byte(`3`)})
 		c.each(func(p *process) { p.faults.Down(true) })
-		late := New(memory.New().Store(), Seeds("10.0.0.1:1"), Call(func(ctx context.Context, to string, q *RulesCall) (*RulesReply, error) {
-			return call[RulesCall, RulesReply](ctx, c, [2]string{"", to}, RulesMethod, q)
+		late := New(memory.New().Store(), Seeds("10.0.0.1:1"), CallRules(func(ctx context.Context, to string, q *RulesRequest) (*RulesReply, error) {
+			return call[RulesRequest, RulesReply](ctx, c, [2]string{"", to}, RulesMethod, q)
 		}))
 		late.Start(context.Background())
 		defer late.Close()
 		c.until(3*time.Second, func() bool { return late.View().Rules.Version == 3 })
-		c.vms[0].keeper.Offer(Rules{Version: 4, Raw: []byte(`4`)})
+		c.vms[0].keeper.OfferRules(Rules{Version: 4, Raw: []byte(`4`)})
 		c.until(3*time.Second, func() bool { return late.View().Rules.Version == 4 })
 	})
 }
@@ -143,27 +143,27 @@
 }
 
 func TestSetRules(t *testing.T) {
-	refuse := func([]byte) finding.List { return finding.List{{Place: "rules[0]", Reason: "has no condition"}} }
+	refuse := func([]byte) finding.List { return finding.List{{Path: "rules[0]", Reason: "has no condition"}} }
 	cases := []struct {
 		name string
 		edit Edit
 		want func(is *is.I, version int64, err error)
 	}{
-		{"accepted", Edit{Base: 1, Raw: []byte(`"b"`)}, func(is *is.I, version int64, err error) {
+		{"accepted", Edit{BaseVersion: 1, Raw: []byte(`"b"`)}, func(is *is.I, version int64, err error) {
 			is.NoErr(err)
 			is.Equal(version, int64(2))
 		}},
-		{"older base", Edit{Base: 0, Raw: []byte(`"b"`)}, func(is *is.I, _ int64, err error) {
+		{"older base", Edit{BaseVersion: 0, Raw: []byte(`"b"`)}, func(is *is.I, _ int64, err error) {
 			var c *Conflict
 			is.True(errors.As(err, &c))
 			is.Equal(string(c.Yours.Raw), `"b"`)
 			is.Equal(string(c.Theirs.Raw), `"a"`)
 			is.Equal(c.Editor, "asha")
 		}},
-		{"findings", Edit{Base: 1, Raw: []byte(`"b"`), Check: refuse}, func(is *is.I, _ int64, err error) {
+		{"findings", Edit{BaseVersion: 1, Raw: []byte(`"b"`), Check: refuse}, func(is *is.I, _ int64, err error) {
 			is.Equal(err.Error(), "rules[0]: has no condition")
 		}},
-		{"no JSON", Edit{Base: 1, Raw: []byte(`{`)}, func(is *is.I, _ int64, err error) {
+		{"no JSON", Edit{BaseVersion: 1, Raw: []byte(`{`)}, func(is *is.I, _ int64, err error) {
 			is.Equal(err.Error(), "rules: must be a JSON document")
 		}},
 	}
--- a/vmlist/contract_test.go
+++ b/vmlist/contract_test.go
@@ -18,7 +18,7 @@
 )
 
 var both = vmlist.List{
-	Workers: []worker.Info{{ID: "w"}}, Targets: []target.Info{{ID: "t"}}, Entries: []vmlist.Entry{{ID: "e"}},
+	Workers: []worker.Info{{ID: "w"}}, Targets: []target.Info{{ID: "t"}}, Entries: []vmlist.EntryVM{{ID: "e"}},
 }
 
 // kinds makes a source of the stand-in in each way that the project has.
--- a/vmlist/vmlist.go
+++ b/vmlist/vmlist.go
@@ -7,8 +7,8 @@
 	"turmericgap/worker"
 )
 
-// Entry is an entry VM, on which processes of the system run.
-type Entry struct {
+// EntryVM is an entry VM, on which processes of the system run.
+type EntryVM struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
@@ -22,7 +22,7 @@
 	Version int64         `json:"version"`
 	Workers []worker.Info `json:"workers"`
 	Targets []target.Info `json:"targets"`
-	Entries []Entry       `json:"entries"`
+	Entries []EntryVM     `json:"entries"`
 }
 
 // Source gives the list as the platform shows it, some time late.
--- a/webcall/options.go
+++ b/webcall/options.go
@@ -8,11 +8,11 @@
 
 // Options are what a Pool is made of.
 type Options struct {
-	Dial          func(ctx context.Context, address string) (net.Conn, error)
-	Timeout       time.Duration
-	MaxReplyBytes int64
-	IdlePerHost   int
-	Idle          int
+	Dial           func(ctx context.Context, address string) (net.Conn, error)
+	Timeout        time.Duration
+	MaxReplyBytes  int64
+	MaxIdlePerHost int
+	MaxIdle        int
 
 	connections int
 }
@@ -31,9 +31,9 @@
 // MaxReplyBytes bounds one reply.
 func MaxReplyBytes(n int64) Option { return func(o *Options) { o.MaxReplyBytes = n } }
 
-// Idle bounds the idle connections to one address and to all.
-func Idle(perHost, all int) Option {
-	return func(o *Options) { o.IdlePerHost, o.Idle = perHost, all }
+// MaxIdle bounds the idle connections to one address and to all.
+func MaxIdle(perHost, all int) Option {
+	return func(o *Options) { o.MaxIdlePerHost, o.MaxIdle = perHost, all }
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
--- a/webcall/webcall.go
+++ b/webcall/webcall.go
@@ -21,10 +21,10 @@
 	DefaultTimeout = 5 * time.Second
 	// DefaultMaxReplyBytes bounds one reply.
 	DefaultMaxReplyBytes = 4 << 20
-	// DefaultIdlePerHost bounds the idle connections to one address.
-	DefaultIdlePerHost = 16
-	// DefaultIdle bounds the idle connections to all addresses.
-	DefaultIdle = 512
+	// DefaultMaxIdlePerHost bounds the idle connections to one address.
+	DefaultMaxIdlePerHost = 16
+	// DefaultMaxIdle bounds the idle connections to all addresses.
+	DefaultMaxIdle = 512
 
 	dialTimeout     = time.Second
 	idleTimeout     = time.Minute
@@ -38,18 +38,18 @@
 // ErrNotSent means that no byte of the call left this process.
 var ErrNotSent = errors.New("not sent")
 
-// Status is a reply other than 200: a definite answer of the callee.
-type Status struct {
+// StatusError is a reply other than 200: a definite answer of the callee.
+type StatusError struct {
 	Code   int
 	Reason string
 }
 
 // Error gives the code and the reason.
-func (s *Status) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Reason) }
+func (s *StatusError) Error() string { return fmt.Sprintf("status %d: %s", s.Code, s.Reason) }
 
 // StatusCode gives the code of the Status within err, or zero.
 func StatusCode(err error) int {
-	var s *Status
+	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Code
 	}
@@ -77,7 +77,7 @@
 func New(opts ...Option) *Pool {
 	o := Options{
 		Dial: dialTCP, Timeout: DefaultTimeout, MaxReplyBytes: DefaultMaxReplyBytes,
-		IdlePerHost: DefaultIdlePerHost, Idle: DefaultIdle,
+		MaxIdlePerHost: DefaultMaxIdlePerHost, MaxIdle: DefaultMaxIdle,
 	}
 	for _, f := range opts {
 		f(&o)
@@ -90,8 +90,8 @@
 	p.transport = &http.Transport{
 		DialContext:         p.dial,
 		DisableCompression:  true,
-		MaxIdleConns:        o.Idle,
-		MaxIdleConnsPerHost: o.IdlePerHost,
+		MaxIdleConns:        o.MaxIdle,
+		MaxIdleConnsPerHost: o.MaxIdlePerHost,
 		MaxConnsPerHost:     o.connections,
 		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      readBufferBytes,
@@ -121,7 +121,7 @@
 	if !ok {
 		o := p.opts
 		o.connections = key.connections
-		o.IdlePerHost = min(o.IdlePerHost, key.connections)
+		o.MaxIdlePerHost = min(o.MaxIdlePerHost, key.connections)
 		l = build(o)
 		l.used.Store(now.UnixNano())
 		p.limited[key] = l
@@ -151,8 +151,8 @@
 	// Valid, if set, is asked before every write to the connection; once it says no, nothing more
 	// of the call leaves.
 	Valid func() bool
-	// Parent is the trace context that travels with the call.
-	Parent string
+	// TraceParent is the trace context that travels with the call.
+	TraceParent string
 }
 
 // Do sends a call and waits for its reply. ErrNotSent and a Status are definite; any other error
@@ -194,8 +194,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Parent != "" {
-		req.Header.Set(traceHeader, c.Parent)
+	if c.TraceParent != "" {
+		req.Header.Set(traceHeader, c.TraceParent)
 	}
 	return req, nil
 }
@@ -203,7 +203,7 @@
 func (p *Pool) read(resp *http.Response, out any) error {
 	if resp.StatusCode != http.StatusOK {
 		reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
-		return &Status{Code: resp.StatusCode, Reason: strings.TrimSpace(string(reason))}
+		return &StatusError{Code: resp.StatusCode, Reason: strings.TrimSpace(string(reason))}
 	}
 	// The body is read to its end even if nobody wants it, or the connection could not be used again.
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxReplyBytes+1))
--- a/worker/agent.go
+++ b/worker/agent.go
@@ -10,31 +10,31 @@
 var (
 	// ErrReplaced means that the worker's lifetime is over: all that ran in it has ended.
 	ErrReplaced = errors.New("worker was replaced")
-	// ErrUnwell means that the worker declined the call and did nothing.
-	ErrUnwell = errors.New("worker is unwell and did nothing")
+	// ErrUnhealthy means that the worker declined the call and did nothing.
+	ErrUnhealthy = errors.New("worker is unwell and did nothing")
 )
 
-// Reason tells why a worker refused an order.
-type Reason string
+// RefusalReason tells why a worker refused an order.
+type RefusalReason string
 
 // The reasons of refusals; nothing was done.
 const (
 	// ReasonFenced means that a later owner has called the worker.
-	ReasonFenced Reason = "fenced"
-	// ReasonOld means that no higher run is wanted: this or a higher one has ended there.
-	ReasonOld Reason = "old"
-	// ReasonLate means that the order's deadline had passed.
-	ReasonLate Reason = "late"
-	// ReasonRoom means that the worker lacks capacity.
-	ReasonRoom Reason = "room"
+	ReasonFenced RefusalReason = "fenced"
+	// ReasonStaleRun means that no higher run is wanted: this or a higher one has ended there.
+	ReasonStaleRun RefusalReason = "old"
+	// ReasonExpired means that the order's deadline had passed.
+	ReasonExpired RefusalReason = "late"
+	// ReasonNoCapacity means that the worker lacks capacity.
+	ReasonNoCapacity RefusalReason = "room"
 	// ReasonPermit means that the permit is missing or has expired.
-	ReasonPermit Reason = "permit"
+	ReasonPermit RefusalReason = "permit"
 	// ReasonInvalid means that the worker did not understand the order.
-	ReasonInvalid Reason = "invalid"
+	ReasonInvalid RefusalReason = "invalid"
 )
 
 // Refusal is a worker's definite no.
-type Refusal struct{ Reason Reason }
+type Refusal struct{ Reason RefusalReason }
 
 // Error gives the reason.
 func (r *Refusal) Error() string { return "worker refused: " + string(r.Reason) }
@@ -80,8 +80,8 @@
 	Wait time.Duration `msgpack:"w"`
 }
 
-// Active is a run that is present on a worker.
-type Active struct {
+// ActiveRun is a run that is present on a worker.
+type ActiveRun struct {
 	Task       Task   `msgpack:"t"`
 	Run        int64  `msgpack:"r"`
 	Checkpoint string `msgpack:"c,omitempty"`
@@ -89,37 +89,37 @@
 	Percent int `msgpack:"p,omitempty"`
 }
 
-// Ending tells how a run ended.
-type Ending string
+// RunOutcome tells how a run ended.
+type RunOutcome string
 
 // The endings of runs.
 const (
-	EndingDone    Ending = "done"
-	EndingFailed  Ending = "failed"
-	EndingStopped Ending = "stopped"
-	// EndingLapsed means that the lease ran out.
-	EndingLapsed Ending = "lapsed"
-	// EndingBroken means that another member of the gang ended.
-	EndingBroken Ending = "broken"
-	// EndingAlone means that the other members of the gang did not come in time.
-	EndingAlone Ending = "alone"
+	OutcomeDone    RunOutcome = "done"
+	OutcomeFailed  RunOutcome = "failed"
+	OutcomeStopped RunOutcome = "stopped"
+	// OutcomeLeaseExpired means that the lease ran out.
+	OutcomeLeaseExpired RunOutcome = "lapsed"
+	// OutcomeGangBroken means that another member of the gang ended.
+	OutcomeGangBroken RunOutcome = "broken"
+	// OutcomeGangIncomplete means that the other members of the gang did not come in time.
+	OutcomeGangIncomplete RunOutcome = "alone"
 )
 
-// End is a run that ended; Number rises within the worker's lifetime.
-type End struct {
-	Number     int64  `msgpack:"n"`
-	Task       Task   `msgpack:"t"`
-	Run        int64  `msgpack:"r"`
-	How        Ending `msgpack:"h"`
-	Checkpoint string `msgpack:"c,omitempty"`
+// EndedRun is a run that ended; Number rises within the worker's lifetime.
+type EndedRun struct {
+	Number     int64      `msgpack:"n"`
+	Task       Task       `msgpack:"t"`
+	Run        int64      `msgpack:"r"`
+	Outcome    RunOutcome `msgpack:"h"`
+	Checkpoint string     `msgpack:"c,omitempty"`
 }
 
-// Held is the answer to a Hold.
-type Held struct {
+// HoldReply is the answer to a Hold.
+type HoldReply struct {
 	// Clock is the worker's steady clock.
 	Clock  time.Duration `msgpack:"c"`
-	Active []Active      `msgpack:"a,omitempty"`
-	Ended  []End         `msgpack:"e,omitempty"`
+	Active []ActiveRun   `msgpack:"a,omitempty"`
+	Ended  []EndedRun    `msgpack:"e,omitempty"`
 }
 
 // Agent calls the program that runs tasks on one worker. An error other than ErrNotSent, ErrReplaced,
@@ -127,31 +127,31 @@
 type Agent struct {
 	Launch func(ctx context.Context, l *Launch) (clock time.Duration, err error)
 	Halt   func(ctx context.Context, h *Halt) (clock time.Duration, err error)
-	Hold   func(ctx context.Context, h *Hold) (*Held, error)
+	Hold   func(ctx context.Context, h *Hold) (*HoldReply, error)
 	// Relayed reports whether calls go by way of another VM, which makes them; nil stands for no.
 	Relayed func() bool
 	// Close ends the use of the agent; nil does nothing.
 	Close func()
 }
 
-// ByRelay reports whether another VM makes the calls.
-func (a *Agent) ByRelay() bool { return a.Relayed != nil && a.Relayed() }
+// IsRelayed reports whether another VM makes the calls.
+func (a *Agent) IsRelayed() bool { return a.Relayed != nil && a.Relayed() }
 
-// End gives back what the agent holds.
-func (a *Agent) End() {
+// Release gives back what the agent holds.
+func (a *Agent) Release() {
 	if a != nil && a.Close != nil {
 		a.Close()
 	}
 }
 
-// Listing is a worker in the cell's list.
-type Listing struct {
+// ListedWorker is a worker in the cell's list.
+type ListedWorker struct {
 	Info
 	// Pool is the service that the worker runs.
 	Pool   string
 	Labels []string
 	// Clock is the worker's clock when it wrote its entry.
 	Clock time.Duration
-	// Left is how much time the worker has before it leaves, if it tells.
-	Left time.Duration
+	// TimeLeft is how much time the worker has before it leaves, if it tells.
+	TimeLeft time.Duration
 }
--- a/worker/contract_test.go
+++ b/worker/contract_test.go
@@ -103,8 +103,8 @@
 func TestContract(t *testing.T) {
 	run(t, []testCase{
 		{"a task runs and gives its whole answer", nil, func(b *bench) {
-			b.Equal(b.start(worker.Start{Attempt: "j/0/1", Each: small}).State, worker.Running)
-			b.True(b.beat(0).Whole)
+			b.Equal(b.start(worker.Start{Attempt: "j/0/1", Resources: small}).State, worker.Running)
+			b.True(b.beat(0).Full)
 			h := b.beat(5 * time.Second)
 			b.Equal(h.Reports[0].State, worker.Ended)
 			b.Equal(string(h.Reports[0].Answer.Body), "roster done attempt j/0/1")
@@ -112,7 +112,7 @@
 		}},
 		{"a repeat changes nothing, whatever the state", nil, func(b *bench) {
 			for _, want := range []worker.State{worker.Running, worker.Running, worker.Ended} {
-				b.Equal(b.start(worker.Start{Attempt: "j/0/1", Each: small}).State, want)
+				b.Equal(b.start(worker.Start{Attempt: "j/0/1", Resources: small}).State, want)
 				time.Sleep(30 * time.Millisecond)
 			}
 			b.start(worker.Start{Attempt: "j/1/1", Service: true})
@@ -166,13 +166,13 @@
 			b.at.Restart()
 			h := b.beat(5 * time.Second)
 			b.True(h.Boot != boot)
-			b.True(h.Whole)
+			b.True(h.Full)
 			b.Equal(len(h.Reports), 0)
 			b.start(worker.Start{Attempt: "j/0/1"})
 			b.Equal(b.at.Violations(), []string{"attempt ran twice: j/0/1"})
 		}},
 		{"usage comes late and follows the throttle", nil, func(b *bench) {
-			r := b.start(worker.Start{Attempt: "j/0/1", Each: small, Service: true})
+			r := b.start(worker.Start{Attempt: "j/0/1", Resources: small, Service: true})
 			b.Equal(r.Usage, job.Resources{})
 			time.Sleep(time.Second)
 			b.Equal(b.beat(0).Reports[0].Usage, small)
@@ -181,7 +181,7 @@
 			b.Equal(r.Usage.Millicores, int64(300))
 		}},
 		{"a start goes on from a checkpoint", nil, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", RunSeconds: 10, Each: small})
+			b.start(worker.Start{Attempt: "j/0/1", RunSeconds: 10, Resources: small})
 			time.Sleep(time.Second)
 			r, err := b.Act(b.ctx, &worker.Act{Attempt: "j/0/1", Verb: worker.Checkpoint})
 			b.NoErr(err)
@@ -191,9 +191,9 @@
 			b.Equal(b.start(worker.Start{Attempt: "j/0/2"}).State, worker.Ended)
 		}},
 		{"guards refuse what does not fit and old epochs", []standin.Option{standin.RejectInvalid()}, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", Each: small.Times(3), Epoch: 7})
+			b.start(worker.Start{Attempt: "j/0/1", Resources: small.Times(3), Epoch: 7})
 			for _, s := range []worker.Start{
-				{Attempt: "j/1/1", Each: small.Times(2), Epoch: 7}, {Attempt: "j/2/1", Each: small, Epoch: 6},
+				{Attempt: "j/1/1", Resources: small.Times(2), Epoch: 7}, {Attempt: "j/2/1", Resources: small, Epoch: 6},
 			} {
 				_, err := b.Start(b.ctx, &s)
 				b.True(errors.Is(err, worker.ErrRefused))
@@ -201,8 +201,8 @@
 			b.Equal(b.at.State().Starts, int64(1))
 		}},
 		{"without guards what must not be is done and told", []standin.Option{standin.TaskOf(cut)}, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", Each: small.Times(3), Epoch: 7})
-			b.start(worker.Start{Attempt: "j/0/2", Each: small.Times(2), Epoch: 6})
+			b.start(worker.Start{Attempt: "j/0/1", Resources: small.Times(3), Epoch: 7})
+			b.start(worker.Start{Attempt: "j/0/2", Resources: small.Times(2), Epoch: 6})
 			b.Equal(b.at.State().Starts, int64(2))
 			v := b.at.Violations()
 			b.True(strings.HasPrefix(v[0], "overfilled by j/0/2"))
@@ -256,30 +256,30 @@
 		// The owner sees a heartbeat fail and asks again. The answer was cut on its way, and the
 		// cursor of the cut reply is not kept, so that the next heartbeat brings the whole answer.
 		{"a cut answer is asked for again", nil, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", Each: small})
+			b.start(worker.Start{Attempt: "j/0/1", Resources: small})
 			b.beat(0)
 			b.at.SetFault(standin.Fault{Truncate: 1})
 			_, err := b.Heartbeat(b.ctx, &worker.Heartbeat{Cursor: b.last, WaitMillis: 1000})
 			b.True(errors.Is(err, worker.ErrTruncated))
-			b.True(b.beat(0).Reports[0].Answer.Whole())
+			b.True(b.beat(0).Reports[0].Answer.IsIntact())
 		}},
 		// A worker cuts the answer of one attempt for ever; another attempt ends well beside it.
 		// After some errors the reply comes through, and the owner sees which answer is not whole.
 		{"an answer that is cut for ever holds back no others", nil, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", Each: small})
+			b.start(worker.Start{Attempt: "j/0/1", Resources: small})
 			b.at.SetFault(standin.Fault{Truncate: 100})
 			time.Sleep(time.Second)
-			for range worker.MaxCutReplies {
+			for range worker.MaxTruncatedReplies {
 				_, err := b.Heartbeat(b.ctx, &worker.Heartbeat{})
 				b.True(errors.Is(err, worker.ErrTruncated))
 			}
-			b.True(!b.beat(0).Reports[0].Answer.Whole())
+			b.True(!b.beat(0).Reports[0].Answer.IsIntact())
 			_, err := b.Heartbeat(b.ctx, &worker.Heartbeat{})
 			b.True(errors.Is(err, worker.ErrTruncated))
 		}},
 		{"a worker that fails all gives failed answers", nil, func(b *bench) {
 			b.at.SetFault(standin.Fault{FailAll: true})
-			r := b.start(worker.Start{Attempt: "j/0/1", Each: small})
+			r := b.start(worker.Start{Attempt: "j/0/1", Resources: small})
 			b.Equal(r.State, worker.Ended)
 			b.Equal(r.Answer.Exit, 1)
 			b.Equal(b.at.State().Used, job.Resources{})
@@ -292,17 +292,17 @@
 			}
 			time.Sleep(time.Second)
 			h := b.beat(0)
-			b.True(h.Whole)
+			b.True(h.Full)
 			b.Equal(len(h.Reports), 10)
 			ended := map[string]bool{}
 			for beats := 0; len(ended) < 10; beats++ {
 				b.True(beats < 10)
 				for _, r := range h.Reports {
-					ended[r.Attempt] = ended[r.Attempt] || r.State == worker.Ended && r.Answer.Whole()
+					ended[r.Attempt] = ended[r.Attempt] || r.State == worker.Ended && r.Answer.IsIntact()
 				}
 				maps.DeleteFunc(ended, func(_ string, whole bool) bool { return !whole })
 				h = b.beat(0)
-				b.True(!h.Whole)
+				b.True(!h.Full)
 			}
 		}},
 		// The worker's VM freezes, the lease lapses, a heartbeat waits in its queue, the VM thaws.
@@ -318,7 +318,7 @@
 			b.Equal(h.Reports[0].State, worker.Stopped)
 		}},
 		{"a frozen worker tells usage late", nil, func(b *bench) {
-			b.start(worker.Start{Attempt: "j/0/1", Each: small, RunSeconds: 5})
+			b.start(worker.Start{Attempt: "j/0/1", Resources: small, RunSeconds: 5})
 			b.at.SetFault(standin.Fault{Frozen: true})
 			time.Sleep(time.Second)
 			b.at.SetFault(standin.Fault{})
@@ -356,7 +356,7 @@
 			b.True(err != nil)
 			b.at.Restart()
 			h := b.beat(0)
-			b.True(h.Boot != boot && h.Whole && len(h.Reports) == 0)
+			b.True(h.Boot != boot && h.Full && len(h.Reports) == 0)
 		}},
 	})
 }
--- a/worker/web/web.go
+++ b/worker/web/web.go
@@ -35,11 +35,11 @@
 	valid func() bool
 	// calls holds one token for each Start or Act in progress.
 	calls chan struct{}
-	cuts  worker.CutReplies
+	cuts  worker.TruncatedReplies
 }
 
 func (c *client) start(ctx context.Context, s *worker.Start) (*worker.Report, error) {
-	return c.guarded(ctx, &webcall.Call{Path: StartPath, In: s, Parent: s.Parent})
+	return c.guarded(ctx, &webcall.Call{Path: StartPath, In: s, TraceParent: s.TraceParent})
 }
 
 func (c *client) act(ctx context.Context, a *worker.Act) (*worker.Report, error) {
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -44,8 +44,8 @@
 // whether the attempt runs, has ended, was stopped or was forbidden.
 type Start struct {
 	// Attempt is unique for ever: job, task index and attempt number.
-	Attempt string        `json:"attempt"`
-	Each    job.Resources `json:"each"`
+	Attempt   string        `json:"attempt"`
+	Resources job.Resources `json:"each"`
 	// Epoch is the sender's ownership epoch; a worker with guards refuses an older one.
 	Epoch int64 `json:"epoch"`
 	// LeaseMillis is how long the attempt may run without being renewed.
@@ -54,10 +54,10 @@
 	RunSeconds int64  `json:"runSeconds,omitempty"`
 	Class      string `json:"class"`
 	// Service marks an attempt that does not end by itself.
-	Service    bool   `json:"service,omitempty"`
-	Payload    []byte `json:"payload,omitempty"`
-	Checkpoint []byte `json:"checkpoint,omitempty"`
-	Parent     string `json:"parent,omitempty"`
+	Service     bool   `json:"service,omitempty"`
+	Payload     []byte `json:"payload,omitempty"`
+	Checkpoint  []byte `json:"checkpoint,omitempty"`
+	TraceParent string `json:"parent,omitempty"`
 }
 
 // Heartbeat renews the leases of all attempts that the sender owns on the worker and asks for what
@@ -90,8 +90,8 @@
 	Boot    string   `json:"boot"`
 	Cursor  int64    `json:"cursor"`
 	Reports []Report `json:"reports,omitempty"`
-	// Whole says that Reports lists every attempt, not just changes.
-	Whole bool `json:"whole,omitempty"`
+	// Full says that Reports lists every attempt, not just changes.
+	Full bool `json:"whole,omitempty"`
 }
 
 // Act asks for something to be done to a running attempt. A stop of an unknown attempt forbids it.
