--- a/scheduler/accept.go
+++ b/scheduler/accept.go
@@ -15,7 +15,7 @@
 	"turmericgap/worker"
 )
 
-// submitResult is the answer to a submission, or the channel that reports when the answer is known.
+// submitResult is the answer to a submission, or the channel that reports when the job's record is committed.
 type submitResult struct {
 	status job.Status
 	fault  *rpc.Fault
@@ -106,7 +106,7 @@
 	return true
 }
 
-// accept decides on a submission. It runs on the loop.
+// accept decides on a submission and appends the record of an accepted job. It runs on the loop.
 func (t *term) accept(id string, spec *job.Submission, parent string, now time.Time) submitResult {
 	if e := t.jobs[id]; e != nil {
 		return t.resubmit(e, spec)
@@ -177,8 +177,8 @@
 	close(wait)
 }
 
-// resubmit answers a submission whose key is known. It returns the first job if both submissions are equal, and a
-// conflict otherwise.
+// resubmit answers a submission whose key is already in use. It returns the status of the existing job if both
+// submissions are equal, and a conflict otherwise.
 func (t *term) resubmit(e *entry, spec *job.Submission) submitResult {
 	if !reflect.DeepEqual(e.Spec, *spec) {
 		l := finding.List{{Path: "key", Reason: "was used for another submission, job " + e.id}}
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -235,11 +235,11 @@
 	if reported {
 		return
 	}
-	whole := true
+	intact := true
 	for _, k := range st.Tasks {
-		whole = whole && (k.Answer == nil || k.Answer.IsIntact())
+		intact = intact && (k.Answer == nil || k.Answer.IsIntact())
 	}
-	c.checker.Record(history.Event{At: time.Now(), Kind: history.Reported, Job: st.ID, Outcome: st.Outcome, Intact: whole})
+	c.checker.Record(history.Event{At: time.Now(), Kind: history.Reported, Job: st.ID, Outcome: st.Outcome, Intact: intact})
 }
 
 // stop stops everything and returns the violations found by the checker and the workers.
--- a/scheduler/failure_test.go
+++ b/scheduler/failure_test.go
@@ -252,9 +252,9 @@
 	}
 }
 
-// Guards against accepting a job in memory only, which would be lost with the owner. While the store is down the
-// job's record cannot become durable, although the owner's lease still holds; the caller must be told at once that
-// its job was not run, and when to retry.
+// Guards against accepting a job whose record is only in memory, which would be lost with the owner. While the store is
+// down the job's record cannot become durable, although the owner's lease still holds; the caller must be told at once
+// that its job was not run, and when to retry.
 func TestRefusedWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -398,7 +398,7 @@
 // Guards against a job that never ends and holds its capacity forever. An attempt that exceeds the timeout of its
 // rule is stopped and run again once; then the job ends and later jobs get the capacity. The declared run time of
 // ten seconds is far too short.
-func TestOvertime(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, 1, standin.ClassRunTime("stuck", 24*time.Hour))
--- a/scheduler/link.go
+++ b/scheduler/link.go
@@ -116,11 +116,11 @@
 		if !t.post(func() { t.onHeartbeat(l, b) }) {
 			return
 		}
-		rest := t.o.HeartbeatPause
+		pause := t.o.HeartbeatPause
 		if b.err != nil {
-			rest = t.o.HeartbeatRetry
+			pause = t.o.HeartbeatRetry
 		}
-		if !retry.Sleep(l.ctx, rest) {
+		if !retry.Sleep(l.ctx, pause) {
 			return
 		}
 	}
@@ -204,8 +204,8 @@
 	}
 }
 
-// onStarted handles the result of a start. An error other than a refusal does not tell whether the worker started
-// the attempt: heartbeats report that, and the tick sends the same start again.
+// onStarted handles the result of a start. After an error other than a refusal, it is not known whether the worker
+// started the attempt: heartbeats report that, and the tick sends the same start again.
 func (t *term) onStarted(l *link, attempt string, report *worker.Report, err error) {
 	t.onCalled(l, report, err)
 	if errors.Is(err, worker.ErrNotSent) {
@@ -230,7 +230,8 @@
 	if !errors.Is(err, worker.ErrNotSent) {
 		l.lastPossibleRenewal = now
 	}
-	// Forbidden proves that nothing ran only in a heartbeat, which carries the worker's boot.
+	// A Forbidden state proves that nothing ran only together with the worker's boot, which heartbeats carry and other
+	// replies do not.
 	if err == nil && report != nil && report.State != worker.Forbidden {
 		t.onReport(l, report, now)
 	}
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// preempt checkpoints and stops tasks to make room for more urgent ones.
+// preempt checkpoints and stops tasks to free capacity for more urgent ones.
 func (t *term) preempt(list []planner.Preemption, now time.Time) {
 	for _, p := range list {
 		e := t.live[p.Job]
@@ -183,7 +183,7 @@
 	return listed
 }
 
-// updateWorker tells the planner whether a worker may get new tasks, if that has changed.
+// updateWorker updates a worker in the planner if its VM list entry, or whether it may get new tasks, has changed.
 func (t *term) updateWorker(now time.Time, l *link) {
 	a := t.fleet.Admission(now, l.info.ID)
 	open := l.answered && l.listed && !l.info.Leaving && a.Decision != fleet.Deny
@@ -225,13 +225,13 @@
 		if l := t.links[id]; l != nil {
 			last, listed, open = l.lastPossibleRenewal, l.listed, l.open
 		}
-		lapsed := now.Sub(last) > limit
+		expired := now.Sub(last) > limit
 		for _, r := range t.tasksAt(id) {
 			k := &r.e.tasks[r.task]
 			switch {
 			case k.startsSent == 0 && !open:
 				t.recordLoss(r.e, r.task, false, "its worker could not be reached", now)
-			case lapsed && (k.confirmed || !listed):
+			case expired && (k.confirmed || !listed):
 				t.recordLoss(r.e, r.task, true, "its worker was lost", now)
 			}
 		}
@@ -252,7 +252,7 @@
 			continue
 		}
 		if now.Sub(e.ended) > t.o.AnswerRetention {
-			t.answerTotal -= answerBytes(e)
+			t.answerTotalBytes -= answerBytes(e)
 			delete(t.jobs, id)
 			continue
 		}
@@ -260,8 +260,8 @@
 			oldest = e
 		}
 	}
-	if oldest != nil && t.answerTotal > t.o.AnswerBudgetBytes {
-		t.answerTotal -= answerBytes(oldest)
+	if oldest != nil && t.answerTotalBytes > t.o.AnswerBudgetBytes {
+		t.answerTotalBytes -= answerBytes(oldest)
 		for i := range oldest.tasks {
 			oldest.tasks[i].Answer = nil
 			oldest.tasks[i].Reason = "the answer was dropped: the zone's budget for answers is full"
@@ -282,7 +282,7 @@
 // retire removes a finished job from the live jobs and counts its answers against the budget.
 func (t *term) retire(e *entry) {
 	delete(t.live, e.id)
-	t.answerTotal += answerBytes(e)
+	t.answerTotalBytes += answerBytes(e)
 }
 
 func (t *term) countStart(e *entry, now time.Time) {
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -66,9 +66,9 @@
 	case <-beforeDeadline(ctx):
 	}
 	t.post(func() { t.dropWaiter(id, done) })
-	look, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.o.CallTimeout)
+	statusCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), t.o.CallTimeout)
 	defer cancel()
-	return t.status(look, id)
+	return t.status(statusCtx, id)
 }
 
 // replyMargin is reserved for the reply, so that a waiter gets the latest status before its deadline.
@@ -98,7 +98,7 @@
 }
 
 // list returns live jobs first, then those that ended most recently.
-func (t *term) list(most int) []job.Status {
+func (t *term) list(limit int) []job.Status {
 	entries := make([]*entry, 0, len(t.jobs))
 	for _, e := range t.jobs {
 		if e.durable {
@@ -115,8 +115,8 @@
 		}
 		return a.id < b.id
 	})
-	out := make([]job.Status, 0, min(most, len(entries)))
-	for _, e := range entries[:min(most, len(entries))] {
+	out := make([]job.Status, 0, min(limit, len(entries)))
+	for _, e := range entries[:min(limit, len(entries))] {
 		s := e.status(t.o.Zone)
 		for i := range s.Tasks {
 			s.Tasks[i].Answer = nil
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -40,14 +40,14 @@
 
 // onFullReport compares a worker's full list of attempts with the tasks assigned to it.
 func (t *term) onFullReport(l *link, reply *worker.HeartbeatReply, now time.Time) {
-	there := make(map[string]bool, len(reply.Reports))
+	reported := make(map[string]bool, len(reply.Reports))
 	for i := range reply.Reports {
-		there[reply.Reports[i].Attempt] = true
+		reported[reply.Reports[i].Attempt] = true
 	}
 	for _, r := range t.tasksAt(l.info.ID) {
 		e, i := r.e, r.task
 		k := &e.tasks[i]
-		if there[attemptID(e.id, i, k.Attempt)] || k.saving {
+		if reported[attemptID(e.id, i, k.Attempt)] || k.saving {
 			continue
 		}
 		switch {
@@ -117,8 +117,8 @@
 	return e, i, k
 }
 
-// onOrphan handles an attempt that is not, or no longer, assigned to this worker. If it is running, it was started
-// by a late message of an earlier owner. It must be stopped because its capacity is assigned to other tasks.
+// onOrphan handles an attempt that is not, or no longer, assigned to this worker. If it is running, it was started by a
+// late message of an earlier owner. It is stopped, because the capacity that it uses may be allocated to other tasks.
 func (t *term) onOrphan(l *link, r *worker.Report) {
 	if r.State != worker.Running {
 		l.queueForget([]string{r.Attempt})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -101,8 +101,8 @@
 	return s.term
 }
 
-// Stop closes the term gracefully, so that the next owner need not wait. Hand over ownership only after Stop has
-// returned.
+// Stop closes the term gracefully, so that the next owner need not wait. Ownership may be handed over only after Stop
+// has returned.
 func (s *Scheduler) Stop(ctx context.Context) { s.shutdown(ctx, true) }
 
 // Kill stops everything at once, like a crash of the process.
@@ -188,13 +188,13 @@
 	return t.wait(ctx, id)
 }
 
-// List returns the status of up to most jobs, live ones first, without their answers.
-func (s *Scheduler) List(ctx context.Context, most int) ([]job.Status, error) {
+// List returns the status of up to limit jobs, live ones first, without their answers.
+func (s *Scheduler) List(ctx context.Context, limit int) ([]job.Status, error) {
 	t, err := s.ownedTerm()
 	if err != nil {
 		return nil, err
 	}
-	return callLoop(ctx, t, func() []job.Status { return t.list(most) })
+	return callLoop(ctx, t, func() []job.Status { return t.list(limit) })
 }
 
 func unknownFault(err error) *rpc.Fault {
--- a/scheduler/term.go
+++ b/scheduler/term.go
@@ -43,8 +43,9 @@
 	startedAt      time.Time
 	draining       bool
 	needsPlacement bool
-	answerTotal    int
-	refusals       []Refusal
+	// answerTotalBytes is the total size of the answers of finished jobs.
+	answerTotalBytes int
+	refusals         []Refusal
 }
 
 // openTerm recovers the zone's state from the journal and starts the loop.
