--- a/planner/admit.go
+++ b/planner/admit.go
@@ -132,7 +132,7 @@
 	e.estimate = p.learner.Estimate(e.classKey, time.Duration(e.spec.RunSeconds)*time.Second)
 	e.charge = p.charge(e)
 	capacity, _ := p.index.Totals()
-	// A job can expect about half of the cell, since others run beside it.
+	// A job can expect about half of the cell, since other jobs run at the same time.
 	width := placement.FitCount(capacity, e.charge, 2*len(e.pending)) / 2
 	e.item.LateAt = e.lateAt(max(width, 1))
 	p.queue.Push(&e.item, e.laneKey())
@@ -144,11 +144,11 @@
 	if !e.estimate.Learned || e.spec.Gang {
 		return e.spec.TaskResources
 	}
-	want := e.estimate.Charge(e.spec.TaskResources, p.index.MaxCapacity())
-	if want == e.spec.TaskResources || !p.index.Feasible(want, 1, false, e.spec.Zone) {
+	learned := e.estimate.Charge(e.spec.TaskResources, p.index.MaxCapacity())
+	if learned == e.spec.TaskResources || !p.index.Feasible(learned, 1, false, e.spec.Zone) {
 		return e.spec.TaskResources
 	}
-	return want
+	return learned
 }
 
 // requeue updates the queue after a change of the job's pending tasks.
--- a/planner/entry.go
+++ b/planner/entry.go
@@ -11,14 +11,14 @@
 	"turmericgap/rule"
 )
 
-// Limits from which the time is computed at which a job becomes late.
+// Parameters of the time at which a job becomes late, which lateAt computes.
 const (
 	lateAfter       = 4 * time.Hour
 	lateAfterUrgent = time.Minute
 	// deadlineMargin is kept between the expected end of a job and its deadline.
 	deadlineMargin = 2 * time.Minute
-	// headStartPerDoubling makes a job late earlier for each doubling of its tasks' cores. If both large and small
-	// tasks fit, the large ones start first, since small ones are easier to place later.
+	// headStartPerDoubling is how much earlier a job becomes late for each doubling of its tasks' cores. If both large
+	// and small tasks fit, the large ones start first, since small ones are easier to place later.
 	headStartPerDoubling = 30 * time.Minute
 )
 
@@ -75,7 +75,7 @@
 type waitReason int
 
 const (
-	waitTurn waitReason = iota
+	waitInQueue waitReason = iota
 	waitCapacity
 	waitLimit
 	waitQuota
@@ -86,7 +86,7 @@
 
 func (e *entry) band() int { return e.decision.Priority }
 
-// nextStartCount returns the number of tasks that must start together.
+// nextStartCount returns the number of tasks that must start together: all pending ones of a gang, otherwise one.
 func (e *entry) nextStartCount() int {
 	if e.spec.Gang {
 		return len(e.pending)
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -52,7 +52,7 @@
 		return "the quota of pool " + e.pool
 	case waitGangStop:
 		return "the rest of its gang to stop"
-	case waitTurn:
+	case waitInQueue:
 	}
 	return "its turn"
 }
--- a/planner/next.go
+++ b/planner/next.go
@@ -8,15 +8,15 @@
 	"turmericgap/placement"
 )
 
-// maxBlockedJobs limits the blocked jobs for which one call of Next tries to make room.
+// maxBlockedJobs limits the blocked jobs for which one call of Next tries to preempt tasks or reserve workers.
 const maxBlockedJobs = 16
 
 // maxUnfitRequests limits the number of cached requests that fit no worker.
 const maxUnfitRequests = 32
 
-// Next plans up to most starts and allocates their resources. All tasks of a gang start in the same plan, even if
-// that exceeds most.
-func (p *Planner) Next(now time.Time, most int) Plan {
+// Next plans up to limit starts and allocates their resources. All tasks of a gang start in the same plan, even if
+// that exceeds limit.
+func (p *Planner) Next(now time.Time, limit int) Plan {
 	p.advanceClock(now)
 	p.expireReservations(now)
 	if p.retryAll || len(p.freedNodes) > 0 {
@@ -28,24 +28,24 @@
 		p.queue.UnblockAll()
 		p.blockedJobs, p.retryAll = p.blockedJobs[:0], false
 	}
-	// Freed capacity goes to waiting jobs first, so lanes that may now start are unblocked before new jobs are tried.
+	// Freed capacity goes to waiting jobs first, so lanes that may start now are unblocked before new jobs are tried.
 	// Each pass unblocks some lanes; the first pass always runs.
 	p.queue.UnblockCandidates(p.mayStart)
-	for more := true; more && len(plan.Starts) < most; more = p.queue.UnblockCandidates(p.mayStart) {
-		p.runPass(now, most, &plan)
+	for more := true; more && len(plan.Starts) < limit; more = p.queue.UnblockCandidates(p.mayStart) {
+		p.runPass(now, limit, &plan)
 	}
-	if len(plan.Starts) < most {
+	if len(plan.Starts) < limit {
 		clear(p.freedNodes)
 		p.freedNodes = p.freedNodes[:0]
 	}
-	p.makeRoom(now, &plan)
+	p.preemptOrReserve(now, &plan)
 	return plan
 }
 
 // runPass tries the lanes that are not blocked, once each in order of precedence.
-func (p *Planner) runPass(now time.Time, most int, plan *Plan) {
+func (p *Planner) runPass(now time.Time, limit int, plan *Plan) {
 	pass := p.queue.BeginPass(now, p.poolUsage)
-	for len(plan.Starts) < most {
+	for len(plan.Starts) < limit {
 		it := pass.Next()
 		if it == nil {
 			break
@@ -95,7 +95,7 @@
 		return e.setWaitReason(now, waitQuota)
 	case e.spec.Gang:
 		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources {
-			return p.roomFor(now, e, n)
+			return p.availableTo(now, e, n)
 		})
 		if nodes == nil {
 			return e.setWaitReason(now, waitCapacity)
@@ -140,7 +140,7 @@
 	return p.backfill(now, e)
 }
 
-// unfitRequest is a request for which no worker of a zone had room.
+// unfitRequest is a request that fits no worker of a zone; an empty zone means all zones.
 type unfitRequest struct {
 	request job.Resources
 	zone    string
@@ -182,7 +182,7 @@
 			Job: e.id, Task: index, Worker: n.Info.ID, Waited: now.Sub(e.accepted), Rule: e.decision.Rule,
 		})
 	}
-	e.waitReason, e.waitingSince = waitTurn, now
+	e.waitReason, e.waitingSince = waitInQueue, now
 	if len(e.pending) == 0 {
 		p.queue.Remove(&e.item)
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -34,8 +34,8 @@
 	blockedJobs []*entry
 	// lastReservation is the time at which a reservation was last computed.
 	lastReservation time.Time
-	// retryAll makes the next pass try all lanes. Otherwise it retries lanes whose request fits on one of freedNodes
-	// and, if there are any, lanes of gangs and of jobs under a limit.
+	// retryAll makes the next call of Next retry all blocked lanes. Otherwise it retries only lanes whose request fits
+	// on one of freedNodes, and lanes of gangs and of jobs under a limit if any node is in freedNodes.
 	retryAll   bool
 	freedNodes []*placement.Node
 	// unfitRequests caches requests that fit no worker, until capacity is freed.
@@ -238,7 +238,7 @@
 	}
 }
 
-// ObserveUsage records the current usage of a running task, of which the peak is kept.
+// ObserveUsage records the current usage of a running task and keeps its peak.
 func (p *Planner) ObserveUsage(jobID string, index int, used job.Resources) {
 	if e, ok := p.jobs[jobID]; ok {
 		if t, ok := e.running[index]; ok {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -45,8 +45,8 @@
 	running   map[string]Start
 	unstarted map[string]int
 	victims   []Preemption
-	// stopDivisor is the fraction 1/n of the victims that stop per plan; peakFactor is the usage as a multiple of the
-	// declared resources.
+	// stopDivisor sets the fraction of the victims that stop per plan, 1/stopDivisor. peakFactor is the peak usage as a
+	// multiple of the declared resources.
 	stopDivisor int
 	peakFactor  int
 }
@@ -86,7 +86,7 @@
 		c.unstarted[s.Job]--
 		c.used[s.Worker] = c.used[s.Worker].Plus(c.specs[s.Job].TaskResources)
 		if !c.used[s.Worker].FitsIn(c.capacity[s.Worker]) {
-			return s.Worker + " is overfilled"
+			return s.Worker + " is overcommitted"
 		}
 		if c.closed[s.Worker] {
 			return s.Worker + " is closed"
@@ -199,7 +199,7 @@
 	gang := newSpec("roster", 2, 1000)
 	gang.Gang = true
 	for want, starts := range map[string][]Start{
-		"vm0 is overfilled":      {{Job: "a", Worker: "vm0"}, {Job: "a", Task: 1, Worker: "vm0"}},
+		"vm0 is overcommitted":   {{Job: "a", Worker: "vm0"}, {Job: "a", Task: 1, Worker: "vm0"}},
 		"a/0 runs twice":         {{Job: "a", Worker: "vm0"}, {Job: "a", Worker: "vm1"}},
 		"vm1 is closed":          {{Job: "a", Worker: "vm1"}},
 		"gang g started in part": {{Job: "g", Worker: "vm0"}},
@@ -301,7 +301,8 @@
 	}
 }
 
-// If only some tasks of a gang were preempted, the others could not make progress but would occupy their workers.
+// A gang must be preempted as a whole: if only some of its tasks stopped, the others could not make progress but would
+// still occupy their workers.
 func TestGangIsPreemptedWhole(t *testing.T) {
 	is := is.New(t)
 	c := newCell(4, 8000)
@@ -324,7 +325,7 @@
 	is.Equal(next.Starts[0].Job, "urgent")
 }
 
-// A recovering owner releases tasks that ended earlier, without knowing their run time.
+// A recovering owner releases tasks that ended earlier, without knowing their run time, which must not be learned.
 func TestUnknownRunTimesAreNotLearned(t *testing.T) {
 	is := is.New(t)
 	c := newCell(1, 8000)
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -17,15 +17,15 @@
 	preemptInterval = time.Second
 	// reclaimDelay is the time that a job within its quota waits before tasks on borrowed capacity are preempted.
 	reclaimDelay = 5 * time.Second
-	// maxVictims limits the tasks of a job for which one search makes room.
+	// maxVictims limits the tasks of a job for which one search frees capacity.
 	maxVictims = 512
 	// maxLateScanned limits the late jobs examined for a reservation.
 	maxLateScanned = 2 * maxReservations
 )
 
-// makeRoom preempts tasks for blocked jobs where allowed, and reserves workers for one job. The late job that comes first
-// in the queue takes precedence for the reservation, so that even large jobs cannot starve.
-func (p *Planner) makeRoom(now time.Time, plan *Plan) {
+// preemptOrReserve preempts tasks for blocked jobs where allowed, and reserves workers for one job. The job that has
+// been late for longest takes precedence for the reservation, so that even large jobs cannot starve.
+func (p *Planner) preemptOrReserve(now time.Time, plan *Plan) {
 	var first *entry
 	p.blockedJobs = slices.DeleteFunc(p.blockedJobs, (*entry).noLongerBlocked)
 	for _, e := range p.blockedJobs {
@@ -82,11 +82,12 @@
 	return !e.spec.Gang || gangs < maxGangReservations
 }
 
-// waitedLong reports whether the job has waited for capacity long enough to get a reservation.
+// waitedLong reports whether the job has waited for capacity for so long that smaller tasks must have overtaken it,
+// which entitles it to a reservation.
 func (e *entry) waitedLong(now time.Time) bool { return now.Sub(e.waitingSince) >= reserveDelay }
 
 // goesBefore orders blocked jobs for a reservation: by band, then by the total number of cores that must be free at
-// once, since small jobs find room without a reservation.
+// once, since small jobs find capacity without a reservation.
 func (e *entry) goesBefore(o *entry) bool {
 	if e.band() != o.band() {
 		return e.band() > o.band()
@@ -110,8 +111,8 @@
 	return now.Sub(e.waitingSince) >= reclaimDelay && p.ledger.Fits(e.pool, e.charge.Times(e.nextStartCount()))
 }
 
-// preemptible reports whether a task may be preempted. Services and tasks that are not repeatable are preempted only if
-// their rule allows it.
+// preemptible reports whether a task may be preempted. Services and tasks that are not repeatable are preempted only
+// if their rule allows it.
 func (t *task) preemptible() bool {
 	x := &t.entry.effect.Preemption
 	if t.preempting || x.Never {
@@ -128,7 +129,8 @@
 	return func(t *task) bool { return t.borrowed && t.pool != e.pool && p.ledger.Exceeded(t.pool) }
 }
 
-// lostWork estimates the work lost by stopping a task, in core seconds. Stopping one task of a gang loses all of them.
+// lostWork returns the most work that stopping a task can lose, in core seconds. Stopping one task of a gang loses the
+// work of all of them.
 func (t *task) lostWork(now time.Time) int64 {
 	one := 1 + int64(now.Sub(t.started)/time.Second)*(1+t.charge.Millicores)/1000
 	if t.entry.spec.Gang {
@@ -137,14 +139,14 @@
 	return one
 }
 
-// slot is room for one task on a node and the tasks that must be preempted for it.
+// slot is capacity for one task on a node, and the tasks that must be preempted to free it.
 type slot struct {
 	node    *placement.Node
 	victims []*task
 	cost    int64
 }
 
-// preempt asks the tasks with the least lost work to stop. For a gang it does so only if all tasks of the gang will fit.
+// preempt asks the tasks with the least lost work to stop. For a gang it does so only if all its tasks will fit.
 func (p *Planner) preempt(now time.Time, e *entry, plan *Plan, reason string, eligible func(*task) bool) bool {
 	e.lastPreemption = now
 	need := min(len(e.pending), maxVictims)
@@ -180,8 +182,8 @@
 		}
 	}
 	slices.SortStableFunc(victims, func(a, b *task) int { return cmp.Compare(a.lostWork(now), b.lostWork(now)) })
-	room := n.AvailableNow()
-	have := placement.FitCount(room, e.charge, need)
+	free := n.AvailableNow()
+	have := placement.FitCount(free, e.charge, need)
 	var slots []slot
 	for range have {
 		slots = append(slots, slot{node: n})
@@ -189,9 +191,9 @@
 	var group []*task
 	var cost, least int64
 	for _, t := range victims {
-		room = room.Plus(t.charge)
+		free = free.Plus(t.charge)
 		group, cost = append(group, t), cost+t.lostWork(now)
-		for count := placement.FitCount(room, e.charge, need); have < count; have++ {
+		for count := placement.FitCount(free, e.charge, need); have < count; have++ {
 			least = max(least, cost)
 			slots = append(slots, slot{node: n, victims: group, cost: least})
 			group, cost = nil, 0
@@ -238,17 +240,17 @@
 		entry: e, startAt: now.Add(preemptDuration), expiresAt: now.Add(preemptDuration + reserveGracePeriod),
 		preempted: true,
 	}
-	room := map[string]job.Resources{}
+	free := map[string]job.Resources{}
 	counts := map[string]int{}
 	for _, o := range chosen {
 		id := o.node.Info.ID
 		if counts[id] == 0 {
-			room[id] = o.node.AvailableNow()
+			free[id] = o.node.AvailableNow()
 			r.workers = append(r.workers, reservedWorker{worker: id})
 		}
 		counts[id]++
 		for _, t := range o.victims {
-			room[id] = room[id].Plus(t.charge)
+			free[id] = free[id].Plus(t.charge)
 			t.requestStop(e, plan, reason)
 		}
 	}
@@ -256,7 +258,7 @@
 		r.workers[i].count = counts[r.workers[i].worker]
 	}
 	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
-		return room[n.Info.ID].Minus(e.charge.Times(count))
+		return free[n.Info.ID].Minus(e.charge.Times(count))
 	})
 }
 
--- a/planner/reserve.go
+++ b/planner/reserve.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// roomFor returns the resources that a job may use on a node now.
-func (p *Planner) roomFor(now time.Time, e *entry, n *placement.Node) job.Resources {
+// availableTo returns the resources that a job may use on a node now.
+func (p *Planner) availableTo(now time.Time, e *entry, n *placement.Node) job.Resources {
 	if !n.Reserved() {
 		return n.Available()
 	}
@@ -151,7 +151,7 @@
 
 // forecast is the predicted free capacity of workers as running tasks end.
 type forecast struct {
-	room    map[*placement.Node]job.Resources
+	free    map[*placement.Node]job.Resources
 	fits    map[string]int
 	request job.Resources
 	need    int
@@ -160,12 +160,12 @@
 }
 
 func (f *forecast) add(n *placement.Node, r job.Resources) {
-	before, known := f.room[n]
+	before, known := f.free[n]
 	if !known {
 		f.order = append(f.order, n)
 	}
 	after := before.Plus(r)
-	f.room[n] = after
+	f.free[n] = after
 	zone := n.Info.Zone
 	f.fits[zone] += placement.FitCount(after, f.request, f.need) - placement.FitCount(before, f.request, f.need)
 	if f.fits[zone] >= f.need && f.zone == "" {
@@ -188,14 +188,14 @@
 		entry: e, startAt: at, expiresAt: at.Add(max(reserveGracePeriod, at.Sub(now)/2)), workers: f.chooseWorkers(),
 	}
 	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
-		return f.room[n].Minus(f.request.Times(count))
+		return f.free[n].Minus(f.request.Times(count))
 	})
 }
 
 // forecast simulates the end of running tasks in order of time until the job fits into a zone.
 func (p *Planner) forecast(now time.Time, e *entry) (f *forecast, at time.Time) {
 	f = &forecast{
-		room: map[*placement.Node]job.Resources{}, fits: map[string]int{},
+		free: map[*placement.Node]job.Resources{}, fits: map[string]int{},
 		request: e.charge, need: e.nextStartCount(),
 	}
 	p.index.ForEach(func(n *placement.Node) {
@@ -210,7 +210,7 @@
 			break
 		}
 		n := p.index.Node(t.worker)
-		if _, known := f.room[n]; known {
+		if _, known := f.free[n]; known {
 			f.add(n, t.charge)
 			at = t.expectedEnd(now)
 		}
@@ -226,7 +226,7 @@
 		if n.Info.Zone != f.zone || left == 0 {
 			continue
 		}
-		if count := placement.FitCount(f.room[n], f.request, left); count > 0 {
+		if count := placement.FitCount(f.free[n], f.request, left); count > 0 {
 			w = append(w, reservedWorker{n.Info.ID, count})
 			left -= count
 		}
