--- a/placement/gang.go
+++ b/placement/gang.go
@@ -7,8 +7,8 @@
 )
 
 // FindGang returns a worker for each of count equal tasks, all in one zone and in as few racks as possible, or nil if
-// no zone has room for all. room returns the resources usable on a node. Workers on probe are not used.
-func (x *Index) FindGang(request job.Resources, count int, zoneName string, room func(n *Node) job.Resources) []*Node {
+// they fit into no zone. usable returns the resources that the gang may use on a node. Workers on probe are not used.
+func (x *Index) FindGang(request job.Resources, count int, zoneName string, usable func(n *Node) job.Resources) []*Node {
 	var best []*Node
 	bestRacks := 0
 	for i := range x.zones {
@@ -16,49 +16,49 @@
 		if zoneName != "" && z.name != zoneName {
 			continue
 		}
-		if nodes, racks := z.findGang(request, count, room); nodes != nil && (best == nil || racks < bestRacks) {
+		if nodes, racks := z.findGang(request, count, usable); nodes != nil && (best == nil || racks < bestRacks) {
 			best, bestRacks = nodes, racks
 		}
 	}
 	return best
 }
 
-type rackRoom struct {
+type rackFit struct {
 	rack  *rack
 	count int
 }
 
-func (z *zone) findGang(request job.Resources, count int, room func(n *Node) job.Resources) (nodes []*Node, racks int) {
+func (z *zone) findGang(request job.Resources, count int, usable func(n *Node) job.Resources) (nodes []*Node, racks int) {
 	total := 0
-	var rooms []rackRoom
+	var fits []rackFit
 	for _, r := range z.racks {
 		fit := 0
 		for _, n := range r.nodes {
 			if n.Open && !n.Probe {
-				fit += FitCount(room(n), request, count)
+				fit += FitCount(usable(n), request, count)
 			}
 		}
 		if fit > 0 {
-			rooms = append(rooms, rackRoom{r, fit})
+			fits = append(fits, rackFit{r, fit})
 			total += fit
 		}
 	}
 	if total < count {
 		return nil, 0
 	}
-	sort.SliceStable(rooms, func(i, j int) bool { return rooms[i].count > rooms[j].count })
+	sort.SliceStable(fits, func(i, j int) bool { return fits[i].count > fits[j].count })
 	// Using the smallest rack that holds the whole gang keeps larger racks free for larger gangs.
-	whole := sort.Search(len(rooms), func(i int) bool { return rooms[i].count < count })
+	whole := sort.Search(len(fits), func(i int) bool { return fits[i].count < count })
 	if whole > 0 {
-		rooms = rooms[whole-1:]
+		fits = fits[whole-1:]
 	}
-	for _, r := range rooms {
+	for _, r := range fits {
 		racks++
 		for _, n := range r.rack.nodes {
 			if !n.Open || n.Probe {
 				continue
 			}
-			for range FitCount(room(n), request, count-len(nodes)) {
+			for range FitCount(usable(n), request, count-len(nodes)) {
 				nodes = append(nodes, n)
 			}
 		}
--- a/placement/grid.go
+++ b/placement/grid.go
@@ -23,8 +23,8 @@
 	return min(numClasses-1, 2*(length-minBits)-1+half)
 }
 
-// grid holds nodes in buckets by their classes of free millicores and free memory. In nonEmpty, the bits of a row mark
-// its buckets that are not empty.
+// grid holds nodes in buckets by the classes of their available millicores and memory. Bit m of nonEmpty[c] is set if
+// bucket m of buckets[c] is not empty.
 type grid struct {
 	nonEmpty [numClasses]uint32
 	buckets  [numClasses]*[numClasses]bucket
--- a/placement/node.go
+++ b/placement/node.go
@@ -21,7 +21,8 @@
 	rack        *rack
 	bucket      *bucket
 	bucketIndex int
-	avail       job.Resources
+	// avail caches the result of available.
+	avail job.Resources
 }
 
 // Available returns the resources usable by tasks of any duration.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -35,7 +35,7 @@
 	x.Set(worker.Info{ID: "a", Zone: "z", Rack: "r000", Has: withAccelerators}, true, false)
 	for i, want := range []string{"vm0000", "vm0000", "a"} {
 		n := x.Find(&Query{Request: resources(2, 2), Strategy: Pack})
-		is.Equal(n.Info.ID, want) // start number:
+		is.Equal(n.Info.ID, want) // wrong worker for this start
 		_ = i
 		x.Allocate(n, resources(2, 2))
 	}
