--- a/queue/pass.go
+++ b/queue/pass.go
@@ -19,10 +19,11 @@
 	borrowing    bool
 	blockedCount int
 	lateScanned  int
-	lateCursor   *Item[T]
-	lateDone     bool
-	// lateTurn is set if the last item was returned because a start was due to late items.
-	lateTurn bool
+	// lateCursor is the late item that was visited last. lateDone is set if the phase visits no further ones.
+	lateCursor *Item[T]
+	lateDone   bool
+	// lateDue is set if the last item was returned because late items were due for a start.
+	lateDue bool
 }
 
 // BeginPass starts a pass and invalidates the previous one.
@@ -47,10 +48,10 @@
 }
 
 func (p *Pass[T]) nextInPhase() *Item[T] {
-	p.lateTurn = false
+	p.lateDue = false
 	if p.q.startsSinceLate >= lateInterval {
 		if it := p.nextLate(); it != nil {
-			p.lateTurn = true
+			p.lateDue = true
 			return it
 		}
 	}
@@ -63,7 +64,8 @@
 	return p.nextInBands(MinBand, UrgentBand-1)
 }
 
-// MarkStarted counts a start, which determines when late items are next.
+// MarkStarted counts a start, which determines when late items are next, and makes the pass read the share of the
+// item's pool again.
 func (p *Pass[T]) MarkStarted(k *Key) {
 	for _, t := range p.q.bands[k.Band-MinBand] {
 		if t.name == k.Pool {
@@ -71,7 +73,7 @@
 		}
 	}
 	p.q.startsSinceLate++
-	if p.lateTurn {
+	if p.lateDue {
 		p.q.startsSinceLate = 0
 	}
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -29,7 +29,7 @@
 	btreeDegree    = 16
 )
 
-// Key holds what the items of a lane have in common. Any item of a lane can start where any other can.
+// Key identifies a lane by the requirements of its items. Any item of a lane can start where any other can.
 type Key struct {
 	Band int
 	// Pool is charged for the items.
@@ -71,10 +71,11 @@
 
 // Queue orders waiting items. It is not safe for concurrent use.
 type Queue[T any] struct {
-	lanes           map[Key]*lane[T]
-	bands           [numBands][]*poolLanes[T]
-	byLateAt        *btree.BTreeG[*Item[T]]
-	blocked         []*lane[T]
+	lanes    map[Key]*lane[T]
+	bands    [numBands][]*poolLanes[T]
+	byLateAt *btree.BTreeG[*Item[T]]
+	blocked  []*lane[T]
+	// passTruncated is set if the last pass reached maxBlockedPerPass.
 	passTruncated   bool
 	seq             uint64
 	startsSinceLate int
@@ -160,14 +161,15 @@
 
 // UnblockCandidates unblocks one lane per pool and band: the first one for which mayStart returns true and that was not
 // tried in this round. It reports whether it unblocked any. If little capacity was freed, this avoids trying all lanes.
-// The lanes that may start only become fewer during a round, so all lanes are examined only once.
+// During a round, a lane that may not start cannot become one that may, so the first call examines all blocked lanes
+// and later calls only the candidates.
 func (q *Queue[T]) UnblockCandidates(mayStart func(k *Key) bool) bool {
 	from := q.candidates
 	if !q.candidatesKnown {
 		from, q.candidatesKnown = q.blocked, true
 	}
 	kept := q.candidates[:0]
-	var opened []*lane[T]
+	var unblocked []*lane[T]
 	for _, l := range from {
 		if !l.blocked || l.triedRound == q.round || !mayStart(&l.key) {
 			continue
@@ -175,23 +177,23 @@
 		kept = append(kept, l)
 		switch first := l.pool.candidate; {
 		case first == nil:
-			opened = append(opened, l)
+			unblocked = append(unblocked, l)
 			l.pool.candidate = l
 		case l.heap[0].before(first.heap[0]):
-			opened[slices.Index(opened, first)] = l
+			unblocked[slices.Index(unblocked, first)] = l
 			l.pool.candidate = l
 		}
 	}
 	q.candidates = kept
-	for _, l := range opened {
+	for _, l := range unblocked {
 		l.pool.candidate = nil
 		q.unblock(l)
 	}
-	return len(opened) > 0
+	return len(unblocked) > 0
 }
 
-// UnblockAll unblocks all lanes. If the last pass reached its limit, it unblocks only the urgent bands, so that the next
-// pass continues with the lanes that have not been tried yet.
+// UnblockAll unblocks all lanes. If the last pass reached its limit, it unblocks only the urgent bands, so that the
+// next pass continues with the lanes that have not been tried yet.
 func (q *Queue[T]) UnblockAll() {
 	for i := len(q.blocked) - 1; i >= 0; i-- {
 		if l := q.blocked[i]; !q.passTruncated || l.key.Band >= UrgentBand {
