--- a/share/loan.go
+++ b/share/loan.go
@@ -9,7 +9,7 @@
 type LoanRequest struct {
 	// Gate is the borrower.
 	Gate string `json:"gate" msgpack:"g"`
-	// Want is how many slots the borrower can use, on any of Targets.
+	// Want is the number of slots that the borrower can use, on any of Targets.
 	Want    int      `json:"want" msgpack:"w"`
 	Targets []Target `json:"targets" msgpack:"t"`
 	// Renew lists loans of this lender that are in use and about to expire.
@@ -76,14 +76,14 @@
 	}
 	spare := a.spareSlots(req.Targets, now)
 	out.Loans = a.renewLoans(req, spare < 0, now)
-	want := min(req.Want, spare)
+	remaining := min(req.Want, spare)
 	for _, t := range req.Targets {
-		if want <= 0 || len(out.Loans) >= maxLoansPerReply {
+		if remaining <= 0 || len(out.Loans) >= maxLoansPerReply {
 			break
 		}
 		u := a.usageOf(t.ID, now)
 		u.slots = t.Slots
-		n := min(want, a.shareLimit(t.ID, t.Slots)-u.ownInUse-u.lentSlots())
+		n := min(remaining, a.shareLimit(t.ID, t.Slots)-u.ownInUse-u.lentSlots())
 		if n <= 0 || len(u.lent) >= maxLoansPerTarget {
 			continue
 		}
@@ -92,7 +92,7 @@
 		// both clocks.
 		u.lent = append(u.lent, outgoingLoan{a.lastLoanID, req.Gate, n, now.Add(a.opts.LoanTTL + a.opts.ClockDrift)})
 		out.Loans = append(out.Loans, Loan{ID: a.lastLoanID, Target: t.ID, Slots: n, TTL: a.opts.LoanTTL})
-		want -= n
+		remaining -= n
 	}
 	return out
 }
@@ -121,7 +121,8 @@
 	return out
 }
 
-// Renewals returns requests, by lender, to renew the loans that are in use and have used up a quarter of their TTL.
+// Renewals returns requests, by lender, to renew the loans that are or were recently in use and have used up a quarter
+// of their TTL.
 func (a *Allocator) Renewals(now time.Time) map[string]*LoanRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -156,6 +157,8 @@
 	return newest != nil && newest.lists(gate)
 }
 
+// spareSlots returns the idle slots of the gate's own share of the targets beyond the reserve; negative if the reserve
+// is not met.
 func (a *Allocator) spareSlots(targets []Target, now time.Time) int {
 	total, idle := 0, 0
 	for _, t := range targets {
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -361,9 +361,9 @@
 	is.Equal(a.Limit(target, 1, now), 0)
 }
 
-// Guards against overfilled targets after all gates of a zone crashed. Two new gates know nothing of the requests
-// that the old ones left at the targets, and must wait for them to end unless a gate that knows the earlier tables
-// vouches for it.
+// Guards against targets with too many requests after all gates of a zone crashed. Two new gates know nothing of the
+// requests that the old ones left at the targets. They must wait for these to end, unless a gate that knows the earlier
+// tables confirms that none are left.
 func TestNewGatesWaitForEarlierOnes(t *testing.T) {
 	for name, c := range map[string]struct {
 		before []string
@@ -399,59 +399,59 @@
 	}
 }
 
-// Guards against a full target after a gate resumes from a pause. During the pause its lease expired, it was removed,
-// its loan expired, or it was even listed again; what it held before the pause must not count any more.
+// Guards against a target with too many requests after a gate resumes from a pause. During the pause its lease expired,
+// it was removed, its loan expired, or it was even listed again; what it held before the pause must not count any more.
 func TestAfterPause(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name string
 		// pause changes the state while gate a, which holds all 8 slots, is paused with an unsent request.
-		pause             func(h *Allocator, valid *bool, since *int64)
+		pause             func(a *Allocator, valid *bool, since *int64)
 		holds, knows      bool
 		limit, lentByPeer int
 	}{
 		{"no change", func(*Allocator, *bool, *int64) {}, true, true, 8, 0},
 		{"lease expired", func(_ *Allocator, valid *bool, _ *int64) { *valid = false }, false, true, 0, 0},
 		{"listed again, table not seen", func(_ *Allocator, _ *bool, since *int64) { *since = 9 }, false, false, 0, 0},
-		{"listed again, table seen", func(h *Allocator, _ *bool, since *int64) {
+		{"listed again, table seen", func(a *Allocator, _ *bool, since *int64) {
 			*since = 9
-			h.SetTable(Table{9, []string{"a", "b"}}, now)
+			a.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, false, false, 0, 0},
-		{"removal was seen", func(h *Allocator, _ *bool, _ *int64) {
-			h.SetTable(Table{8, []string{"b"}}, now)
-			h.SetTable(Table{9, []string{"a", "b"}}, now)
+		{"removal was seen", func(a *Allocator, _ *bool, _ *int64) {
+			a.SetTable(Table{8, []string{"b"}}, now)
+			a.SetTable(Table{9, []string{"a", "b"}}, now)
 		}, true, false, 0, 0},
-		{"late reply to a loan request", func(h *Allocator, _ *bool, _ *int64) {
-			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second), now)
+		{"late reply to a loan request", func(a *Allocator, _ *bool, _ *int64) {
+			a.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second), now)
 		}, true, true, 8, 0},
-		{"late reply to a renewal", func(h *Allocator, _ *bool, _ *int64) {
+		{"late reply to a renewal", func(a *Allocator, _ *bool, _ *int64) {
 			loans := &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}
-			h.AddBorrowed("b", loans, now.Add(-time.Second/2), now)
-			h.AddBorrowed("b", loans, now.Add(-time.Second*9/10), now)
+			a.AddBorrowed("b", loans, now.Add(-time.Second/2), now)
+			a.AddBorrowed("b", loans, now.Add(-time.Second*9/10), now)
 		}, true, true, 10, 2},
-		{"timely reply to a loan request", func(h *Allocator, _ *bool, _ *int64) {
-			h.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second/2), now)
+		{"timely reply to a loan request", func(a *Allocator, _ *bool, _ *int64) {
+			a.AddBorrowed("b", &LoanReply{[]Loan{{ID: 1, Target: "t", Slots: 2, TTL: time.Second}}}, now.Add(-time.Second/2), now)
 		}, true, true, 10, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			valid, since := true, int64(7)
-			h := New("a", RemovalGrace(0), Valid(func() bool { return valid }), MemberSince(func() int64 { return since }))
-			h.SetTable(Table{7, []string{"a"}}, now)
-			slot, ok := h.Acquire("t", 8, now.Add(time.Second), now)
+			a := New("a", RemovalGrace(0), Valid(func() bool { return valid }), MemberSince(func() int64 { return since }))
+			a.SetTable(Table{7, []string{"a"}}, now)
+			slot, ok := a.Acquire("t", 8, now.Add(time.Second), now)
 			is.True(ok)
-			c.pause(h, &valid, &since)
-			is.Equal(h.CanSend(slot, now.Add(time.Second)), c.holds)
-			is.Equal(h.Limit("t", 8, now), c.limit)
-			is.Equal(h.Confirmation(now).KnowsHistory, c.knows)
+			c.pause(a, &valid, &since)
+			is.Equal(a.CanSend(slot, now.Add(time.Second)), c.holds)
+			is.Equal(a.Limit("t", 8, now), c.limit)
+			is.Equal(a.Confirmation(now).KnowsHistory, c.knows)
 			for range 8 {
-				h.Acquire("t", 8, now.Add(time.Second/4), now)
+				a.Acquire("t", 8, now.Add(time.Second/4), now)
 			}
-			if loan, ok := h.Acquire("t", 8, now.Add(time.Second/4), now); c.lentByPeer > 0 {
+			if loan, ok := a.Acquire("t", 8, now.Add(time.Second/4), now); c.lentByPeer > 0 {
 				is.True(ok && loan.Borrowed())
-				is.True(h.CanSend(loan, now.Add(time.Second/2)))
-				is.True(!h.CanSend(loan, now.Add(time.Second)))
+				is.True(a.CanSend(loan, now.Add(time.Second/2)))
+				is.True(!a.CanSend(loan, now.Add(time.Second)))
 			} else {
 				is.True(!ok)
 			}
@@ -463,14 +463,14 @@
 func TestLendNeedsMembership(t *testing.T) {
 	is := is.New(t)
 	now, valid := time.Unix(1000, 0), true
-	h := New("a", RemovalGrace(0), Valid(func() bool { return valid }))
-	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
+	a := New("a", RemovalGrace(0), Valid(func() bool { return valid }))
+	a.SetTable(Table{7, []string{"a", "b"}}, now)
+	a.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
 	req := &LoanRequest{Gate: "b", Want: 9, Targets: []Target{{"t", 8}}}
 	valid = false
-	is.Equal(len(h.Lend(req, now).Loans), 0)
+	is.Equal(len(a.Lend(req, now).Loans), 0)
 	valid = true
-	is.Equal(h.Lend(req, now).Loans[0].Slots, 3) // Its share is four, of which it reserves one.
+	is.Equal(a.Lend(req, now).Loans[0].Slots, 3) // Its share is four, and it keeps one in reserve.
 }
 
 // A renewed loan must stay charged to its lender for as long as the borrower may use it. A loan that is not renewed
@@ -479,43 +479,43 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	h := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
-	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
+	a := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
+	a.SetTable(Table{7, []string{"a", "b"}}, now)
+	a.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
 	targets := []Target{{"t", 16}}
-	first := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
-	second := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
-	h.Lend(&LoanRequest{Gate: "b", Renew: []uint64{first.ID}}, at(6*time.Second))
-	is.Equal(h.Limit("t", 16, at(10*time.Second)), 6)
-	is.Equal(h.Limit("t", 16, at(12*time.Second)), 7)
-	is.Equal(h.Limit("t", 16, at(18*time.Second)), 8)
-	third := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
-	fourth := h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
+	first := a.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
+	second := a.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, now).Loans[0]
+	a.Lend(&LoanRequest{Gate: "b", Renew: []uint64{first.ID}}, at(6*time.Second))
+	is.Equal(a.Limit("t", 16, at(10*time.Second)), 6)
+	is.Equal(a.Limit("t", 16, at(12*time.Second)), 7)
+	is.Equal(a.Limit("t", 16, at(18*time.Second)), 8)
+	third := a.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
+	fourth := a.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: targets}, at(18*time.Second)).Loans[0]
 	for range 6 {
-		h.Acquire("t", 16, at(20*time.Second), at(19*time.Second))
+		a.Acquire("t", 16, at(20*time.Second), at(19*time.Second))
 	}
-	short := h.Lend(&LoanRequest{Gate: "b", Targets: targets, Renew: []uint64{third.ID, fourth.ID}}, at(20*time.Second))
+	short := a.Lend(&LoanRequest{Gate: "b", Targets: targets, Renew: []uint64{third.ID, fourth.ID}}, at(20*time.Second))
 	is.Equal(len(short.Loans), 1)
 	is.True(second.ID != first.ID)
 }
 
-// A gate must not announce that it has left while its requests or loans may occupy targets, and must use nothing
-// after.
+// A gate must not announce that it has left while its requests or loans may occupy targets, and must use no slots
+// afterwards.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	h := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
-	h.SetTable(Table{7, []string{"a", "b"}}, now)
-	h.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
-	slot, _ := h.Acquire("t", 16, now.Add(time.Second), now)
-	is.True(!h.Leave(now))
-	h.Release(slot, now)
-	is.Equal(len(h.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: []Target{{"t", 16}}}, now).Loans), 1)
-	is.True(!h.Leave(now))
+	a := New("a", RemovalGrace(0), LoanTTL(10*time.Second, time.Second))
+	a.SetTable(Table{7, []string{"a", "b"}}, now)
+	a.AddConfirmation(Confirmation{Gate: "b", Version: 7}, now)
+	slot, _ := a.Acquire("t", 16, now.Add(time.Second), now)
+	is.True(!a.Leave(now))
+	a.Release(slot, now)
+	is.Equal(len(a.Lend(&LoanRequest{Gate: "b", Want: 1, Targets: []Target{{"t", 16}}}, now).Loans), 1)
+	is.True(!a.Leave(now))
 	later := now.Add(11 * time.Second)
-	is.True(!h.Confirmation(later).Left)
-	is.True(h.Leave(later))
-	is.True(h.Confirmation(later).Left)
-	_, ok := h.Acquire("t", 16, later.Add(time.Second), later)
+	is.True(!a.Confirmation(later).Left)
+	is.True(a.Leave(later))
+	is.True(a.Confirmation(later).Left)
+	_, ok := a.Acquire("t", 16, later.Add(time.Second), later)
 	is.True(!ok)
 }
--- a/share/table.go
+++ b/share/table.go
@@ -36,7 +36,7 @@
 	return slices.ContainsFunc(other.Gates, func(gate string) bool { return !t.lists(gate) && !left[gate] })
 }
 
-// Confirmation tells the other gates of the zone by which table this gate limits its use.
+// Confirmation is sent to the other gates of the zone and names the table by which this gate limits its use.
 type Confirmation struct {
 	Gate string `json:"gate" msgpack:"g"`
 	// Version is the newest table whose share the gate does not exceed.
