--- a/admission/admission.go
+++ b/admission/admission.go
@@ -20,8 +20,8 @@
 // to join.
 //
 // Work that asks for a label that no worker has, or for more than the largest worker holds, would wait forever if it
-// were accepted. Rejected at once, its caller can ask for what is available. Only certainty counts: a step that fits
-// an empty worker is admitted, however full that worker is now.
+// were accepted, and so would its caller. If it is rejected at once, the caller can ask for what is available. Only
+// certainty counts: a step that fits an empty worker is admitted, however full that worker is now.
 func InfeasibleReason(pool string, steps []job.Step, workers iter.Seq[Worker]) string {
 	fitting := make([]int, len(steps))
 	known := false
--- a/admission/overload.go
+++ b/admission/overload.go
@@ -4,13 +4,14 @@
 
 const (
 	// maxLag is how long events may wait for the owner's loop before it counts as overloaded. Checks have a few
-	// hundred milliseconds to spare, and each of their steps waits that long.
+	// hundred milliseconds to spare, and each of their steps waits as long as the events do.
 	maxLag = 100 * time.Millisecond
 	// observationWindow is how long the lag must exceed maxLag; a burst is over sooner.
 	observationWindow = 500 * time.Millisecond
 	// rejectDecrement is how much the reject ratio falls per window once the owner has caught up.
 	rejectDecrement = 0.1
-	// maxRejectRatio admits a little work even under overload, which shows when the owner has caught up.
+	// maxRejectRatio is below 1 so that a little work is admitted even under overload, which shows when the owner has
+	// caught up.
 	maxRejectRatio = 0.95
 	// minRetryAfter is the shortest time after which rejected work may be retried. Retries of works that were
 	// rejected together are spread over retryAfterSpread.
@@ -20,10 +21,10 @@
 
 // OverloadDetector decides which fraction of new work the owner rejects while it has more to decide than it can.
 //
-// It protects against more work than the owner's processor can handle, however much room the workers have. If all of
-// it were accepted, all of it would wait, and permits requested for it would expire and be requested again, even
-// after the overload has ended. The measure is how long events wait, since a long queue that moves fast does no harm,
-// and the minimum of these waits over a window, since a burst does none either.
+// It protects against more work than the owner's processor can handle, however much free capacity the workers have.
+// If all of it were accepted, all of it would wait, and permits requested for it would expire and be requested again,
+// even after the overload has ended. The measure is the minimum time that events wait within a window: a long queue
+// that moves fast does no harm, and neither does a burst.
 type OverloadDetector struct {
 	rejectRatio float64
 	// minLag is the smallest lag since windowStart.
--- a/aging/aging.go
+++ b/aging/aging.go
@@ -7,10 +7,10 @@
 const (
 	// meanWeight is the weight of the newest work in the mean size of its queue's works.
 	meanWeight = 0.05
-	// minWaitFactor and maxWaitFactor bound how long a work waits for its turn once it is due, in objectives.
+	// minWaitFactor and maxWaitFactor bound how long a work may wait after it is due, as a multiple of its objective.
 	minWaitFactor = 0.1
 	maxWaitFactor = 2
-	// sampleSize is how many recent works determine which sizes are large, minSamples how many are needed to tell.
+	// sampleSize is how many recent works determine the size classes, minSamples how many are needed for that.
 	sampleSize = 64
 	minSamples = 20
 	// largestShare is the fraction of the works that count as Largest, largeShare that of Large and Largest together.
@@ -108,8 +108,8 @@
 	return Largest
 }
 
-// WaitFactor returns how long a work may wait among the works of its class, in objectives. Putting works that are
-// small for their queue first serves the most callers.
+// WaitFactor returns how long a work may wait among the works of its class, as a multiple of its objective. Works that
+// are small for their queue may wait least, since putting them first serves the most callers.
 func (s *SizeStats) WaitFactor(name string, size float64) float64 {
 	q := s.queues[name]
 	if q == nil || q.mean <= 0 {
@@ -121,10 +121,10 @@
 // Order returns the order in which works of a queue start, as indices into waiting, which holds their classes in the
 // order of WaitFactor.
 //
-// It protects against a lasting excess of work over capacity or permits. The order of WaitFactor alone would start
-// only small works: large ones would be late before their turn came, and hardly any of the Largest class would be
-// served. Start-time fair queueing starts works of each class as often as they arrive. It needs only the works that
-// wait now: no work has to be lost first, and a new owner orders them as well as the previous one.
+// It protects against a lasting excess of work over capacity or permits. The order of WaitFactor alone would start only
+// small works: large ones would be late before they came first, and hardly any of the Largest class would be served
+// while most works overall are. Start-time fair queueing starts works of each class as often as they arrive. It needs
+// only the works that wait now: no work has to be lost first, and a new owner orders them as well as the previous one.
 func (s *SizeStats) Order(name string, waiting []Class) []int {
 	q := s.queues[name]
 	if q == nil {
@@ -159,7 +159,7 @@
 }
 
 // advanceIdle raises the virtual time of idle classes to that of the next waiting class. Otherwise a class would save
-// up unused starts, and later take all starts for a long time.
+// up unused starts, and later get all starts for a long time.
 func (q *queueStats) advanceIdle(byClass *[NumClasses][]int) {
 	least := nextClass(byClass, &q.virtualTimes)
 	if least == NumClasses {
