--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSpend(t *testing.T) {
+func TestTryWithdraw(t *testing.T) {
 	cases := []struct {
 		name      string
 		successes int
--- a/learn/learn.go
+++ b/learn/learn.go
@@ -126,8 +126,9 @@
 
 func quantileIndex(n, percent int) int { return min(n-1, n*percent/100) }
 
-// Charge returns the resources to allocate for a task: the declared ones, or the learned peak if it is larger. A learned
-// peak is capped at capacity, and the result is never less than declared, so that workers are not overcommitted.
+// Charge returns the resources to allocate for a task: the declared ones, or the learned peak if it is larger. A
+// learned peak is capped at capacity, and the result is never less than declared, so that workers are not
+// overcommitted.
 func (e *Estimate) Charge(declared, capacity job.Resources) job.Resources {
 	return job.Resources{
 		Millicores:   chargeOne(declared.Millicores, e.CorePermille, capacity.Millicores),
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// MaxWorkers is how many workers one request may name.
+// MaxWorkers is the maximum number of workers in one request.
 const MaxWorkers = 100
 
 // ErrBusy is returned if the service rejects a request because too many are waiting.
--- a/permit/selector.go
+++ b/permit/selector.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Requests are classed by their cost. A check takes some 10 to 20 ms, a batch about 100 ms, a roster a second.
+// Costs above which a request is long or medium. A request of a check costs some 10 to 20 ms, that of a batch about
+// 100 ms, that of a roster a second.
 const (
 	LongRequestCost   = 300 * time.Millisecond
 	MediumRequestCost = 50 * time.Millisecond
 )
 
 const (
-	// maxQueueAhead bounds the work queued at a VM when it gets a medium or long request. It is about the time an
-	// answer takes to travel, so that the service does not idle. Requests beyond it stay with the owner in order of
+	// maxQueueAhead bounds the work queued at a VM when it gets a medium or long request. It is about the time a
+	// response takes to travel, so that the service does not idle. Requests beyond it stay with the owner in order of
 	// urgency; queued at the VM they would delay more urgent ones.
 	maxQueueAhead = 20 * time.Millisecond
-	// maxShortQueueAhead is the same bound for short requests, which wait only behind each other.
+	// maxShortQueueAhead is the same bound for short requests, which wait only for each other.
 	maxShortQueueAhead = 400 * time.Millisecond
-	// 1/shortOnlyDivisor of the VMs get only short requests and 1/noLongDivisor get no long ones. Both counts are
-	// capped, because the time taken by such requests grows more slowly than the cell.
+	// shortOnlyDivisor sets the fraction of the VMs that get only short requests, noLongDivisor the fraction that get
+	// no long ones. maxShortOnlyVMs and maxNoLongVMs cap their numbers, because the time taken by such requests grows
+	// more slowly than the cell.
 	shortOnlyDivisor = 4
 	maxShortOnlyVMs  = 6
 	noLongDivisor    = 2
@@ -67,8 +69,9 @@
 }
 
 // Pick returns the VM that can answer a request of this cost first, and when it will have done so; ok is false if
-// none may take it now. Long requests go only to the first half of the VMs and medium ones to the first three
-// quarters, because a check queued behind one would wait longer than its objective allows.
+// none may take it now. Long requests never go to the last half of the VMs (at most maxNoLongVMs), and medium ones
+// never to the last quarter (at most maxShortOnlyVMs): a check queued after one of them would wait longer than its
+// objective allows.
 func (s *VMSelector) Pick(vms []string, cost time.Duration, now time.Time) (vm string, until time.Time, ok bool) {
 	best, freeAt := s.firstFree(vms, cost, now)
 	if best == "" {
--- a/permit/selector_test.go
+++ b/permit/selector_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against checks that wait behind the request of a roster, even if the VMs for roster requests are all idle.
+// Guards against checks that are queued after the request of a roster. Such requests must go only to the first half of
+// the VMs, even if only VMs of the other half are idle.
 func TestPickKeepsLongQuestionsApart(t *testing.T) {
 	is := is.New(t)
 	s, now := NewVMSelector(), time.Now()
@@ -51,7 +52,7 @@
 }
 
 // After a takeover a hundred batches make requests at once. Those that no VM is free for must stay with the owner, so
-// that a later check waits only behind other checks.
+// that a later check waits only for other checks.
 func TestFloodOfBatches(t *testing.T) {
 	is := is.New(t)
 	s, now := NewVMSelector(), time.Now()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -97,15 +97,15 @@
 	return job.Resources{}
 }
 
-// DominantShare returns the largest fraction that the pool uses of any resource, relative to its quota, or to all
-// capacity if it has none.
-func (l *Ledger) DominantShare(name string, all job.Resources) float64 {
+// DominantShare returns the largest fraction that the pool uses of any resource, relative to its quota, or to capacity
+// if it has none.
+func (l *Ledger) DominantShare(name string, capacity job.Resources) float64 {
 	p, ok := l.pools[name]
 	if !ok {
 		return 0
 	}
 	if p.limited {
-		all = p.limit
+		capacity = p.limit
 	}
 	share := 0.0
 	consider := func(used, limit int64) {
@@ -113,8 +113,8 @@
 			share = max(share, float64(used)/float64(max(limit, 1)))
 		}
 	}
-	consider(p.usage.Millicores, all.Millicores)
-	consider(p.usage.MemoryMB, all.MemoryMB)
-	consider(p.usage.Accelerators, all.Accelerators)
+	consider(p.usage.Millicores, capacity.Millicores)
+	consider(p.usage.MemoryMB, capacity.MemoryMB)
+	consider(p.usage.Accelerators, capacity.Accelerators)
 	return share
 }
--- a/rule/condition.go
+++ b/rule/condition.go
@@ -16,7 +16,7 @@
 // condition is a compiled When; the zero value matches every request.
 type condition struct {
 	program *vm.Program
-	// predicate is nil, or a necessary condition for the program to hold. If exact is set, it decides alone.
+	// predicate is nil, or a necessary condition for the program to return true. If exact is set, it decides alone.
 	predicate predicate
 	exact     bool
 	parts     []conjunct
@@ -101,7 +101,7 @@
 	return c.program == nil || evaluate(c.program, r)
 }
 
-// evaluate treats a program that fails, for example by dividing by zero, as not holding.
+// evaluate returns the result of a program, and false if the program fails, for example by dividing by zero.
 func evaluate(program *vm.Program, r *Request) bool {
 	m, _ := vmPool.Get().(*vm.VM)
 	defer vmPool.Put(m)
--- a/rule/predicate.go
+++ b/rule/predicate.go
@@ -6,8 +6,8 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// predicate implements a condition, or a necessary part of one, in plain Go. With 50 rules, each condition evaluated
-// in the expr VM takes about as long as a whole decision may take, so most conditions are decided without it.
+// predicate implements a condition, or a necessary part of one, in plain Go. Evaluating one condition in the expr VM
+// takes about as long as a whole decision over 50 rules may take, so most conditions are decided without it.
 type predicate func(*Request) bool
 
 var textFields = map[string]func(*Request) string{
@@ -80,12 +80,12 @@
 }
 
 // compilePredicate compiles a type-checked tree to a predicate, or returns nil if it cannot. A predicate that is not
-// exact is only necessary: if it fails, the condition fails.
-func compilePredicate(n ast.Node) (t predicate, exact bool) {
+// exact is only a necessary condition: if it fails, the condition fails.
+func compilePredicate(n ast.Node) (p predicate, exact bool) {
 	switch n := n.(type) {
 	case *ast.IdentifierNode:
-		t = boolFields[n.Value]
-		return t, t != nil
+		p = boolFields[n.Value]
+		return p, p != nil
 	case *ast.UnaryNode:
 		return compileNot(n)
 	case *ast.BinaryNode:
--- a/rule/rule.go
+++ b/rule/rule.go
@@ -26,7 +26,7 @@
 	Rules   []Rule `json:"rules" msgpack:"r"`
 }
 
-// Rule decides the requests that match When and no earlier rule.
+// Rule decides the requests that match its When and match no earlier rule.
 type Rule struct {
 	ID string `json:"id" msgpack:"i"`
 	// When is a condition over Request; an empty one matches every request.
--- a/rule/standard/standard_test.go
+++ b/rule/standard/standard_test.go
@@ -30,7 +30,7 @@
 
 // An operator saves a document with several errors. If only the first were reported, each edit would reveal the next
 // one, so all must be reported, each with its position.
-func TestFindingsHavePlaces(t *testing.T) {
+func TestFindingsHavePaths(t *testing.T) {
 	is := is.New(t)
 	_, err := rule.Parse([]byte(`{"version":-1,"rules":[
 		{"id":"a","when":"class == 3","then":[{"kind":"queue","with":{"priority":99}}]},
