--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -14,18 +14,18 @@
 type Run struct {
 	// ExpectedEnd is when the run is expected to end; zero if unknown.
 	ExpectedEnd time.Time
-	// Awaited reports whether this run alone, or longest, delays a caller or the next step.
+	// Awaited reports whether a caller or the next step waits for this run only, or waits for this run longest.
 	Awaited bool
 }
 
 // PollDelay returns how long to wait before polling a worker again that has just answered.
 //
-// The delay saves polls when works have several tasks each and there is room for all. Without it, a worker would answer
-// at the end of each task, although the caller waits only for the last task of a work, and each poll has a cost. A poll
-// shortly before the expected end of the last task also reports all tasks that ended before. If work waits for room,
-// each end of a run frees some, so the worker is polled at once.
-func PollDelay(now time.Time, roomWanted bool, runs []Run) time.Duration {
-	if roomWanted {
+// The delay saves polls when works have several tasks each and there is capacity for all of them. Without it, a worker
+// would answer at the end of each task, although the caller waits only for the last task of a work, and each poll has a
+// cost. A poll shortly before the expected end of the last task also reports all tasks that ended before. If work waits
+// for capacity, each end of a run frees some, so the worker is polled at once.
+func PollDelay(now time.Time, capacityNeeded bool, runs []Run) time.Duration {
+	if capacityNeeded {
 		return 0
 	}
 	delay := MaxPollDelay
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -173,8 +173,9 @@
 	}
 }
 
-// renewOrGrant makes one call: a renewal, or a grant when there is no lease. The call times out before the next attempt,
-// so that one lost message does not cost the lease. With overlapping renewals, an answer is useful for the whole TTL.
+// renewOrGrant makes one call: a renewal, or a grant when there is no lease. The call times out before the next
+// attempt, so that one lost message does not cost the lease. With overlapping renewals, the timeout is the TTL, because
+// an answer is useful as long as the lease lasts.
 func (h *Holder) renewOrGrant() error {
 	timeout := h.renewInterval
 	if h.overlapRenewals {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -52,8 +52,8 @@
 }
 
 // A holder must stop trusting its lease before the store ends it, whichever calls fail.
-// The fault starts one second after the grant and hits a renewal or the time between two. At the age valid the holder
-// still trusts the lease, and at the ages in invalid it does not.
+// The fault starts one second after the grant and hits a renewal or the time between two. The fields valid and invalid
+// are ages of the lease at which the holder still trusts it and no longer trusts it.
 func TestHolderFaults(t *testing.T) {
 	const (
 		second    = time.Second
--- a/member/cell_test.go
+++ b/member/cell_test.go
@@ -204,7 +204,8 @@
 	}
 }
 
-// setBeforeRemoval sets a function to run once before a transaction that removes a member, and returns the previous one.
+// setBeforeRemoval sets a function to run once before a transaction that removes a member, and returns the previous
+// one.
 func (n *node) setBeforeRemoval(f func()) func() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/member/heartbeat.go
+++ b/member/heartbeat.go
@@ -166,9 +166,9 @@
 	}
 	if !r.From.sameProcess(m) {
 		// Another process answers at m's address, so m has ended and will never remove this member. Without this rule
-		// a restart during a store outage would stop the whole zone, since the new process can neither join nor promise.
-		// It applies only while m's promise, or this member's lease, is valid: otherwise m may have taken over before it
-		// ended.
+		// a restart during a store outage would stop the whole zone, since the new process can neither join nor
+		// promise. It applies only while m's promise, or this member's lease, is valid: otherwise m may have taken over
+		// before it ended.
 		bound := g.holdsLease() || beforeBothClocks(time.Now(), p.promisedUntil)
 		p.ended = p.ended || bound && r.From.ID == m.ID && r.From.Address == m.Address
 		return
--- a/member/leave.go
+++ b/member/leave.go
@@ -25,8 +25,8 @@
 	defer g.unlockTable()
 	b := retry.New(retry.Bounds(firstBackoff, lastBackoff))
 	for {
-		out, err := g.leaveStep(ctx, handOver)
-		if err == nil && out {
+		left, err := g.leaveStep(ctx, handOver)
+		if err == nil && left {
 			return nil
 		}
 		if err != nil {
@@ -38,8 +38,9 @@
 	}
 }
 
-// leaveStep makes one change to the table. If the answer is lost, the next step reads the outcome from the store.
-func (g *Group) leaveStep(ctx context.Context, handOver bool) (out bool, err error) {
+// leaveStep makes one change to the table and reports whether the member has left it. If the answer is lost, the next
+// step reads the outcome from the store.
+func (g *Group) leaveStep(ctx context.Context, handOver bool) (left bool, err error) {
 	r, err := g.readStore(ctx)
 	if err != nil {
 		return false, err
--- a/member/member.go
+++ b/member/member.go
@@ -26,7 +26,7 @@
 
 	driftDivisor      = 20
 	suspectHeartbeats = 4
-	// writeStagger keeps members that see the same key disappear from writing at the same time.
+	// writeStagger separates the writes of members that see the same key disappear at the same time.
 	writeStagger = 200 * time.Millisecond
 	// HeartbeatMethod is the rpc name under which Group.HandleHeartbeat is served.
 	HeartbeatMethod = "member.beat"
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// A frozen owner that resumes and trusts its old state would act beside its successor.
+// A frozen owner that resumes and trusts its old state would act at the same time as its successor.
 // The owner is frozen beyond its lease and another takes over; when the first resumes, it must know that it may not act
 // even before it receives anything.
 func TestOwnerFrozen(t *testing.T) {
@@ -117,8 +117,8 @@
 }
 
 // Two owners would act at once if the owner did not stop, or another did not wait.
-// The owner is cut off from the store and from one peer: it continues until its lease or the last promise ends, and only
-// then another takes over.
+// The owner is cut off from the store and from one peer: it continues until its lease or the last promise ends, and
+// only then another takes over.
 func TestOwnerCutFromStoreAndPeer(t *testing.T) {
 	runCell(t, func(c *cell) {
 		c.startAll("1", "2", "3")
--- a/member/plan_test.go
+++ b/member/plan_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// A member that was removed by others would act beside its successor.
+// A member that was removed by others must not act at the same time as its successor.
 // It learns of the removal from a peer before it reads it from the store.
 func TestRemovedByPeers(t *testing.T) {
 	is := is.New(t)
--- a/member/status.go
+++ b/member/status.go
@@ -64,20 +64,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	p := Status{
+	s := Status{
 		Self: g.self, Version: g.table.Version, Epoch: g.table.Epoch, EpochRevision: g.table.EpochRevision,
 		Owner: g.table.Owner, IsOwner: owns, Valid: g.valid(now), Basis: g.basis(now),
 		LeaseMillis: g.leaseLeft(now).Milliseconds(), Peers: []PeerStatus{},
 	}
 	for _, peer := range g.peers {
-		p.Peers = append(p.Peers, PeerStatus{
+		s.Peers = append(s.Peers, PeerStatus{
 			Member: peer.member, Health: g.health(peer, now), LastHeardMillis: now.Sub(peer.lastHeard).Milliseconds(),
 			Confirmed: peer.confirmedVersion, Rules: peer.rulesVersion, PromiseReceivedMillis: millisUntil(peer.promisedUntil, now),
 			PromiseGivenMillis: millisUntil(peer.promiseGivenUntil, now), KeyAbsent: !peer.keyMissingSince.IsZero(),
 		})
 	}
-	slices.SortFunc(p.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Member.ID, b.Member.ID) })
-	return p
+	slices.SortFunc(s.Peers, func(a, b PeerStatus) int { return strings.Compare(a.Member.ID, b.Member.ID) })
+	return s
 }
 
 func (g *Group) basis(now time.Time) Basis {
