--- a/owner/claim.go
+++ b/owner/claim.go
@@ -54,7 +54,7 @@
 	due := time.Since(g.strongerSince) > yieldAfter
 	g.mu.Unlock()
 	if due {
-		g.endTenure("a stronger VM is there: " + stronger)
+		g.endTenure("a stronger VM is alive: " + stronger)
 	}
 }
 
@@ -63,10 +63,10 @@
 // VM renews its lease. After a restart, the cell would wait until the dead process's lease expires.
 func (g *Group) reconcileKey() {
 	g.mu.Lock()
-	p, as, idle, lost, leaving := g.ownerPair, g.ownerNode, g.tenure == nil, g.lostRevision, g.leaving
+	p, node, idle, lost, leaving := g.ownerPair, g.ownerNode, g.tenure == nil, g.lostRevision, g.leaving
 	g.mu.Unlock()
 	switch {
-	case p == nil || !idle || as.ID != g.self.ID:
+	case p == nil || !idle || node.ID != g.self.ID:
 	case p.Lease != g.holder.ID():
 		if !leaving && g.holder.Valid() {
 			g.replaceStaleKey(p)
@@ -110,9 +110,9 @@
 	return rank
 }
 
-// tryClaim writes the owner key if its last change is the given revision (zero if the key must not exist). If the
-// response is lost, the tenure begins once the store confirms that the key is bound to this VM's lease.
-func (g *Group) tryClaim(last int64) (taken bool) {
+// tryClaim writes the owner key if its last change is at expectedRevision; zero means that the key must not exist. If
+// the response is lost, the tenure begins once the store confirms that the key is bound to this VM's lease.
+func (g *Group) tryClaim(expectedRevision int64) (taken bool) {
 	raw, err := msgpack.Marshal(&g.self)
 	if err != nil {
 		g.log.Error("owner: cannot encode the entry of this VM", zap.Error(err))
@@ -122,7 +122,7 @@
 	defer cancel()
 	leaseID := g.holder.ID()
 	res, err := g.store.Txn(ctx, store.Txn{
-		Compares: []store.Compare{{Key: ownerKey, Target: store.ModRevision, Revision: last}},
+		Compares: []store.Compare{{Key: ownerKey, Target: store.ModRevision, Revision: expectedRevision}},
 		Then:     []store.Op{{Key: ownerKey, Value: raw, Lease: leaseID}},
 	})
 	if err != nil {
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -18,7 +18,7 @@
 	impairedFor = 250 * time.Millisecond
 	// searchInterval is the pause after a search that found no better VM.
 	searchInterval = time.Second
-	// takeTimeout bounds the take-over by another VM: a ping and a slow response of the store.
+	// takeTimeout bounds the takeover by another VM: a ping and a slow response of the store.
 	takeTimeout = 500 * time.Millisecond
 	// probeInterval is the pause between two CPU probes of this VM, probeWindow the number of probes that count.
 	probeInterval = 500 * time.Millisecond
@@ -120,8 +120,9 @@
 	g.releaseKey(t)
 }
 
-// handoverCandidates returns the VMs that the store answers, fastest first. If faster is set, it returns only VMs
-// that are faster than this one by minSpeedup.
+// handoverCandidates returns the VMs that may get the cell, fastest first: those that are at least as strong as this
+// one and that the store answers. If faster is set, they are also faster than this one by minSpeedup. In a large cell
+// only a sample of the VMs is considered.
 func (g *Group) handoverCandidates(faster bool) []Node {
 	type candidate struct {
 		node      Node
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -31,7 +31,7 @@
 
 // Defaults.
 const (
-	// DefaultTTL is how long a dead owner blocks a take-over. The store grants no lease below one second.
+	// DefaultTTL is how long a dead owner blocks a takeover. The store grants no lease below one second.
 	DefaultTTL = 1200 * time.Millisecond
 	// DefaultRenew is a quarter of DefaultTTL.
 	DefaultRenew = 300 * time.Millisecond
@@ -78,7 +78,8 @@
 	return store.Compare{Key: t.Key, Target: store.ModRevision, Revision: t.Revision}
 }
 
-// Group tracks the nodes and the owner, and claims the cell when it is the turn of this VM.
+// Group tracks the nodes and the owner. It claims the cell if the cell has no owner and no stronger VM has claimed it,
+// or if the owner is silent.
 type Group struct {
 	store   *store.Store
 	self    Node
@@ -210,13 +211,13 @@
 // registerLoop keeps this VM's node entry in the store, also after the lease was lost.
 func (g *Group) registerLoop() {
 	b := retry.New()
-	var entered int64
+	var registeredLease int64
 	for g.ctx.Err() == nil {
 		id, err := g.holder.Wait(g.ctx)
 		if err != nil {
 			return
 		}
-		if id == entered && g.registered() {
+		if id == registeredLease && g.registered() {
 			b.Reset()
 			g.pause(g.renew)
 			continue
@@ -226,7 +227,7 @@
 			g.pause(b.Next())
 			continue
 		}
-		entered = id
+		registeredLease = id
 		// The watch may not have delivered the entry's event yet. If the entry is missing after this pause, it was
 		// removed.
 		g.pause(g.renew)
--- a/owner/takeover.go
+++ b/owner/takeover.go
@@ -117,8 +117,8 @@
 	return c.Connect(ctx)
 }
 
-// takeoverLoop takes the cell over from an owner that is dead, frozen or cut off, as soon as the other VMs agree
-// that it is silent. With the lease alone, the cell would stand still for 1.2 s, in which no check is in time. The
+// takeoverLoop takes the cell over from an owner that is dead, frozen or cut off, as soon as most VMs agree that it
+// is silent. With the lease alone, the cell would stand still for 1.2 s, too long for any check to be in time. The
 // key is replaced only if it has not changed: an owner that is alive after all is refused by the store and fenced
 // by the workers, as after an expired lease.
 func (g *Group) takeoverLoop() {
--- a/relay/agent.go
+++ b/relay/agent.go
@@ -12,7 +12,7 @@
 // errRelayUnreliable is the reason for giving up a relay that still answers the owner.
 var errRelayUnreliable = errors.New("workers answer the owner but not the relay")
 
-// agent makes the calls to one lifetime of a worker, directly or through a relay.
+// agent makes the calls to one worker instance, directly or through a relay.
 type agent struct {
 	relays *Relays
 	info   worker.Info
--- a/relay/link.go
+++ b/relay/link.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// exchangeInterval is the time between two exchanges with a relay. A relayed call takes at most twice that much
-	// longer than a direct one; each exchange costs the owner as much as a call to a worker.
+	// exchangeInterval is the time between two exchanges with a relay. It delays a relayed call by up to twice its
+	// length; each exchange costs the owner as much as a call to a worker.
 	exchangeInterval = 25 * time.Millisecond
-	// connectTimeout bounds the connection setup to a relay and exchangeTimeout an exchange; a slower relay is given up.
-	// exchangeTimeout is long because an owner that was paused finds all answers late, and giving up all relays would add
-	// their calls to its load. Calls are not delayed by it, as each has its own timeout.
+	// connectTimeout bounds the connection setup to a relay and exchangeTimeout an exchange; a slower relay is given
+	// up. exchangeTimeout is long because an owner that was paused finds all answers late, and giving up all relays
+	// would add their calls to its load. Calls are not delayed by it, as each has its own timeout.
 	connectTimeout  = 100 * time.Millisecond
 	exchangeTimeout = time.Second
 )
@@ -46,8 +46,8 @@
 	processID uint64
 	closed    bool
 
-	// workerCount is the number of workers assigned to the link. blameCount is how many of them answered the owner but not
-	// the relay since lastAnswer, when a worker last answered through it. Relays guards these fields.
+	// workerCount is the number of workers assigned to the link. blameCount is how many of them answered the owner but
+	// not the relay since lastAnswer, when a worker last answered through it. Relays guards these fields.
 	workerCount, blameCount int
 	lastAnswer              time.Time
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -73,7 +73,7 @@
 	return &Relays{opts: o, links: make(map[string]*link), cooldowns: make(map[string]time.Time)}
 }
 
-// Agent returns an agent for one lifetime of a worker, which calls it directly or through a relay until Close.
+// Agent returns an agent that calls one worker instance, directly or through a relay, until the agent is closed.
 func (r *Relays) Agent(info worker.Info) *worker.Agent {
 	a := &agent{relays: r, info: info, direct: r.opts.DirectAgent(info)}
 	return &worker.Agent{Launch: a.launch, Halt: a.halt, Hold: a.hold, Relayed: a.isRelayed, Close: a.close}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -83,8 +83,8 @@
 	return held.Active[0].Task.Work
 }
 
-// Workers must be distributed so that few relays are used and none is overloaded. The owner keeps the first workers; the
-// others go to the strongest VM of their availability zone until it is full, then to the next. Released capacity is
+// Workers must be distributed so that few relays are used and none is overloaded. The owner keeps the first workers;
+// the others go to the strongest VM of their availability zone until it is full, then to the next. Released capacity is
 // reused, and a relay without workers is dropped.
 func TestWorkersAreSharedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -93,23 +93,23 @@
 		r := v.newRelays()
 		calls := make(map[string]int)
 		var agents []*worker.Agent
-		ask := func(zone string, n int) {
+		callNew := func(zone string, n int) {
 			for range n {
 				a := r.Agent(worker.Info{ID: fmt.Sprint("w", len(agents)), Zone: zone})
 				agents = append(agents, a)
 				calls[callingVM(t, a)]++
 			}
 		}
-		ask("north", 2)
-		ask("north", maxWorkersPerRelay+10)
-		ask("south", 20)
+		callNew("north", 2)
+		callNew("north", maxWorkersPerRelay+10)
+		callNew("south", 20)
 		is.Equal(calls, map[string]int{"self": 2, "north0": maxWorkersPerRelay, "north1": 10, "south0": 20})
 		for _, a := range agents[2 : 2+maxWorkersPerRelay+10] {
 			a.Release()
 		}
 		is.Equal(len(r.links), 1)
 		agents[0].Release()
-		ask("south", 1)
+		callNew("south", 1)
 		is.Equal(calls["self"], 3)
 		v.close(r)
 	})
--- a/relay/server.go
+++ b/relay/server.go
@@ -13,7 +13,7 @@
 // linkIdleTimeout is how long after its last exchange a link is dropped, with its unfetched results.
 const linkIdleTimeout = 5 * time.Second
 
-// maxAgentsPerLink is how many worker lifetimes a link caches: several times as many as it has workers.
+// maxAgentsPerLink is how many worker instances a link caches: several times as many as it has workers.
 const maxAgentsPerLink = 4 * maxWorkersPerRelay
 
 // Server executes the calls that owners send to this VM.
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -13,7 +13,7 @@
 // order is one call to a worker; exactly one of Launch, Halt and Hold is set.
 type order struct {
 	Number uint64 `msgpack:"n"`
-	// Worker and Address identify the lifetime of the worker.
+	// Worker and Address identify the worker instance.
 	Worker  string `msgpack:"w"`
 	Address string `msgpack:"a"`
 	// Timeout bounds the duration of the call.
@@ -38,11 +38,11 @@
 type outcome string
 
 const (
-	outcomeReplaced outcome = "replaced"
-	outcomeUnwell   outcome = "unwell"
-	outcomeRefused  outcome = "refused"
-	outcomeNotSent  outcome = "notSent"
-	outcomeUnknown  outcome = "open"
+	outcomeReplaced  outcome = "replaced"
+	outcomeUnhealthy outcome = "unwell"
+	outcomeRefused   outcome = "refused"
+	outcomeNotSent   outcome = "notSent"
+	outcomeUnknown   outcome = "open"
 )
 
 // outcomeOf classifies the error of a call.
@@ -56,7 +56,7 @@
 	case errors.Is(err, worker.ErrReplaced):
 		return outcomeReplaced, "", ""
 	case errors.Is(err, worker.ErrUnhealthy):
-		return outcomeUnwell, "", ""
+		return outcomeUnhealthy, "", ""
 	case errors.Is(err, worker.ErrNotSent):
 		return outcomeNotSent, "", err.Error()
 	}
@@ -72,7 +72,7 @@
 		return &worker.Refusal{Reason: r.Reason}
 	case outcomeReplaced:
 		return worker.ErrReplaced
-	case outcomeUnwell:
+	case outcomeUnhealthy:
 		return worker.ErrUnhealthy
 	case outcomeNotSent:
 		return errors.Join(worker.ErrNotSent, errors.New(r.Text))
