--- a/front/front.go
+++ b/front/front.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.checkBackOff(&peer); err != nil {
+	if err := f.checkBackoff(&peer); err != nil {
 		return err
 	}
 	_, err = rpc.Call[submitRequest, empty](ctx, f.opts.Peers.Get(peer.Address), methodAccept, &submitRequest{Work: *w})
@@ -131,9 +131,9 @@
 	retryAt time.Time
 }
 
-// checkBackOff returns an error if the owner did not answer recently. On a VM that is cut off from the owner, each
+// checkBackoff returns an error if the owner did not answer recently. On a VM that is cut off from the owner, each
 // caller would otherwise wait for the timeout before the store is asked.
-func (f *Front) checkBackOff(peer *owner.Node) error {
+func (f *Front) checkBackoff(peer *owner.Node) error {
 	s := f.unresponsive.Load()
 	if s != nil && s.id == peer.ID && time.Now().Before(s.retryAt) {
 		return rpc.Refused(time.Until(s.retryAt), "the owner of the cell did not answer lately")
@@ -141,10 +141,10 @@
 	return nil
 }
 
-// recordOwnerCall starts the back-off of an owner that did not answer a call.
+// recordOwnerCall starts the backoff of an owner that did not answer a call.
 func (f *Front) recordOwnerCall(peer *owner.Node, err error) {
 	if err != nil && rpc.AsFault(err) == nil {
-		f.unresponsive.Store(&unresponsiveOwner{peer.ID, time.Now().Add(ownerBackOff)})
+		f.unresponsive.Store(&unresponsiveOwner{peer.ID, time.Now().Add(ownerBackoff)})
 	}
 }
 
@@ -222,7 +222,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := f.checkBackOff(&peer); err != nil {
+	if err := f.checkBackoff(&peer); err != nil {
 		return "", err
 	}
 	out, err := rpc.Call[idRequest, statusReply](ctx, f.opts.Peers.Get(peer.Address), methodStatus, &idRequest{ID: id})
--- a/front/locate.go
+++ b/front/locate.go
@@ -43,7 +43,7 @@
 // with the highest fence is the current one.
 func (f *Front) findOwner(ctx context.Context) (owner.Node, bool) {
 	node, fence, ok := f.opts.Group.Owner()
-	if f.hearsFromStore() {
+	if f.storeAnswers() {
 		return node, ok
 	}
 	c := &f.ownerCache
@@ -59,8 +59,8 @@
 	return node, ok
 }
 
-// hearsFromStore reports whether this VM learns the owner of the cell from the store.
-func (f *Front) hearsFromStore() bool {
+// storeAnswers reports whether the store answers this VM, so that the watch of the group shows the current owner.
+func (f *Front) storeAnswers() bool {
 	_, failing := f.opts.StoreFailing()
 	return !failing
 }
--- a/front/options.go
+++ b/front/options.go
@@ -37,8 +37,8 @@
 	probeTimeout       = 500 * time.Millisecond
 	// ownerTimeout limits a call to the owner of the cell; the store is asked afterwards.
 	ownerTimeout = 500 * time.Millisecond
-	// ownerBackOff is how long an owner that did not answer is not called again.
-	ownerBackOff = 800 * time.Millisecond
+	// ownerBackoff is how long an owner that did not answer is not called again.
+	ownerBackoff = 800 * time.Millisecond
 	// acceptTimeout limits the acceptance by the owner, which waits for a commit: several response times of a slow
 	// store.
 	acceptTimeout = 800 * time.Millisecond
--- a/record/commit.go
+++ b/record/commit.go
@@ -239,9 +239,10 @@
 	}
 }
 
-// readOutcome reads the epoch before the segment: once the epoch has changed, this owner's requests can no longer
-// take effect, so the results of the later reads remain valid. A newer owner may have included the segment in a
-// snapshot and deleted it, so a missing segment proves nothing if head.First is greater than its number.
+// readOutcome determines whether the segment stored under key was written by this owner. It reads the epoch before the
+// segment: once the epoch has changed, this owner's requests can no longer take effect, so the results of the later
+// reads remain valid. A newer owner may have included the segment in a snapshot and deleted it, so a missing segment
+// proves nothing if head.First is greater than its number.
 func (j *Journal) readOutcome(key string) (segmentOutcome, error) {
 	epoch, err := j.readKey(j.ctx, j.epochKey)
 	if err != nil {
--- a/store/definite.go
+++ b/store/definite.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// ErrInvalid means that the service rejected the call as malformed. The call did not take effect and must not be
-// retried.
+// ErrInvalid means that the service rejected the call as malformed. The call did not take effect, and a retry would
+// fail again.
 var ErrInvalid = errors.New("store call invalid")
 
 // MaxTxnOps is the maximum number of operations, and of compares, in one Txn.
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -233,8 +233,8 @@
 }
 
 func (s *Service) detachLease(p store.Pair) {
-	if g, ok := s.leases[p.Lease]; ok {
-		delete(g.keys, p.Key)
+	if l, ok := s.leases[p.Lease]; ok {
+		delete(l.keys, p.Key)
 	}
 }
 
@@ -281,9 +281,9 @@
 	defer s.mu.Unlock()
 	s.lastLease++
 	id := s.lastLease
-	g := &lease{ttl: ttl, deadline: time.Now().Add(ttl), keys: make(map[string]struct{})}
-	g.timer = time.AfterFunc(ttl, func() { s.expire(id) })
-	s.leases[id] = g
+	l := &lease{ttl: ttl, deadline: time.Now().Add(ttl), keys: make(map[string]struct{})}
+	l.timer = time.AfterFunc(ttl, func() { s.expire(id) })
+	s.leases[id] = l
 	return id, nil
 }
 
@@ -291,21 +291,21 @@
 func (s *Service) expire(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g, ok := s.leases[id]
+	l, ok := s.leases[id]
 	if !ok {
 		return
 	}
-	if left := time.Until(g.deadline); left > 0 {
-		g.timer.Reset(left)
+	if left := time.Until(l.deadline); left > 0 {
+		l.timer.Reset(left)
 		return
 	}
-	s.endLease(id, g)
+	s.endLease(id, l)
 }
 
-func (s *Service) endLease(id int64, g *lease) {
-	g.timer.Stop()
-	keys := make([]string, 0, len(g.keys))
-	for key := range g.keys {
+func (s *Service) endLease(id int64, l *lease) {
+	l.timer.Stop()
+	keys := make([]string, 0, len(l.keys))
+	for key := range l.keys {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
@@ -318,23 +318,23 @@
 func (s *Service) keepAlive(_ context.Context, id int64) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g, ok := s.leases[id]
+	l, ok := s.leases[id]
 	if !ok {
 		return 0, store.ErrLeaseGone
 	}
-	g.deadline = time.Now().Add(g.ttl)
-	g.timer.Reset(g.ttl)
-	return g.ttl, nil
+	l.deadline = time.Now().Add(l.ttl)
+	l.timer.Reset(l.ttl)
+	return l.ttl, nil
 }
 
 func (s *Service) revoke(_ context.Context, id int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g, ok := s.leases[id]
+	l, ok := s.leases[id]
 	if !ok {
 		return store.ErrLeaseGone
 	}
-	s.endLease(id, g)
+	s.endLease(id, l)
 	return nil
 }
 
@@ -389,5 +389,6 @@
 	return out, max(from, s.revision+1), s.changed, nil
 }
 
-// errConnectionLost is the error of a call whose outcome the client cannot know.
+// errConnectionLost is the error of a failed call. Unless it is joined with store.ErrNotSent, the client cannot know
+// the outcome of the call.
 var errConnectionLost = errors.New("connection to the store lost")
