--- a/standin/floor/floor.go
+++ b/standin/floor/floor.go
@@ -19,7 +19,7 @@
 	GangSize int
 	// MaxAttempts is the number of failures after which the task must not be started again; zero is no limit.
 	MaxAttempts int
-	// FullProgress makes the run report a progress of 100 percent at any time.
+	// FullProgress makes the run always report a progress of 100 percent.
 	FullProgress bool
 }
 
@@ -95,7 +95,7 @@
 		fails := 0
 		for _, before := range earlier[r.Task] {
 			if before.Ended.IsZero() || before.Ended.After(r.Started) {
-				out = append(out, "twice at once: "+r.describe()+" beside "+before.describe())
+				out = append(out, "twice at once: "+r.describe()+" and "+before.describe())
 			}
 			if before.Ending == worker.OutcomeDone && before.Acknowledged {
 				out = append(out, "started again after it was done: "+r.describe()+" after "+before.describe())
--- a/standin/floor/floor_test.go
+++ b/standin/floor/floor_test.go
@@ -18,7 +18,7 @@
 func TestPlantedViolations(t *testing.T) {
 	cases := map[string]struct {
 		want string
-		run  func(f *Cluster, a, b *worker.Agent, wa *Worker)
+		run  func(cluster *Cluster, a, b *worker.Agent, wa *Worker)
 	}{
 		"none": {"", func(_ *Cluster, a, b *worker.Agent, _ *Worker) {
 			launch(a, "x", 1)
@@ -42,8 +42,8 @@
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"too many attempts": {"last attempt", func(f *Cluster, a, b *worker.Agent, _ *Worker) {
-			f.BehaviourOf = func(worker.Task, int64) Behaviour {
+		"too many attempts": {"last attempt", func(cluster *Cluster, a, b *worker.Agent, _ *Worker) {
+			cluster.BehaviourOf = func(worker.Task, int64) Behaviour {
 				return Behaviour{Duration: time.Second, Ending: worker.OutcomeFailed, MaxAttempts: 1}
 			}
 			launch(a, "x", 1)
@@ -51,8 +51,8 @@
 			hold(a, 1)
 			launch(b, "x", 2)
 		}},
-		"capacity exceeded": {"too much on worker", func(f *Cluster, a, _ *worker.Agent, _ *Worker) {
-			f.BehaviourOf = func(worker.Task, int64) Behaviour {
+		"capacity exceeded": {"too much on worker", func(cluster *Cluster, a, _ *worker.Agent, _ *Worker) {
+			cluster.BehaviourOf = func(worker.Task, int64) Behaviour {
 				return Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 3000}}
 			}
 			launch(a, "x", 1)
@@ -62,16 +62,16 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := New(func(worker.Task, int64) Behaviour {
+				cluster := New(func(worker.Task, int64) Behaviour {
 					return Behaviour{Duration: time.Second, Ending: worker.OutcomeDone}
 				})
 				info := worker.Info{ID: "a", Has: job.Resources{Millicores: 4000}}
-				wa := f.Add(info)
+				wa := cluster.Add(info)
 				other := info
 				other.ID = "b"
-				f.Add(other)
-				c.run(f, f.Client(info), f.Client(other), wa)
-				violations := strings.Join(f.Violations(), "\n")
+				cluster.Add(other)
+				c.run(cluster, cluster.Client(info), cluster.Client(other), wa)
+				violations := strings.Join(cluster.Violations(), "\n")
 				is.New(t).True(strings.Contains(violations, c.want) && (c.want != "" || violations == ""))
 				time.Sleep(time.Hour)
 			})
--- a/standin/floor/worker.go
+++ b/standin/floor/worker.go
@@ -31,17 +31,17 @@
 
 // Faults define how calls to one worker, and its runs, fail.
 type Faults struct {
-	// Unreachable lets no call reach the worker. DropReplies carries calls out and loses their replies.
+	// Unreachable keeps all calls from reaching the worker. DropReplies executes calls and drops their replies.
 	Unreachable, DropReplies bool
-	// LaunchDelay carries launches out after this delay and loses their replies.
+	// LaunchDelay executes launches after this delay and drops their replies; zero is no fault.
 	LaunchDelay time.Duration
-	// Unwell makes the worker reject all calls with worker.ErrUnwell.
+	// Unwell makes the worker reject all calls with worker.ErrUnhealthy.
 	Unwell bool
-	// StallRuns makes new runs neither progress nor end by themselves, while the worker answers all calls.
+	// StallRuns makes new runs neither progress nor end by themselves, while the worker still answers all calls.
 	StallRuns bool
 	// FailRuns makes all new runs fail after failureDelay.
 	FailRuns bool
-	// DropHoldReplyEvery loses the reply to every n-th hold, which is still carried out; zero loses none.
+	// DropHoldReplyEvery drops the reply to every n-th hold, which is still executed; zero drops none.
 	DropHoldReplyEvery int
 }
 
@@ -131,7 +131,7 @@
 	return w.faults.LaunchDelay
 }
 
-// call carries out a call and loses its reply under Faults.DropReplies.
+// call executes a call and drops its reply under Faults.DropReplies.
 func (w *Worker) call(ctx context.Context, do func() error) (time.Duration, error) {
 	if err := w.checkReachable(ctx); err != nil {
 		return 0, err
--- a/standin/list/doc.go
+++ b/standin/list/doc.go
@@ -1,2 +1,2 @@
-// Package list is a stand-in for the platform's VM list. The list may return the state of some time ago.
+// Package list is a stand-in for the platform's VM list. It can return an outdated state, with a configurable lag.
 package list
--- a/standin/target/fault.go
+++ b/standin/target/fault.go
@@ -17,7 +17,7 @@
 	LateMillis  int64 `json:"lateMillis"`
 	// LoseAnswers is the number of further requests that take effect and whose answers are lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// Frozen suspends the VM until it is reset.
+	// Frozen suspends the VM until the fault is reset.
 	Frozen bool `json:"frozen"`
 	// FailAll makes all requests end with exit code 1.
 	FailAll bool `json:"failAll"`
@@ -59,7 +59,7 @@
 	return t.fault
 }
 
-// Violations returns the requests that callers must never send to a target.
+// Violations returns the violations by callers: requests that they must never send to a target.
 func (t *Target) Violations() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// SetLeaving sets whether the target is leaving.
+// SetLeaving sets whether the target announces that it is leaving.
 func (t *Target) SetLeaving(leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/standin/worker/attempt.go
+++ b/standin/worker/attempt.go
@@ -252,10 +252,10 @@
 	return reply, w.changed, nil
 }
 
-// deferEnd leaves an end to a later reply by setting the cursor before it. A whole reply still lists the attempt,
-// as running, since it is present and its answer has not been reported.
+// deferEnd leaves an end to a later reply by setting the cursor before it. A full reply still lists the attempt, as
+// running, since the worker holds it and its answer has not been reported.
 //
-// Without this, answers that accumulate at a worker during an outage of the store make the whole reply to a new
+// Without this, answers that accumulate at a worker during an outage of the store make the full reply to a new
 // owner exceed the owner's limit. The owner would reject each such reply forever, while each heartbeat renews all
 // leases.
 func (w *Worker) deferEnd(reply *worker.HeartbeatReply, id string, a *attempt) {
--- a/standin/worker/call.go
+++ b/standin/worker/call.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wait := min(time.Duration(h.WaitMillis)*time.Millisecond, maxWait)
+	wait := min(time.Duration(h.WaitMillis)*time.Millisecond, maxHeartbeatWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for timedOut := wait <= 0; ; {
@@ -114,7 +114,7 @@
 func (w *Worker) beginCall() (fault Fault, boot string, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.fault.Down || w.closed || w.inFlight >= maxFrozenCalls {
+	if w.fault.Down || w.closed || w.inFlight >= maxCallsInFlight {
 		return Fault{}, "", false
 	}
 	w.inFlight++
--- a/standin/worker/fault.go
+++ b/standin/worker/fault.go
@@ -13,7 +13,7 @@
 	DelayMillis int64 `json:"delayMillis"`
 	// LoseAnswers is the number of further calls that take effect and whose answers are lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// Frozen suspends the VM: calls, ends and lease expiries are delayed until it is reset.
+	// Frozen suspends the VM: calls, ends and lease expiries are delayed until the fault is reset.
 	Frozen bool `json:"frozen"`
 	// FailAll makes each task end with exit code 1 when it starts.
 	FailAll bool `json:"failAll"`
@@ -63,7 +63,7 @@
 	close(w.thawed)
 }
 
-// Violations returns the requests that callers must never send to a worker.
+// Violations returns the violations by callers: requests that they must never send to a worker.
 func (w *Worker) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -22,23 +22,23 @@
 	// MaxReplyBytes is the approximate limit for answers in a heartbeat reply; the last answer may exceed it.
 	MaxReplyBytes = 1 << 20
 
-	maxEverStarted = 1 << 16
-	maxViolations  = 256
-	maxWait        = 30 * time.Second
-	maxFrozenCalls = 1024
-	failedExitCode = 1
+	maxEverStarted   = 1 << 16
+	maxViolations    = 256
+	maxHeartbeatWait = 30 * time.Second
+	maxCallsInFlight = 1024
+	failedExitCode   = 1
 )
 
 // Worker is an in-memory worker.
 type Worker struct {
 	opts Options
-	// cutReplies belongs to the in-process client.
+	// cutReplies checks the heartbeat replies to the in-process client.
 	cutReplies worker.TruncatedReplies
 
 	mu   sync.Mutex
 	boot string
 	// seq numbers the changes. It never decreases, even over restarts, so that cursors from before a restart are
-	// recognized.
+	// recognized: they are below firstSeq, the first number of the current boot.
 	seq       int64
 	firstSeq  int64
 	attempts  map[string]*attempt
