--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -40,7 +40,7 @@
 // call is a work as its caller sees it.
 type call struct {
 	work *job.Work
-	// accepted and refused are final answers to a submission; unknown is set if a submission had none.
+	// accepted and refused are set once a submission got that answer, unknown once a submission got no final answer.
 	accepted, refused, unknown bool
 	state                      job.WorkState
 	// latency is the time from the first submission to a final state.
@@ -64,7 +64,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the cell does not serve a first work within %v; see %s", bootTimeout, s.cell.opts.Dir)
+	return fmt.Errorf("the cell did not complete a first work within %v; see %s", bootTimeout, s.cell.opts.Dir)
 }
 
 // submitAll submits works at a constant rate for the duration of the run.
@@ -112,7 +112,7 @@
 			return
 		}
 		if errors.Is(err, platform.ErrNoWork) {
-			s.cell.addFinding(c.work.ID + " was accepted and is said not to be known")
+			s.cell.addFinding(c.work.ID + " was accepted and is reported as not found")
 		}
 		if err == nil {
 			c.state = state
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -266,11 +266,11 @@
 // addError records an error of the soak test itself, unless the run has been canceled.
 func (c *Cell) addError(err error) {
 	if err != nil && c.opts.Context.Err() == nil {
-		c.addFinding("the soak itself: " + err.Error())
+		c.addFinding("error of the soak test itself: " + err.Error())
 	}
 }
 
-// Close ends the processes of the cell, then the proxies and stand-ins.
+// Close kills the processes of the cell, then closes the proxies and stand-ins.
 func (c *Cell) Close() {
 	for _, v := range c.vms {
 		v.process.close()
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -64,7 +64,7 @@
 // String formats the totals and, if there are findings, the faults and findings.
 func (r *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d works, %d accepted, %d refused, %d open; %d runs, %d faults, %d findings\n",
+	fmt.Fprintf(&b, "seed %d: %d works, %d accepted, %d refused, %d unknown; %d runs, %d faults, %d findings\n",
 		r.Seed, r.Submitted, r.Accepted, r.Refused, r.Unknown, r.Runs, len(r.Faults), len(r.Findings))
 	if len(r.Findings) == 0 {
 		return b.String()
--- a/soak/work_test.go
+++ b/soak/work_test.go
@@ -55,7 +55,7 @@
 func (c *Cell) behave(t worker.Task, run int64) floor.Behaviour {
 	w := c.work(t.Work)
 	if w == nil {
-		c.addFinding("a task that nobody handed in was started: " + fmt.Sprint(t))
+		c.addFinding("a task of an unknown work was started: " + fmt.Sprint(t))
 		return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone}
 	}
 	s := &w.Steps[t.Step]
