--- a/policy/load.go
+++ b/policy/load.go
@@ -56,7 +56,7 @@
 	)
 }
 
-// midnight is the start of the day on which all loads begin, a Friday at the end of a month.
+// midnight is the start of the day on which all loads begin, the last Friday of a month.
 var midnight = time.Date(2027, 2, 26, 0, 0, 0, 0, time.UTC)
 
 // Offered load as a share of the capacity. It is lower for the nights, whose work must end before a deadline.
@@ -78,8 +78,8 @@
 	return g
 }
 
-// workers adds workers and assigns their racks to the zones round robin.
-func (g *generator) workers(count, perRack int, zones []string, has job.Resources) {
+// addWorkers adds workers and assigns their racks to the zones round robin.
+func (g *generator) addWorkers(count, perRack int, zones []string, has job.Resources) {
 	from := len(g.load.Workers)
 	for i := from; i < from+count; i++ {
 		rack := i / perRack
@@ -136,8 +136,8 @@
 	g.load.Jobs = append(g.load.Jobs, a)
 }
 
-// poisson adds a Poisson process of arrivals between two times, with perHour arrivals per hour on average.
-func (g *generator) poisson(from, to time.Time, perHour float64, k *jobTemplate) {
+// addPoisson adds a Poisson process of arrivals between two times, with perHour arrivals per hour on average.
+func (g *generator) addPoisson(from, to time.Time, perHour float64, k *jobTemplate) {
 	for at := from; ; {
 		at = at.Add(time.Duration(g.ExpFloat64() / perHour * float64(time.Hour)))
 		if !at.Before(to) {
@@ -164,11 +164,11 @@
 	}
 }
 
-// Kayal returns the load of a Friday night until the Saturday briefing at 06:00: rosters and certificates beside
-// bookings. While the rosters run, they use about nine tenths of the cell.
+// Kayal returns the load of a Friday night until the Saturday briefing at 06:00: rosters, certificates and
+// bookings. While the rosters run, about nine tenths of the cell are used.
 func Kayal(seed uint64) *Load {
 	g := newGenerator("kayal", seed, 12, 18*time.Hour)
-	g.workers(50, 8, []string{"kochi-hall", "alappuzha-hall", "kollam-hall"}, job.Resources{Millicores: 16000, MemoryMB: 64000})
+	g.addWorkers(50, 8, []string{"kochi-hall", "alappuzha-hall", "kollam-hall"}, job.Resources{Millicores: 16000, MemoryMB: 64000})
 	from, to := g.load.From, g.load.To
 	g.add(from, &jobTemplate{team: "desk", class: "desk", tasks: [2]int{50, 50}, millicores: []int64{2000}, memoryPerCore: [2]int64{2000, 2000}, service: true, run: time.Hour})
 	briefing := to
@@ -177,16 +177,16 @@
 			team: branch, class: "roster", tasks: [2]int{40, 120}, millicores: []int64{1000, 2000, 4000}, memoryPerCore: [2]int64{2000, 6000},
 			run: 12 * time.Minute, spread: 0.5, deadline: briefing,
 		}
-		g.poisson(from.Add(time.Hour), to.Add(-100*time.Minute), 3.8, roster)
+		g.addPoisson(from.Add(time.Hour), to.Add(-100*time.Minute), 3.8, roster)
 		large := *roster
 		large.class, large.tasks, large.millicores, large.memoryPerCore = "fleet", [2]int{6, 10}, []int64{12000}, [2]int64{3000, 4500}
 		large.run, large.gang, large.deadline = 20*time.Minute, true, briefing
-		g.poisson(from, to.Add(-3*time.Hour), 1, &large)
-		g.poisson(from, to, 10, &jobTemplate{
+		g.addPoisson(from, to.Add(-3*time.Hour), 1, &large)
+		g.addPoisson(from, to, 10, &jobTemplate{
 			team: branch, class: "certificate", tasks: [2]int{10, 60}, millicores: []int64{500, 1000}, memoryPerCore: [2]int64{1000, 4000},
 			run: 4 * time.Minute, spread: 0.4, notRepeatable: true,
 		})
-		g.poisson(from, to, 240, &jobTemplate{
+		g.addPoisson(from, to, 240, &jobTemplate{
 			team: branch, class: "booking", tasks: [2]int{1, 1}, millicores: []int64{250, 500}, memoryPerCore: [2]int64{1000, 2000},
 			run: 4 * time.Second, spread: 0.5,
 		})
@@ -194,11 +194,11 @@
 	return g.finish(nightLoad)
 }
 
-// Padan returns the load of a month-end night from 20:00 to 06:00: bulk matching with a deadline beside sweeps and
+// Padan returns the load of a month-end night from 20:00 to 06:00: bulk matching with a deadline, sweeps and
 // balance checks.
 func Padan(seed uint64) *Load {
 	g := newGenerator("padan", seed, 10, 20*time.Hour)
-	g.workers(50, 6, []string{"cyberjaya-a", "cyberjaya-b", "bangsar-dc", "shah-alam"}, job.Resources{Millicores: 32000, MemoryMB: 64000})
+	g.addWorkers(50, 6, []string{"cyberjaya-a", "cyberjaya-b", "bangsar-dc", "shah-alam"}, job.Resources{Millicores: 32000, MemoryMB: 64000})
 	from, to := g.load.From, g.load.To
 	g.add(from, &jobTemplate{team: "engine", class: "engine", tasks: [2]int{50, 50}, millicores: []int64{2000}, memoryPerCore: [2]int64{2000, 2000}, service: true, run: time.Hour})
 	for i := range 6 {
@@ -207,16 +207,16 @@
 			team: team, class: "matching", tasks: [2]int{100, 300}, millicores: []int64{2000, 3000, 4000, 6000}, memoryPerCore: [2]int64{1000, 3000},
 			run: 10 * time.Minute, spread: 0.6, deadline: to,
 		}
-		g.poisson(from, to.Add(-2*time.Hour), 1.8, matching)
+		g.addPoisson(from, to.Add(-2*time.Hour), 1.8, matching)
 		large := *matching
 		large.class, large.tasks, large.millicores, large.memoryPerCore = "closing", [2]int{4, 12}, []int64{20000}, [2]int64{1500, 2500}
 		large.run, large.gang = 25*time.Minute, true
-		g.poisson(from, to.Add(-3*time.Hour), 0.4, &large)
-		g.poisson(from, to, 6, &jobTemplate{
+		g.addPoisson(from, to.Add(-3*time.Hour), 0.4, &large)
+		g.addPoisson(from, to, 6, &jobTemplate{
 			team: team, class: "sweep", tasks: [2]int{5, 30}, millicores: []int64{1000, 2000}, memoryPerCore: [2]int64{1000, 4000},
 			run: 3 * time.Minute, spread: 0.5, notRepeatable: true,
 		})
-		g.poisson(from, to, 150, &jobTemplate{
+		g.addPoisson(from, to, 150, &jobTemplate{
 			team: team, class: "balance", tasks: [2]int{1, 1}, millicores: []int64{250, 500}, memoryPerCore: [2]int64{1000, 2000},
 			run: 3 * time.Second, spread: 0.4,
 		})
@@ -229,31 +229,31 @@
 func TwoYear(seed uint64, minutes int) *Load {
 	g := newGenerator("two years", seed, float64(minutes)/60, 9*time.Hour)
 	zones := []string{"a1", "a2", "a3", "b1", "b2", "b3"}
-	g.workers(645, 16, zones, job.Resources{Millicores: 16000, MemoryMB: 64000})
-	g.workers(125, 16, zones, job.Resources{Millicores: 32000, MemoryMB: 128000, Accelerators: 8})
+	g.addWorkers(645, 16, zones, job.Resources{Millicores: 16000, MemoryMB: 64000})
+	g.addWorkers(125, 16, zones, job.Resources{Millicores: 32000, MemoryMB: 128000, Accelerators: 8})
 	g.load.Quotas = map[string]job.Resources{}
 	from, to := g.load.From, g.load.To
 	for i := range 22 {
 		team := fmt.Sprintf("team%02d", i)
 		g.load.Quotas[team] = job.Resources{Millicores: 640_000, MemoryMB: 2_560_000, Accelerators: 45}
 		g.add(from, &jobTemplate{team: team, class: "service", tasks: [2]int{37, 37}, millicores: []int64{2000, 4000}, memoryPerCore: [2]int64{2000, 4000}, service: true, run: time.Hour})
-		g.poisson(from, to, 66, &jobTemplate{
+		g.addPoisson(from, to, 66, &jobTemplate{
 			team: team, class: "sweep", tasks: [2]int{200, 800}, millicores: []int64{2000, 4000}, memoryPerCore: [2]int64{2000, 4000},
 			run: 12 * time.Second, spread: 0.6, notRepeatable: i%4 == 0,
 		})
-		g.poisson(from, to, 12, &jobTemplate{
+		g.addPoisson(from, to, 12, &jobTemplate{
 			team: team, class: "matching", tasks: [2]int{20, 80}, millicores: []int64{2000, 4000, 8000}, memoryPerCore: [2]int64{2000, 6000},
 			run: 90 * time.Second, spread: 0.5, deadline: to.Add(30 * time.Minute),
 		})
-		g.poisson(from, to, 3, &jobTemplate{
+		g.addPoisson(from, to, 3, &jobTemplate{
 			team: team, class: "train", tasks: [2]int{4, 16}, millicores: []int64{8000}, memoryPerCore: [2]int64{2000, 4000}, accelerators: 2,
 			run: 4 * time.Minute, spread: 0.3, gang: true,
 		})
-		g.poisson(from, to, 120, &jobTemplate{
+		g.addPoisson(from, to, 120, &jobTemplate{
 			team: team, class: "interactive", tasks: [2]int{1, 1}, millicores: []int64{500, 1000}, memoryPerCore: [2]int64{1000, 4000},
 			run: 3 * time.Second, spread: 0.5,
 		})
-		g.poisson(from, to, 2, &jobTemplate{
+		g.addPoisson(from, to, 2, &jobTemplate{
 			team: team, class: "alarm", tasks: [2]int{4, 20}, millicores: []int64{4000}, memoryPerCore: [2]int64{2000, 4000},
 			run: 30 * time.Second, spread: 0.3, urgent: true,
 		})
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,7 +17,7 @@
 	return Planner("planner", planner.Rules(standard.List()), planner.Quotas(l.Quotas))
 }
 
-// Guards against unnoticed changes of the planner's decisions: the figures of each load, beside those of the
+// Guards against unnoticed changes of the planner's decisions: the figures of each load, under the planner and both
 // baselines, must equal the golden file.
 func TestMeasure(t *testing.T) {
 	for _, l := range []*Load{Kayal(1), Padan(1), TwoYear(1, 10)} {
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -193,8 +193,9 @@
 	}
 }
 
-// samplePacking records the used share of a resource. It does so only while the demand for that resource exceeds the
-// capacity: full use is then the upper bound for any policy.
+// samplePacking records the used share of the resource that is demanded in excess of the capacity, or the larger share
+// if several are. Without excess demand it records nothing. Only under excess demand is full use the upper bound for
+// any policy.
 func (r *replay) samplePacking(now time.Time) {
 	capacity := r.report.capacity
 	if now.After(r.load.To) || r.demand.FitsIn(capacity) {
--- a/trial/trial.go
+++ b/trial/trial.go
@@ -20,7 +20,7 @@
 // Result is the result of a simulated day.
 type Result struct {
 	Key Key `json:"key"`
-	// Worth is the earned share of the possible score of the day, less prices.
+	// Worth is the earned share of the possible score of the day, minus prices.
 	Worth float64 `json:"worth"`
 	// Figures holds the parts of Worth by name: "kind/NAME", "zone/NAME", "window/SECOND", "part/NAME"
 	// and "price/NAME", all as shares of one.
