--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -14,8 +14,9 @@
 	"turmericgap/worker"
 )
 
-// Guards against committing the acceptance of a check and its start one after the other. With a slow store the
-// second commit waits for the first, and the check loses most of its slack before it starts.
+// Guards against committing the acceptance of a check and its start one after the other. With a store that takes
+// 160 ms per commit, the second commit waits for the first, and a check with 600 ms of slack loses more than half of
+// it before it starts.
 func TestStartIsCommittedWithAcceptance(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -40,10 +41,10 @@
 		}
 		time.Sleep(4 * time.Second)
 		var totalDelay time.Duration
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			totalDelay += r.Started.Sub(submitted[r.Task.Work])
 		}
-		mean := totalDelay / time.Duration(len(c.floor.History()))
+		mean := totalDelay / time.Duration(len(c.cluster.History()))
 		t.Logf("mean delay from submission to start: %v", mean)
 		is.True(mean < 260*time.Millisecond)
 		is.Equal(len(c.endTimes()), len(submitted))
@@ -51,8 +52,8 @@
 	})
 }
 
-// Guards against accepting work that no worker can run: it would wait forever. Every VM refuses it at once and
-// without a retry time. A worker with the label that registers later is used.
+// Guards against accepting work that no worker can run: it would wait forever. Every VM must refuse it at once and
+// without a retry time, and a worker with the label that registers later must be used.
 func TestHopelessWorkIsRefused(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -70,7 +71,7 @@
 			is.True(time.Since(start) < 100*time.Millisecond)
 		}
 		info := worker.Info{ID: "w09", Address: "w09", Zone: "kochi-hall", Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
-		c.floor.Add(info)
+		c.cluster.Add(info)
 		c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"gpu", "r2"}})
 		time.Sleep(time.Second)
 		c.submit(first, c.newWork("now", step))
--- a/dispatch/behind_test.go
+++ b/dispatch/behind_test.go
@@ -14,19 +14,20 @@
 	"turmericgap/rpc"
 )
 
-// Guards against an owner that stays overloaded long after the load has ended: callers submit more than it can decide,
-// waiting work makes each pass longer, and the backlog never shrinks. Excess work must be refused at once with a retry
-// time, and accepted work must end soon after the load.
+// Guards against an owner that stays overloaded long after the load has ended: for 20 s callers submit three times as
+// much as it can decide, although the workers have capacity for all of it. Waiting work makes each pass longer, so the
+// backlog never shrinks. Excess work must be refused at once with a retry time, and accepted work must end soon after
+// the load.
 func TestOwnerBehindCatchesUp(t *testing.T) {
-	for name, by := range map[string]string{"submitted to the owner": "vm1", "submitted to another VM": "vm2"} {
+	for name, vmID := range map[string]string{"submitted to the owner": "vm1", "submitted to another VM": "vm2"} {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T) { runOverloadedOwner(t, by) })
+			inBubble(t, func(t *testing.T) { runOverloadedOwner(t, vmID) })
 		})
 	}
 }
 
-// runOverloadedOwner submits more work at the VM named by than the owner can decide, and checks what becomes of it.
-func runOverloadedOwner(t *testing.T, by string) {
+// runOverloadedOwner submits more work through a VM than the owner can decide, and checks the outcome.
+func runOverloadedOwner(t *testing.T, vmID string) {
 	is := is.New(t)
 	c := newCell(t, runsFor(300*time.Millisecond))
 	// Examining all 20 workers takes 20 ms per work, and passes may use a third of the CPU.
@@ -35,8 +36,8 @@
 	c.addWorkers(20, 16)
 	c.waitForOwner()
 	v := c.vms["vm1"]
-	if by != v.id {
-		v = c.startVM(by)
+	if vmID != v.id {
+		v = c.startVM(vmID)
 	}
 	time.Sleep(6 * time.Second)
 	const perSecond, seconds, decidedPerSecond = 50, 20, 17
@@ -68,13 +69,13 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	ends := c.endTimes()
-	left := 0
+	unfinished := 0
 	for _, id := range accepted {
 		if _, done := ends[id]; !done {
-			left++
+			unfinished++
 		}
 	}
-	is.Equal(left, 0)
+	is.Equal(unfinished, 0)
 	is.True(len(accepted) >= decidedPerSecond*seconds/2)
 	c.checkHistory()
 }
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -41,11 +41,11 @@
 // cell is a complete cell in one process under the test's fake clock: the store, the workers, and entry VMs whose
 // connections can be cut.
 type cell struct {
-	t      *testing.T
-	kv     *memory.Service
-	floor  *floor.Cluster
-	config *job.Config
-	// permits returns what the policy service answers and how long that takes; nil allows every worker at once.
+	t       *testing.T
+	kv      *memory.Service
+	cluster *floor.Cluster
+	config  *job.Config
+	// permits returns the workers that the policy service allows and its latency; nil allows every worker at once.
 	permits func(q *permit.Request) ([]string, time.Duration)
 
 	// onExamined is called with the number of workers that the owner has examined, to simulate CPU time; nil uses none.
@@ -89,7 +89,7 @@
 
 func newCell(t *testing.T, behave func(worker.Task, int64) floor.Behaviour, vms ...string) *cell {
 	c := &cell{
-		t: t, kv: memory.New(), floor: floor.New(behave), vms: make(map[string]*vm),
+		t: t, kv: memory.New(), cluster: floor.New(behave), vms: make(map[string]*vm),
 		config: &job.Config{Version: 1, Queues: []job.Queue{{
 			Name: "roster", Pool: pool, MaxAttempts: 2, SlackFactor: 2, TargetDuration: time.Second,
 		}}},
@@ -108,7 +108,7 @@
 
 func (c *cell) startVM(id string) *vm { return c.startVMWithStrength(id, 1) }
 
-// startVMWithStrength starts an entry VM; owners are chosen by strength.
+// startVMWithStrength starts an entry VM. The strongest VM takes over the cell.
 func (c *cell) startVMWithStrength(id string, strength int) *vm {
 	v := &vm{id: id, server: rpc.NewServer()}
 	monitor, kv := health.New(c.kv.Client(&v.store))
@@ -185,7 +185,7 @@
 	return client, nil
 }
 
-// slowPollInterval is how often a slow VM checks whether it is still slow.
+// slowPollInterval is the interval at which a delayed write checks whether the delay still applies.
 const slowPollInterval = 10 * time.Millisecond
 
 // slowConn is the server side of a connection to a VM, whose answers can be delayed or held back.
@@ -207,7 +207,7 @@
 
 // agent returns a VM's client of a worker; its calls hang while workersCut is set.
 func (c *cell) agent(v *vm, i worker.Info) *worker.Agent {
-	a := c.floor.Client(i)
+	a := c.cluster.Client(i)
 	return &worker.Agent{
 		Launch: func(ctx context.Context, l *worker.Launch) (time.Duration, error) {
 			if v.workersCut.Load() {
@@ -300,7 +300,7 @@
 
 func (c *cell) addWorker(id string, cores int64) *floor.Worker {
 	info := worker.Info{ID: id, Address: id, Zone: "kochi-hall", Rack: "r1", Has: job.Resources{Millicores: cores * 1000, MemoryMB: 64000}}
-	w := c.floor.Add(info)
+	w := c.cluster.Add(info)
 	c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 	return w
 }
@@ -319,7 +319,7 @@
 	}
 }
 
-// waitForOwner returns the VM that owns the cell and has read its state.
+// waitForOwner waits until a VM owns the cell and has read its state, and returns that VM.
 func (c *cell) waitForOwner() *vm {
 	c.t.Helper()
 	for range 600 {
@@ -334,7 +334,7 @@
 	return nil
 }
 
-// newWork returns a work of one step in the first queue, with one core per task by default.
+// newWork returns a work of one step in the first queue. A task needs one core unless the step sets resources.
 func (c *cell) newWork(id string, s job.Step) *job.Work {
 	if s.TaskResources == (job.Resources{}) {
 		s.TaskResources = job.Resources{Millicores: 1000, MemoryMB: 100}
@@ -384,7 +384,7 @@
 // checkHistory fails the test for each violation in the history of runs.
 func (c *cell) checkHistory() {
 	c.t.Helper()
-	for _, fault := range c.floor.Violations() {
+	for _, fault := range c.cluster.Violations() {
 		c.t.Error(fault)
 	}
 }
@@ -392,7 +392,7 @@
 // countRuns returns how often tasks of the work were started.
 func (c *cell) countRuns(id string) int {
 	n := 0
-	for _, r := range c.floor.History() {
+	for _, r := range c.cluster.History() {
 		if r.Task.Work == id {
 			n++
 		}
@@ -403,7 +403,7 @@
 // inBubble runs a test of a cell in a synctest bubble, under a fake clock.
 func inBubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// runsFor returns tasks that take that long and succeed.
+// runsFor returns the behaviour of tasks that run for d and succeed.
 func runsFor(d time.Duration) func(worker.Task, int64) floor.Behaviour {
 	return func(worker.Task, int64) floor.Behaviour {
 		return floor.Behaviour{Duration: d, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000, MemoryMB: 100}}
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -23,7 +23,7 @@
 	// A permit request for n workers takes rosterPermitBase plus n times rosterPermitPerWorker.
 	rosterPermitBase      = 700 * time.Millisecond
 	rosterPermitPerWorker = 10 * time.Millisecond
-	rosterSlack           = 2.2
+	rosterSlack           = 2.2 // slack factor of the queue
 	// expiryFactor is the number of objectives after its submission at which a roster expires.
 	expiryFactor = 3
 	// minServedShare is the lowest allowed ratio of the served share of a size class to that of all rosters.
@@ -76,7 +76,7 @@
 	}
 }
 
-// allowQuarter allows each step about one worker in four.
+// allowQuarter allows each step about one worker in four, after the time that the request costs.
 func allowQuarter(q *permit.Request) ([]string, time.Duration) {
 	var names []string
 	for _, id := range q.Workers {
@@ -89,9 +89,11 @@
 	return names, rosterPermitBase + time.Duration(len(q.Workers))*rosterPermitPerWorker
 }
 
-// Guards against starving large rosters while the policy service is overloaded: permit requests go to small ones first,
-// a large one gets its request after its deadline and then ranks behind all on-time work. Shares must not depend on
-// expired work, which a new owner does not see for three objectives.
+// Guards against starving large rosters when callers submit more than the policy service can answer for. Its few
+// answers go to small rosters; a large one gets its permit request after its deadline, ranks behind all work that can
+// still be on time, and expires. Gangs then wait for a VM that is free to send their request, hardly ever for
+// capacity. The owner must not rely on expired works to see this: a new owner sees none for three objectives, more
+// than a minute.
 func TestEachClassOfSizesIsServed(t *testing.T) {
 	for name, tenure := range map[string]time.Duration{"one owner": time.Hour, "an owner every 15 s": 15 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +108,7 @@
 	}
 }
 
-// requiredGangSize returns how many tasks of a step must run together, zero for a step that is no gang.
+// requiredGangSize returns how many tasks of a step must be present together, zero for a step that is no gang.
 func requiredGangSize(s *job.Step) int {
 	if s.Gang {
 		return s.Tasks
@@ -114,8 +116,8 @@
 	return 0
 }
 
-// Guards against starving large works when one slot frees up at a time: if every pass began with the smallest work, it
-// would always get the slot, however the rest is ordered.
+// Guards against starving large works when more single tasks are submitted than the cell can run and one slot frees up
+// at a time: if every pass began with the smallest work, it would always get the slot, however the rest is ordered.
 func TestEachClassOfSizesIsServedBySingleSlots(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -17,8 +17,8 @@
 	"turmericgap/worker"
 )
 
-// Guards against starving large works in a crowded cell: their gangs rarely find enough free capacity at once, and
-// would wait as long as small works keep coming if they could not reserve it.
+// Guards against starving large works in a crowded cell: their gangs rarely find enough free capacity at once. Unless
+// they can reserve it, they wait for as long as small works keep coming.
 func TestLargeWorksAreServedInACrowdedCell(t *testing.T) {
 	for name, k := range map[string]struct {
 		tenure time.Duration
@@ -69,7 +69,8 @@
 // rosterInterval is the time between two rosters.
 const rosterInterval = 150 * time.Millisecond
 
-// runCrowded submits rosters, batches and checks to owners of that tenure and checks that each size class is served.
+// runCrowded submits rosters, batches and checks, replaces the owner after each tenure, and checks that each size class
+// is served.
 func runCrowded(t *testing.T, tenure time.Duration, seed uint64) {
 	byID := make(map[string]*job.Work)
 	c := newCrowdedCell(t, byID)
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -37,18 +37,18 @@
 	return &job.Work{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint("z", i%3), Queue: q, Steps: []job.Step{step}}
 }
 
-func (l *workload) checks(n int, every time.Duration) {
+func (l *workload) submitChecks(n int, interval time.Duration) {
 	for i := range n {
 		runs := time.Duration(l.sample(640, 0.5, 1600)) * time.Millisecond
 		w := l.newWork("check", i, &checkCost, job.Step{
 			Tasks: max(1, int(l.sample(3, 0.8, 12))), Gang: i%4 == 0, SameRack: i%8 == 0, Estimate: runs,
 			TaskResources: job.Resources{Millicores: int64(l.sample(3900, 0.4, 9000)), MemoryMB: 700},
 		})
-		l.replay.submitAt(time.Duration(i)*every, w, runs)
+		l.replay.submitAt(time.Duration(i)*interval, w, runs)
 	}
 }
 
-func (l *workload) batches(n int, every time.Duration, cost *job.PermitCost) {
+func (l *workload) submitBatches(n int, interval time.Duration, cost *job.PermitCost) {
 	for i := range n {
 		runs := time.Duration(l.sample(2700, 0.5, 6000)) * time.Millisecond
 		step := job.Step{Tasks: max(2, int(l.sample(14, 0.6, 40))), Estimate: runs, TaskResources: job.Resources{Millicores: int64(l.sample(2800, 0.4, 6000)), MemoryMB: 400}}
@@ -62,18 +62,18 @@
 		second := step
 		second.DependsOn, second.Tasks = []int{0}, 3
 		w.Queue.Priority, w.Steps = 2, append(w.Steps, second)
-		l.replay.submitAt(time.Duration(i)*every+7*time.Millisecond, w, runs)
+		l.replay.submitAt(time.Duration(i)*interval+7*time.Millisecond, w, runs)
 	}
 }
 
-func (l *workload) rosters(n int, every time.Duration) {
+func (l *workload) submitRosters(n int, interval time.Duration) {
 	for i := range n {
 		runs := time.Duration(l.sample(4000, 0.5, 9000)) * time.Millisecond
 		w := l.newWork("roster", i, &rosterCost, job.Step{
 			Tasks: max(2, int(l.sample(9, 0.8, 30))), Gang: true, Estimate: runs, TaskResources: job.Resources{Millicores: 4000, MemoryMB: 900},
 		})
 		w.Queue.Priority = 1
-		l.replay.submitAt(time.Duration(i)*every+13*time.Millisecond, w, runs)
+		l.replay.submitAt(time.Duration(i)*interval+13*time.Millisecond, w, runs)
 	}
 }
 
@@ -102,15 +102,15 @@
 // starts must match the golden files, over three loads of a small cell, two of them above its capacity.
 func TestDecisionsStay(t *testing.T) {
 	for name, submitLoad := range map[string]func(*workload){
-		"checks": func(l *workload) { l.checks(250, 47*time.Millisecond) },
+		"checks": func(l *workload) { l.submitChecks(250, 47*time.Millisecond) },
 		"batches": func(l *workload) {
-			l.batches(20, 290*time.Millisecond, nil)
-			l.checks(60, 113*time.Millisecond)
+			l.submitBatches(20, 290*time.Millisecond, nil)
+			l.submitChecks(60, 113*time.Millisecond)
 		},
 		"mixed": func(l *workload) {
-			l.checks(100, 61*time.Millisecond)
-			l.batches(20, 300*time.Millisecond, &batchCost)
-			l.rosters(20, 310*time.Millisecond)
+			l.submitChecks(100, 61*time.Millisecond)
+			l.submitBatches(20, 300*time.Millisecond, &batchCost)
+			l.submitRosters(20, 310*time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/declined_test.go
+++ b/dispatch/declined_test.go
@@ -9,8 +9,9 @@
 	"turmericgap/job"
 )
 
-// Guards against a VM that the store refuses and that never hears of a takeover from it. It would refuse its callers
-// for as long as the store refuses it, although the cell serves all others. Peers tell it who the new owner is.
+// Guards against a VM that the store declines and that does not learn of a takeover, since only the store would report
+// it. It would refuse its callers for as long as the store declines it, although the cell serves all others. Its peers
+// must tell it who the new owner is.
 func TestDeclinedVMFindsOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/dispatch/fault_test.go
+++ b/dispatch/fault_test.go
@@ -13,8 +13,8 @@
 	"turmericgap/standin/floor"
 )
 
-// Guards against counting a start that was sent but not confirmed as running: while the worker is cut off, no worker
-// has the task, and the work must be counted as waiting.
+// Guards against counting work as running when its start was sent but not confirmed: while the worker is cut off, no
+// worker has the task, and the work must be counted as waiting.
 func TestWaitingUntilConfirmed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -39,8 +39,9 @@
 	})
 }
 
-// Guards against a queue of commits that builds up when a burst meets a slow store: every caller of the burst would
-// then wait for longer than its check is worth.
+// Guards against a queue of commits that builds up when a burst of checks meets a store that takes a third of a second
+// per call. Acceptance, intent and end each wait for the store once; with a queue before them, every caller of the
+// burst would wait for longer than its check is worth.
 func TestBurstAtSlowStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
@@ -57,7 +58,7 @@
 				w := c.newWork(fmt.Sprint("check", i), job.Step{Tasks: 2})
 				c.submit(v, w)
 				// At worst a work waits 0.23 s for a free commit stream and 0.33 s for the answer, for its intent and for
-				// each of its two ends if they are committed apart, and 1 s for its tasks: 2.7 s.
+				// each of its two ends if they are committed separately, and 1 s for its tasks: 2.7 s.
 				c.waitForState(v, w.ID, job.WorkCompleted, 2800*time.Millisecond)
 			})
 		}
@@ -66,14 +67,14 @@
 	})
 }
 
-// Guards against refusing callers of a VM that the store declines while it serves the others: the VM must accept work
-// through the owner and report its end.
+// Guards against refusing the callers of a VM that the store declines while it serves the other VMs: the VM must
+// accept work through the owner and report its end.
 func TestAcceptedThroughOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2", "vm3")
 		c.addWorkers(2, 4)
 		first := c.waitForOwner()
-		// Lets each VM learn of the owner before the store declines it.
+		// A VM that the store declines before it has learned of the owner cannot reach the owner.
 		time.Sleep(time.Second)
 		for _, v := range c.vms {
 			if v == first {
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -15,8 +15,8 @@
 	"turmericgap/worker"
 )
 
-// gangBehaviour returns gang members that end together after d; member 0 ends as how. If it fails, the others run on
-// until the gang breaks.
+// gangBehaviour returns the behaviour of gang members that end together after d; how is the outcome of member 0. If it
+// fails, the others run until the gang breaks.
 func gangBehaviour(size int, d time.Duration, how worker.RunOutcome) func(worker.Task, int64) floor.Behaviour {
 	return func(task worker.Task, _ int64) floor.Behaviour {
 		b := floor.Behaviour{Duration: d, Ending: worker.OutcomeDone, GangSize: size, MaxAttempts: 2, Resources: job.Resources{Millicores: 3000}}
@@ -47,8 +47,9 @@
 	})
 }
 
-// Guards against a new owner that forgets an attempt: the owner dies after the failed end of one member is durable and
-// before it hears of the other member's end. Not counted, the gang would be started a third time.
+// Guards against a new owner that does not count an attempt: the former owner dies after the failed end of one member
+// is durable and before it hears of the other member's end. The gang has two attempts and would be started a third
+// time.
 func TestGangAttemptsOutliveOwner(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -59,7 +60,7 @@
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(c.countRuns("gang"), 2)
 		other := ws[0]
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Index == 1 && r.Worker == ws[1].Info().ID {
 				other = ws[1]
 			}
@@ -75,7 +76,8 @@
 	})
 }
 
-// Guards against two permit requests in a row where one that names every worker takes less time than a second one.
+// Guards against two consecutive permit requests for a gang where a single request that names every worker takes less
+// time.
 func TestGangAsksOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -106,8 +108,8 @@
 	})
 }
 
-// Guards against a gang that starves under a steady stream of small tasks: without reserved capacity, they take each
-// core as soon as it is free, and two whole workers are never free at once.
+// Guards against a gang that starves under a steady stream of small tasks: without reserved capacity, the small tasks
+// take each core as soon as it is free, and two whole workers are never free at once.
 func TestGangFindsRoomUnderLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -133,7 +135,7 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		var started time.Time
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Work == "gang" {
 				started = r.Started
 			}
@@ -180,7 +182,7 @@
 				time.Sleep(5 * time.Second)
 				c.submit(v, c.newWork("gang", gangStep(2)))
 				time.Sleep(time.Second)
-				for _, r := range c.floor.History() {
+				for _, r := range c.cluster.History() {
 					for _, w := range ws {
 						if r.Task.Index == 0 && r.Worker == w.Info().ID {
 							w.SetFaults(floor.Faults{Unreachable: true})
@@ -215,7 +217,7 @@
 				time.Sleep(5 * time.Second)
 				c.submit(v, c.newWork("gang", gangStep(3)))
 				time.Sleep(time.Second)
-				for _, r := range c.floor.History() {
+				for _, r := range c.cluster.History() {
 					for _, w := range ws {
 						if r.Task.Index < 2 && r.Worker == w.Info().ID {
 							w.SetFaults(floor.Faults{Unreachable: true})
@@ -253,7 +255,7 @@
 			c.waitForState(v, id, job.WorkCompleted, 10*time.Second)
 		}
 		failed := 0
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Ending == worker.OutcomeFailed {
 				failed++
 			}
@@ -263,9 +265,10 @@
 	})
 }
 
-// Guards against giving up the capacity that is set aside for a late gang during its permit request before the gang can
-// take it: more urgent checks that wait would get it, and the gang would ask again for as long as checks come.
-func TestReservedCapacityGoesToItsGang(t *testing.T) {
+// Guards against releasing the capacity that is set aside for a late gang during its permit request before the gang
+// takes it: waiting checks, which are more urgent, would get it, and the gang would repeat its request for as long as
+// checks come.
+func TestSetAsideCapacityGoesToItsGang(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, func(task worker.Task, _ int64) floor.Behaviour {
@@ -297,7 +300,7 @@
 			submitCheck(fmt.Sprint("check", i), 1)
 		}
 		c.waitForState(v, "gang", job.WorkCompleted, 20*time.Second)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Work == "gang" {
 				is.True(r.Started.Sub(submitted) < 6*time.Second)
 			}
@@ -306,8 +309,9 @@
 	})
 }
 
-// Guards against sending the permit requests of a large gang one after the other. Each VM has one request answered at a
-// time; sent from several VMs at once, all of them take as long as one.
+// Guards against sending the permit requests of a gang in a large cell one after the other, which takes most of the
+// time until its deadline. The policy service answers one request per VM at a time; sent from several VMs at once, all
+// of them take as long as one.
 func TestGangAsksInParallel(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -345,8 +349,8 @@
 	})
 }
 
-// Guards against more urgent checks that keep filling the capacity a gang waits for, because they prefer the fullest
-// workers. While other workers have room for them, they must leave free the workers that the gang waits for.
+// Guards against more urgent checks that keep filling the capacity that a gang waits for, because they prefer the
+// fullest workers. While other workers have capacity for them, they must leave the workers that the gang waits for.
 func TestChecksAvoidReservedCapacity(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -385,7 +389,7 @@
 			time.Sleep(140 * time.Millisecond)
 		}
 		started := time.Time{}
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Work == "gang" {
 				started = r.Started
 			}
--- a/dispatch/large_test.go
+++ b/dispatch/large_test.go
@@ -19,7 +19,8 @@
 const examineCost = 500 * time.Nanosecond
 
 // Guards against a pass that examines all workers for each step of a burst in a large cell. It would take longer than
-// permits are valid, so that they expire before the pass uses them, everything is requested again, and nothing starts.
+// the 1.5 s for which permits are valid, so that they expire before the pass uses them, all are requested again, and
+// nothing starts, even long after the burst and with plenty of free capacity.
 func TestManyWorkersAndSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -27,7 +28,7 @@
 		r.addWorkers(3000)
 		l := &workload{rand.New(rand.NewPCG(3, 3)), r}
 		const works = 1500
-		l.checks(works, 1300*time.Microsecond)
+		l.submitChecks(works, 1300*time.Microsecond)
 		r.run(12 * time.Second)
 		t.Logf("%d of %d works completed", r.endedCount, works)
 		is.Equal(r.endedCount, works)
@@ -86,14 +87,14 @@
 		}}
 		r.submitAt(0, w, 10*time.Second)
 		r.run(800 * time.Millisecond)
-		answered, wanted := int(started.Load()-unanswered.Load()), 0
+		answered, expected := int(started.Load()-unanswered.Load()), 0
 		for i, n := range r.term.sortedNodes {
 			if i%10 > 0 {
-				wanted += len(n.runs)
+				expected += len(n.runs)
 			}
 		}
 		t.Logf("%d calls in flight at once, %d answered, %d unanswered", maxInFlight.Load(), answered, unanswered.Load())
 		is.True(maxInFlight.Load() <= 100)
-		is.Equal(answered, wanted)
+		is.Equal(answered, expected)
 	})
 }
--- a/dispatch/outage_test.go
+++ b/dispatch/outage_test.go
@@ -19,7 +19,7 @@
 func TestOutageIsNotSentInto(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(v *vm, on bool)
-		// maxUnknown is the most callers that may hear that the outcome is unknown.
+		// maxUnknown is the maximum number of callers with an unknown outcome.
 		maxUnknown int
 	}{
 		"store does not answer":    {func(v *vm, on bool) { v.store.Cut(on) }, 8},
@@ -32,7 +32,7 @@
 	}
 }
 
-// runOutage has callers submit work before and during an outage, and checks what they heard and what ran.
+// runOutage submits work before and during an outage, and checks what the callers were told and what ran.
 func runOutage(t *testing.T, fault func(v *vm, on bool), maxUnknown int) {
 	is := is.New(t)
 	c := newCell(t, runsFor(300*time.Millisecond), "vm1", "vm2", "vm3")
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -16,7 +16,8 @@
 // benchVMs is how many VMs can send permit requests in the benchmarks.
 const benchVMs = 97
 
-// newFullTerm returns a term whose workers are full and whose stages wait, none of which can start.
+// newFullTerm returns a term with full workers and waiting stages, none of which can start. Each stage has tickets for
+// up to 100 workers; that many of them allow it.
 func newFullTerm(b *testing.B, workers, stages, allowed int) *term {
 	var vms []owner.Node
 	for i := range benchVMs {
@@ -63,8 +64,9 @@
 	}
 }
 
-// Guards against starving expired works, or trying thousands of them in each pass after an overload. A pass tries a few
-// in rotation; those with capacity set aside for a permit request come first, since nobody else can use it.
+// Guards against starving expired works, or trying thousands of them in each pass after an overload. Each pass tries a
+// few of them in rotation. Those with capacity set aside for a permit request are always tried, since nobody else can
+// use that capacity.
 func TestLostWorksHaveTheirTurns(t *testing.T) {
 	is := is.New(t)
 	const expired = 300
@@ -92,8 +94,8 @@
 	is.Equal(len(p.limitExpired(slices.Clone(order[:2+expiredPerPass]))), 2+expiredPerPass)
 }
 
-// Guards against permit requests that name only workers of the caller's zone while these get no new tasks, as when the
-// zone has just been cut off: the request and the next one would be in vain.
+// Guards against a first permit request that names only workers of the caller's zone while these get no new tasks, as
+// when the zone has just been cut off: this request and the next one would be useless.
 func TestFirstPermitRequestNamesUsableWorkers(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatch/probe_test.go
+++ b/dispatch/probe_test.go
@@ -12,7 +12,8 @@
 )
 
 // Guards against late checks when the answer to a hold is lost: the ends that it should have reported would become
-// known only when the hold times out. Workers with overdue runs must be probed sooner.
+// known only when the hold times out after 1.5 s, but a check of 0.8 s must end within 1.4 s. Workers with overdue
+// runs must be probed sooner.
 func TestLostHoldsDelayFewChecks(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/dispatch/relay_test.go
+++ b/dispatch/relay_test.go
@@ -65,7 +65,7 @@
 						is.Equal(c.countRuns(id), 8)
 					}
 				}
-				for _, r := range c.floor.History() {
+				for _, r := range c.cluster.History() {
 					is.Equal(r.Ending, worker.OutcomeDone)
 				}
 				is.True(first.dispatcher.IsOwner())
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -50,13 +50,14 @@
 	return last
 }
 
-// newReplay returns a replay whose owner can send permit requests through that many VMs, which answer decides.
+// newReplay returns a replay whose owner can send permit requests through that many VMs. The answer function returns
+// the allowed workers and the latency of a request.
 func newReplay(ctx context.Context, vms int, answer func(*permit.Request) ([]string, time.Duration), opts ...Option) *replay {
 	var nodes []owner.Node
 	for i := range vms {
 		nodes = append(nodes, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
 	}
-	ask := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
+	requestPermit := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
 		names, delay := answer(q)
 		select {
 		case <-ctx.Done():
@@ -69,7 +70,7 @@
 		}
 		return a, nil
 	}
-	opts = append(opts, Permits(func() []owner.Node { return nodes }, ask))
+	opts = append(opts, Permits(func() []owner.Node { return nodes }, requestPermit))
 	tenure := &owner.Tenure{Fence: 1, Confirmed: func(time.Duration) bool { return true }}
 	r := &replay{term: newTerm(ctx, newOptions(opts), tenure), runTimes: make(map[string]time.Duration), startedAt: time.Now()}
 	r.term.endedLoaded = true
--- a/dispatch/report_test.go
+++ b/dispatch/report_test.go
@@ -13,8 +13,8 @@
 	"turmericgap/metric"
 )
 
-// Guards against filling the log with a line per second for each queue that ever existed: only queues with waiting work
-// or changes are logged. A work without steps, which another writer may store, must be handled like any other.
+// Guards against filling the log with a line per second for each queue that ever existed: only queues with waiting
+// work or changes are logged. A work without steps, which another writer may store, must not end the process.
 func TestIdleQueuesAreNotLogged(t *testing.T) {
 	is := is.New(t)
 	core, logs := observer.New(zap.InfoLevel)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -28,8 +28,9 @@
 	return rpc.AsFault(v.front.Submit(ctx, w))
 }
 
-// Guards against a refusal without the rule, its reason and its retry time, against running refused work, and against
-// refusing the retry of work that was accepted before the rule. Invalid rules and older versions must be ignored.
+// Guards against a refusal that lacks the rule, its reason or its retry time, against running refused work, and
+// against refusing the retry of work that was accepted before the rule. Invalid rules and older versions must be
+// ignored.
 func TestRulesRefuse(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -92,7 +93,7 @@
 			c.waitForState(v, id, job.WorkCompleted, time.Minute)
 		}
 		lastStart := make(map[string]time.Time)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			lastStart[r.Task.Work] = later(lastStart[r.Task.Work], r.Started)
 		}
 		is.True(lastStart["batch"].Before(lastStart["check"])) // its last task started before the last check
@@ -108,12 +109,12 @@
 	return b
 }
 
-// maxConcurrent returns how many runs of a work were present at once, at most.
+// maxConcurrent returns the maximum number of concurrent runs of a work.
 func maxConcurrent(c *cell, id string) int {
 	highest := 0
-	for _, at := range c.floor.History() {
+	for _, at := range c.cluster.History() {
 		n := 0
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Work == id && !r.Started.After(at.Started) && r.Ended.After(at.Started) {
 				n++
 			}
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -12,8 +12,9 @@
 	"turmericgap/worker"
 )
 
-// Guards against ordering by deadline under overload: each work would start shortly before it is late, and most would
-// end late. Starting small works first serves more callers on time, and large works must still get their share.
+// Guards against ordering by deadline when batches arrive at one and a half times the capacity of the cell: each work
+// would start shortly before it is late, and most would end late. Starting small works first serves more callers on
+// time, and large works must still get their share.
 func TestSmallWorksFirstUnderOverload(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,13 +35,13 @@
 		}
 		time.Sleep(2 * time.Minute)
 		endedAt := make(map[string]time.Time)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Ended.After(endedAt[r.Task.Work]) {
 				endedAt[r.Task.Work] = r.Ended
 			}
 		}
 		const objective = 7 * time.Second
-		onTime, largeInTime := 0, 0
+		onTime, largeBeforeExpiry := 0, 0
 		for i := range 144 {
 			id := fmt.Sprint("batch", i)
 			elapsed := endedAt[id].Sub(submitted[id])
@@ -48,12 +49,12 @@
 				onTime++
 			}
 			if tasks[i%len(tasks)] == 16 && elapsed <= 3*objective {
-				largeInTime++
+				largeBeforeExpiry++
 			}
 		}
-		t.Logf("%d of 144 on time, %d of the 12 largest before they expire", onTime, largeInTime)
+		t.Logf("%d of 144 on time, %d of the 12 largest before they expire", onTime, largeBeforeExpiry)
 		is.True(onTime >= 110)
-		is.True(largeInTime >= 8)
+		is.True(largeBeforeExpiry >= 8)
 		c.checkHistory()
 	})
 }
--- a/dispatch/store_test.go
+++ b/dispatch/store_test.go
@@ -80,8 +80,8 @@
 	c.checkHistory()
 }
 
-// Guards against an owner that keeps the cell after its key was deleted without any answer showing it: its next commit
-// must be refused, another VM takes over, and nothing that runs is started again.
+// Guards against an owner that keeps the cell after its key was deleted from the store and no answer has shown it: its
+// next commit must be refused, another VM must take over, and nothing that runs may be started again.
 func TestOwnerKeyTaken(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/dispatch/succession_test.go
+++ b/dispatch/succession_test.go
@@ -11,9 +11,9 @@
 	"turmericgap/owner"
 )
 
-// Guards against a cell that stands without an owner until the lease expires, up to 1.2 s, when the owner dies or loses
-// the store: nothing starts, no end is processed, and all checks are late. Another VM must own it within about half of
-// that.
+// Guards against a cell that has no owner until the lease expires, up to 1.2 s, when the owner dies or loses the
+// store: nothing starts, no end is processed, and all checks are late. Another VM must own the cell within about half
+// of that.
 func TestOwnerIsReplacedSoon(t *testing.T) {
 	for name, fail := range map[string]func(c *cell, v *vm){
 		"dies":                   func(c *cell, v *vm) { c.kill(v) },
@@ -49,8 +49,8 @@
 	}
 }
 
-// Guards against an owner that turns slow and keeps the cell, since it still answers pings and renews its lease while
-// all starts and ends wait for its loop. It must hand over to a faster VM, and keep the cell if all VMs are slow.
+// Guards against an owner that becomes slow and keeps the cell: it still answers pings and renews its lease, but all
+// starts and ends wait for its loop. It must hand over to a faster VM, and keep the cell if all VMs are slow.
 func TestSlowOwnerHandsOver(t *testing.T) {
 	for name, all := range map[string]bool{"one VM is slow": false, "all are slow": true} {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 }
 
 // Guards against replacing a busy owner whose answers to peers are late although it serves the cell. The next owner
-// would have the same load, would also have to sync with all workers, and would be replaced as well.
+// would have the same load, would also have to sync with all workers, and would be replaced as well, once per second.
 func TestBusyOwnerKeepsTheCell(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -156,7 +156,7 @@
 	})
 }
 
-// waitForSuccessor returns another VM that owns the cell and has read its state.
+// waitForSuccessor waits until another VM owns the cell and has read its state, and returns that VM.
 func (c *cell) waitForSuccessor(of *vm) *vm {
 	c.t.Helper()
 	for range 400 {
--- a/dispatch/taken_test.go
+++ b/dispatch/taken_test.go
@@ -13,8 +13,9 @@
 	"turmericgap/rpc"
 )
 
-// Guards against refusing, at another VM, a work that an overloaded owner has accepted but not yet committed to its
-// slow store: only the owner knows of the work, and it runs although its caller was told that it never will.
+// Guards against refusing, at another VM, the retry of a work that an overloaded owner has accepted but not yet
+// committed to its slow store. Neither the store nor the other VM knows of the work, and it would run although its
+// caller was told that it never will.
 func TestTakenWorkIsNotRefusedElsewhere(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -44,8 +44,8 @@
 	// suspendPerRead is the suspend time to add at each read of the clock that counts suspends, clockOffset its total.
 	suspendPerRead time.Duration
 	clockOffset    time.Duration
-	maxAway        int
-	away           int
+	maxInUpkeep    int
+	inUpkeep       int
 	violations     []string
 	startedAt      time.Time
 	holder         string
@@ -53,8 +53,8 @@
 	fence          int64
 }
 
-func newFakeCloud(c *cell, ws []*floor.Worker, maxAway int) *fakeCloud {
-	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxAway: maxAway, startedAt: time.Now()}
+func newFakeCloud(c *cell, ws []*floor.Worker, maxInUpkeep int) *fakeCloud {
+	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxInUpkeep: maxInUpkeep, startedAt: time.Now()}
 	for i, w := range ws {
 		id := fmt.Sprint("host", i)
 		k.vms[id] = &maintenance.VM{ID: id, Pool: pool, State: maintenance.Up, Worker: w.Info().ID}
@@ -130,7 +130,7 @@
 	if vm.State != maintenance.Up {
 		return false, maintenance.ErrBusy
 	}
-	if k.away++; k.away > k.maxAway {
+	if k.inUpkeep++; k.inUpkeep > k.maxInUpkeep {
 		k.violations = append(k.violations, "too many VMs are in upkeep")
 	}
 	k.serviced[o.VM] = true
@@ -154,7 +154,7 @@
 	k.c.put(store.Op{Delete: true, Key: workersPrefix + oldWorker.Info().ID})
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.away--
+	k.inUpkeep--
 	k.generation++
 	w := k.c.addWorker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
 	k.workers[vm.ID] = w
@@ -223,7 +223,7 @@
 				is.Equal(k.servicedCount(), 4)
 				is.Equal(k.violations, nil)
 				time.Sleep(20 * time.Second)
-				for _, r := range c.floor.History() {
+				for _, r := range c.cluster.History() {
 					is.True(r.Ending == worker.OutcomeDone)
 				}
 				c.checkHistory()
@@ -257,12 +257,12 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.Equal(k.violations, nil)
-		is.True(alwaysRunning(c.floor.History()))
+		is.True(alwaysRunning(c.cluster.History()))
 		c.checkHistory()
 	})
 }
 
-// newIdleCell returns a cell of four idle VMs whose waves may have two of them in upkeep at a time.
+// newIdleCell returns a cell of four idle hosts, two of which may be in upkeep at a time.
 func newIdleCell(t *testing.T, vms ...string) (*cell, *fakeCloud) {
 	c := newCell(t, runsFor(time.Second))
 	k := newFakeCloud(c, c.addWorkers(4, 4), 2)
@@ -275,6 +275,7 @@
 	return c, k
 }
 
+// putFullWave stores a wave of all hosts of an idle cell.
 func (c *cell) putFullWave() {
 	c.putWave(maintenance.Wave{Number: 1, VMs: []string{"host0", "host1", "host2", "host3"}, TimeLimit: 40 * time.Second, MaxUnavailable: 2})
 }
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -20,9 +20,9 @@
 	return e.occurrences[len(e.occurrences)-1].stages[0]
 }
 
-// Checks the order of urgency: services first, since each moment without one counts; then work that can be on time, by
-// priority and deadline; then late and expired work. Timed work counts from when it is due: submitted an hour ahead, it
-// must not count as an hour late.
+// Checks the order of urgency: services first, since every moment without a service counts; then work that can be on
+// time, by priority and deadline; then late and expired work. Timed work counts from when it is due: submitted an hour
+// ahead, it must not count as an hour late.
 func TestUrgency(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -36,10 +36,10 @@
 	service.Steps[0].Service = true
 	timed := work("timed", time.Hour, 1)
 	timed.Occurrences, timed.FirstDue, timed.Interval = 3, now.Add(-2*time.Minute), time.Minute
-	order := []string{"service", "check", "timed", "roster", "batch", "late", "hopeless"}
+	order := []string{"service", "check", "timed", "roster", "batch", "late", "expired"}
 	var found []urgency
 	for _, w := range []*job.Work{
-		work("hopeless", time.Minute, 0), work("late", 6*time.Second, 0), work("batch", 0, 2),
+		work("expired", time.Minute, 0), work("late", 6*time.Second, 0), work("batch", 0, 2),
 		work("roster", -time.Second, 1), timed, work("check", 0, 0), service,
 	} {
 		found = append(found, (&term{sizes: aging.New()}).urgencyOf(newTestStage(w), now))
@@ -63,9 +63,9 @@
 	is.Equal(newEntry(w).objective, 15*time.Second)
 }
 
-// Guards against a late service without capacity, first in the order, that keeps the works behind it from sharing
-// starts between size classes: a large work must precede the last small ones, and a later step all works that have not
-// started.
+// Guards against a late service that lacks capacity, so stays first in the order, and keeps the works after it from
+// sharing starts between size classes: a large work must still precede the last small ones, and a later step must
+// precede all works that have not started.
 func TestSizeClassesShareStarts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// Guards against running tasks twice while an owner without store and peers goes on calling workers: each worker that
-// the new owner has reached refuses it by its fence.
+// Guards against running tasks twice while an owner that is cut off from the store and its peers still calls workers:
+// each worker that the new owner has reached refuses those calls by their fence.
 func TestOwnerCutFromStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Guards against waiting for a lease when a worker crashed and a new incarnation answers at its address: the former
-// runs are certainly over.
+// Guards against waiting for a lease when a worker crashed and a new instance answers at its address: the former runs
+// are certainly over.
 func TestWorkerReplaced(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,7 +138,7 @@
 		time.Sleep(time.Second)
 		c.submit(v, c.newWork("second", job.Step{Tasks: 8}))
 		c.waitForState(v, "second", job.WorkCompleted, 20*time.Second)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Task.Work == "second" {
 				is.Equal(r.Worker, ws[1].Info().ID)
 			}
@@ -153,8 +153,8 @@
 	return i
 }
 
-// Checks placement: tasks run near their data, labels and spreading are respected, fillers avoid workers with tasks
-// whose response times are bounded, and a service runs again however it ends.
+// Checks placement: tasks run near their data, labels and spreading are respected, best-effort tasks avoid workers
+// with tasks whose response times are bounded, and a service runs again however it ends.
 func TestWhereTasksRun(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -170,7 +170,7 @@
 		}, "vm1")
 		for id, rack := range map[string]string{"w1": "r1", "w2": "r2", "w3": "r3"} {
 			info := worker.Info{ID: id, Address: id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 64000}}
-			c.floor.Add(info)
+			c.cluster.Add(info)
 			c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", rack}})
 		}
 		v := c.waitForOwner()
@@ -183,7 +183,7 @@
 		c.submit(v, c.newWork("filler", job.Step{Tasks: 2, BestEffort: true}))
 		time.Sleep(10 * time.Second)
 		on := make(map[string]map[string]int)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if on[r.Task.Work] == nil {
 				on[r.Task.Work] = make(map[string]int)
 			}
@@ -193,7 +193,7 @@
 		is.Equal(on["label"], map[string]int{"w3": 3})
 		is.Equal(on["spread"], map[string]int{"w1": 1, "w2": 1, "w3": 1})
 		is.True(c.countRuns("service") >= 4)
-		is.Equal(countOverlaps(c.floor.History(), "filler", "service"), 0)
+		is.Equal(countOverlaps(c.cluster.History(), "filler", "service"), 0)
 		is.Equal(c.countRuns("filler"), 2)
 		c.checkHistory()
 	})
@@ -213,7 +213,7 @@
 		time.Sleep(4 * time.Second)
 		c.kill(first)
 		c.waitForState(c.waitForOwner(), "sweep", job.WorkCompleted, 30*time.Second)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			late := r.Started.Sub(w.DueAt(r.Task.Occurrence))
 			is.True(late >= 0)
 			is.True(late < 2500*time.Millisecond)
@@ -280,22 +280,22 @@
 		ws[0].SetFaults(floor.Faults{StallRuns: true})
 		c.submit(v, c.newWork("check", job.Step{Tasks: 6, Estimate: time.Second}))
 		c.waitForState(v, "check", job.WorkCompleted, 25*time.Second)
-		still := 0
-		for _, r := range c.floor.History() {
+		stopped := 0
+		for _, r := range c.cluster.History() {
 			if r.Ending == worker.OutcomeStopped {
 				is.Equal(r.Worker, ws[0].Info().ID)
-				still++
+				stopped++
 			}
 		}
-		is.True(still > 0)
-		is.Equal(c.countRuns("check"), 6+still)
+		is.True(stopped > 0)
+		is.Equal(c.countRuns("check"), 6+stopped)
 		c.checkHistory()
 	})
 }
 
-// Guards against a wrong wait when the entry of a worker with a running task disappears. If the worker removed it
-// itself, the task starts elsewhere at once; if the entry expired because the worker is cut off, the task may still run
-// there.
+// Guards against a wrong wait when the entry of a worker with a running task disappears. If the worker removed its
+// entry itself, shortly after it was last updated, the task starts elsewhere at once. If the entry expired because the
+// worker is cut off, the task may still run there and must wait for the lease.
 func TestWorkerUnlisted(t *testing.T) {
 	for name, c := range map[string]struct {
 		cutFor   time.Duration
@@ -357,7 +357,7 @@
 			c.waitForState(v, fmt.Sprint("check", i), job.WorkCompleted, 20*time.Second)
 		}
 		failed := 0
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			if r.Ending == worker.OutcomeFailed {
 				failed++
 			}
@@ -395,7 +395,7 @@
 		c.waitForState(v, "second", job.WorkCompleted, 10*time.Second)
 		c.waitForState(v, "first", job.WorkCompleted, time.Second)
 		is.Equal(c.countRuns("first")+c.countRuns("second"), 12)
-		for _, r := range c.floor.History() {
+		for _, r := range c.cluster.History() {
 			is.True(r.Task.Work == "first" || r.Worker == ws[1].Info().ID)
 		}
 		c.register(worker.ListedWorker{Info: ws[0].Info(), Pool: pool, Labels: []string{"a", "r1"}})
--- a/dispatch/zone_test.go
+++ b/dispatch/zone_test.go
@@ -12,8 +12,8 @@
 	"turmericgap/worker"
 )
 
-// Guards against spreading checks over all zones: when one zone is cut off, checks of callers in the others would wait
-// for the ends of tasks there, which cannot be heard.
+// Guards against spreading checks over all zones: when one zone is cut off, more than half of the checks of callers in
+// the other zones would wait for tasks in that zone, whose ends the owner cannot learn.
 func TestChecksStayInTheirCallersZone(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -23,7 +23,7 @@
 		for i := range 24 {
 			zone := zones[i%len(zones)]
 			info := worker.Info{ID: fmt.Sprintf("w%02d", i), Address: fmt.Sprintf("w%02d", i), Zone: zone, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}
-			w := c.floor.Add(info)
+			w := c.cluster.Add(info)
 			c.register(worker.ListedWorker{Info: info, Pool: pool, Labels: []string{"a", "r1"}})
 			if zone == zones[2] {
 				cut = append(cut, w)
