--- a/cmd/ctl/explain.go
+++ b/cmd/ctl/explain.go
@@ -91,6 +91,6 @@
 		}
 	}
 	if x.DecidedBy == "" {
-		fmt.Println("  no rule holds; all defaults apply")
+		fmt.Println("  no rule holds; everything is at its default")
 	}
 }
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -101,7 +101,7 @@
 // CheckMembership is a readiness check for a process that acts only while its membership is valid.
 func CheckMembership(g *member.Group) error {
 	if !g.Valid() {
-		return errors.New("membership is not valid")
+		return errors.New("membership does not hold now")
 	}
 	return nil
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -112,7 +112,7 @@
 
 func describeFailures(failures []failure) string {
 	if len(failures) == 0 {
-		return "the failures were attributed to a failing job or class"
+		return "a failing job has been cleared away"
 	}
 	last := failures[len(failures)-1]
 	return fmt.Sprintf("%d failures without a success between, the last of job %q, class %q", len(failures), last.job, last.class)
--- a/gate/send.go
+++ b/gate/send.go
@@ -112,7 +112,7 @@
 	}
 	if !g.shares.CanSend(t.slot, end.Add(g.opts.Limits.Grace)) {
 		// The process was paused after the slot was acquired, and a sibling may use the slot now.
-		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "slot was reassigned before the send"}
+		return &attempt{state: notStarted, outcome: balancer.Abandoned, reason: "slot was lost before the send"}
 	}
 	cl.attempts++
 	g.metrics.attempts.Inc(1)
@@ -151,7 +151,7 @@
 		return &attempt{state: notStarted, outcome: balancer.Busy, reason: "target is busy", leaving: resp.Leaving}
 	case !resp.Answer.IsIntact():
 		g.metrics.dropped.Inc(1)
-		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was truncated", leaving: resp.Leaving}
+		return &attempt{state: mayHaveRun, outcome: balancer.Failed, reason: "answer was cut", leaving: resp.Leaving}
 	}
 	return &attempt{state: answered, outcome: balancer.Succeeded, answer: &resp.Answer, leaving: resp.Leaving}
 }
