--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -26,11 +26,14 @@
 	// DefaultBusyBackoff is how long a target is skipped after it reported that it was busy.
 	DefaultBusyBackoff = 20 * time.Millisecond
 
-	minSamples              = 8
-	minWeight               = 0.1
-	latencySmoothing        = 0.2
-	slowCheckInterval       = 200 * time.Millisecond
-	maxPairs                = 3
+	minSamples        = 8
+	minWeight         = 0.1
+	latencySmoothing  = 0.2
+	slowCheckInterval = 200 * time.Millisecond
+	// maxPairs limits the random pairs that are compared before all targets are scanned.
+	maxPairs = 3
+	// unrepeatableProbeFactor is the multiple of the ejection time after which even a request that
+	// must not be retried may probe a target.
 	unrepeatableProbeFactor = 4
 )
 
@@ -195,8 +198,8 @@
 }
 
 // nextProbe returns an ejected target whose ejection time has passed. A request that must not be
-// retried is used as a probe only after a multiple of that time, if no other request has probed the
-// target.
+// retried probes it only after unrepeatableProbeFactor times that time, when no repeatable request
+// has probed it.
 func (b *Balancer) nextProbe(c *Constraints, now time.Time) *targetState {
 	for _, e := range b.targets {
 		if !e.ejected || e.probing || e.info.Leaving || e.info.ID == c.Avoid || now.Before(e.ejectedUntil) {
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -24,6 +24,6 @@
 func SlowStart(d time.Duration) Option { return func(o *Options) { o.SlowStart = d } }
 
 // Ejection sets the duration of the first ejection and the limit for repeated ones.
-func Ejection(first, most time.Duration) Option {
-	return func(o *Options) { o.BaseEjection, o.MaxEjection = first, most }
+func Ejection(first, longest time.Duration) Option {
+	return func(o *Options) { o.BaseEjection, o.MaxEjection = first, longest }
 }
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -91,7 +91,7 @@
 // fail the cause lies elsewhere, and the remaining ones would be overloaded.
 func (b *Balancer) eject(e *targetState, now time.Time) {
 	if !e.ejected {
-		if 2*(b.EjectedCount()+1) > b.stayingCount() {
+		if 2*(b.EjectedCount()+1) > b.notLeavingCount() {
 			return
 		}
 		e.ejected = true
@@ -100,7 +100,7 @@
 	e.ejections++
 }
 
-func (b *Balancer) stayingCount() int {
+func (b *Balancer) notLeavingCount() int {
 	n := 0
 	for _, e := range b.targets {
 		if !e.info.Leaving {
--- a/gate/api_test.go
+++ b/gate/api_test.go
@@ -171,7 +171,7 @@
 
 // Guards against running out of memory under large bodies: when the body budget is exhausted, a
 // request must be rejected before its body is read.
-func TestHeldBytes(t *testing.T) {
+func TestBufferedBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeTargets(1, func(ctx context.Context, id string, r *target.Request) (*target.Response, error) {
--- a/gate/bench_test.go
+++ b/gate/bench_test.go
@@ -15,7 +15,7 @@
 		f.infos = append(f.infos, target.Info{ID: id, Address: id, Zone: "z1", Service: "desk", Slots: 8, Connections: 64})
 	}
 	f.do = func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-		return wholeAnswer(ctx, r)
+		return completeAnswer(ctx, r)
 	}
 	g := f.newGate()
 	defer g.Close()
--- a/gate/forward.go
+++ b/gate/forward.go
@@ -19,8 +19,8 @@
 // maxPeersTried limits the gates of one zone to which a check is sent.
 const maxPeersTried = 2
 
-// route tries the preferred zone, then its own zone, then the others. It tries the next zone only
-// while the check has not been sent and the zone has no usable target.
+// route tries the zones in the order of zoneOrder. It goes on to the next zone only if the check was
+// not sent to a target and no limit rejected it.
 func (g *Gate) route(ctx context.Context, cl *call) *Result {
 	if cl.check.Forwarded {
 		return g.run(ctx, cl)
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -77,7 +77,7 @@
 	return s[min(int(n), len(s))-1]
 }
 
-func wholeAnswer(_ context.Context, r *target.Request) (*target.Response, error) {
+func completeAnswer(_ context.Context, r *target.Request) (*target.Response, error) {
 	return answer(r, "seat"), nil
 }
 
@@ -125,23 +125,23 @@
 		want       job.Outcome
 		calls      int64
 	}{
-		{"whole answer", script{wholeAnswer}, false, job.Done, 1},
-		{"not reached, then whole", script{notSent, wholeAnswer}, false, job.Done, 2},
-		{"refused, then whole", script{refused, wholeAnswer}, false, job.Done, 2},
-		{"busy, then whole", script{busy, wholeAnswer}, false, job.Done, 2},
+		{"complete answer", script{completeAnswer}, false, job.Done, 1},
+		{"not reached, then complete", script{notSent, completeAnswer}, false, job.Done, 2},
+		{"refused, then complete", script{refused, completeAnswer}, false, job.Done, 2},
+		{"busy, then complete", script{busy, completeAnswer}, false, job.Done, 2},
 		{"never reached", script{notSent}, false, job.NotRun, 3},
 		{"always busy", script{busy}, true, job.NotRun, 3},
-		{"answer lost", script{connectionLost, wholeAnswer}, false, job.Unknown, 1},
-		{"answer lost, repeatable", script{connectionLost, wholeAnswer}, true, job.Done, 2},
+		{"answer lost", script{connectionLost, completeAnswer}, false, job.Unknown, 1},
+		{"answer lost, repeatable", script{connectionLost, completeAnswer}, true, job.Done, 2},
 		{"lost, then never reached", script{connectionLost, notSent}, true, job.Unknown, 3},
-		{"refused, then lost", script{refused, connectionLost, wholeAnswer}, false, job.Unknown, 2},
-		{"answer of another try", script{staleAnswer, wholeAnswer}, false, job.Unknown, 1},
-		{"answer of another try, repeatable", script{staleAnswer, wholeAnswer}, true, job.Done, 2},
-		{"cut answer", script{truncated, wholeAnswer}, false, job.Unknown, 1},
-		{"cut answer, repeatable", script{truncated, wholeAnswer}, true, job.Done, 2},
-		{"no answer at all", script{noResponse, wholeAnswer}, false, job.Unknown, 1},
-		{"hangs", script{hang, wholeAnswer}, false, job.Unknown, 1},
-		{"hangs, repeatable", script{hang, wholeAnswer}, true, job.Done, 2},
+		{"refused, then lost", script{refused, connectionLost, completeAnswer}, false, job.Unknown, 2},
+		{"answer of another try", script{staleAnswer, completeAnswer}, false, job.Unknown, 1},
+		{"answer of another try, repeatable", script{staleAnswer, completeAnswer}, true, job.Done, 2},
+		{"truncated answer", script{truncated, completeAnswer}, false, job.Unknown, 1},
+		{"truncated answer, repeatable", script{truncated, completeAnswer}, true, job.Done, 2},
+		{"no answer at all", script{noResponse, completeAnswer}, false, job.Unknown, 1},
+		{"hangs", script{hang, completeAnswer}, false, job.Unknown, 1},
+		{"hangs, repeatable", script{hang, completeAnswer}, true, job.Done, 2},
 		{"always hangs, repeatable", script{hang}, true, job.Unknown, 3},
 	}
 	for _, c := range cases {
@@ -173,7 +173,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return wholeAnswer(ctx, r)
+			return completeAnswer(ctx, r)
 		})
 		g := f.newGate()
 		defer g.Close()
@@ -193,7 +193,7 @@
 		is := is.New(t)
 		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
 			time.Sleep(time.Second)
-			return wholeAnswer(ctx, r)
+			return completeAnswer(ctx, r)
 		})
 		all := f.infos
 		g := f.newGate()
--- a/gate/pool.go
+++ b/gate/pool.go
@@ -115,8 +115,8 @@
 	return n
 }
 
-// expectedWait returns the expected wait behind n checks. The queue drains at a rate of one check
-// per slot and run time.
+// expectedWait returns the expected wait of a check with n checks before it in the queue. Each slot
+// serves one check per run time.
 func (p *pool) expectedWait(n int) time.Duration {
 	return time.Duration(float64(n+1) * p.runTime / float64(max(1, p.slots)) * float64(time.Second))
 }
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -106,8 +106,8 @@
 	signal(g.wake)
 }
 
-// announceLeave tells the siblings that this gate uses no target anymore, so that they take over
-// its share as soon as a table without it arrives.
+// announceLeave tells the siblings that this gate no longer uses any target. They then take over its
+// share as soon as they receive a table without it.
 func (g *Gate) announceLeave() {
 	if g.opts.Siblings.Confirm == nil {
 		return
@@ -201,13 +201,13 @@
 func (g *Gate) requestLoan(ctx context.Context, gate string, request *share.LoanRequest) int {
 	in, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	loans, err := g.opts.Siblings.Borrow(in, gate, request)
 	if err != nil {
 		g.log.Debug("gate: loan request failed", zap.String("gate", gate), zap.Error(err))
 		return 0
 	}
-	n := g.shares.AddBorrowed(gate, loans, asked, time.Now())
+	n := g.shares.AddBorrowed(gate, loans, requestedAt, time.Now())
 	g.metrics.borrowed.Inc(int64(n))
 	return n
 }
@@ -228,11 +228,11 @@
 func (g *Gate) loanRequests() []*share.LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var asks []*share.LoanRequest
+	var requests []*share.LoanRequest
 	for _, p := range g.pools {
 		if n := p.waitingCount(); n > 0 {
-			asks = append(asks, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
+			requests = append(requests, &share.LoanRequest{Gate: g.opts.ID, Want: n, Targets: p.balancer.Targets()})
 		}
 	}
-	return asks
+	return requests
 }
--- a/gate/status.go
+++ b/gate/status.go
@@ -39,20 +39,20 @@
 // Status returns the current state of the gate.
 func (g *Gate) Status() *Status {
 	now := time.Now()
-	p := &Status{
+	s := &Status{
 		ID: g.opts.ID, Zone: g.opts.Zone, Draining: g.inProgress.isDraining(), InProgress: g.inProgress.count(),
 		Streams: g.inProgress.streamCount(), Shares: g.shares.Report(now),
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for service, pool := range g.pools {
-		p.Services = append(p.Services, ServiceReport{
+		s.Services = append(s.Services, ServiceReport{
 			Service: service, Waiting: pool.waitingCount(), Slots: pool.slots, RunMicros: pool.expectedRun().Microseconds(),
 			RetryAfterMillis: pool.retryAfter().Milliseconds(), Targets: pool.balancer.Reports(now),
 		})
 	}
-	slices.SortFunc(p.Services, func(a, b ServiceReport) int { return strings.Compare(a.Service, b.Service) })
-	return p
+	slices.SortFunc(s.Services, func(a, b ServiceReport) int { return strings.Compare(a.Service, b.Service) })
+	return s
 }
 
 // ServeStatus writes Status as JSON.
--- a/gate/target/contract_test.go
+++ b/gate/target/contract_test.go
@@ -171,10 +171,10 @@
 		{"delayed beyond the deadline", standin.Fault{DelayMillis: 9000}, context.DeadlineExceeded, 0},
 		{"late beyond the deadline", standin.Fault{LateMillis: 9000}, context.DeadlineExceeded, 1},
 		{"frozen", standin.Fault{Frozen: true}, context.DeadlineExceeded, 0},
-		{"cut", standin.Fault{Truncate: 1}, target.ErrTruncated, 1},
+		{"truncated", standin.Fault{Truncate: 1}, target.ErrTruncated, 1},
 		{"another request's answer", standin.Fault{Stale: 1}, target.ErrMismatch, 1},
 		{"refused", standin.Fault{Refuse: 1}, target.ErrRefused, 0},
-		{"cut and lost", standin.Fault{Truncate: 1, LoseAnswers: 1}, errors.New(unknown), 1},
+		{"truncated and lost", standin.Fault{Truncate: 1, LoseAnswers: 1}, errors.New(unknown), 1},
 		{"fails all", standin.Fault{FailAll: true}, nil, 1},
 	}
 	var all []testCase
--- a/gate/zone_test.go
+++ b/gate/zone_test.go
@@ -138,7 +138,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeTargets(1, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-			return wholeAnswer(ctx, r)
+			return completeAnswer(ctx, r)
 		})
 		member := true
 		g := f.newGate(Member(func() bool { return member }, func() int64 { return 1 }))
@@ -188,7 +188,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFakeTargets(2, func(ctx context.Context, _ string, r *target.Request) (*target.Response, error) {
-					return wholeAnswer(ctx, r)
+					return completeAnswer(ctx, r)
 				})
 				f.infos[0].Zone = "z2"
 				f.infos[1].Leaving = !c.local
@@ -232,9 +232,9 @@
 			go func() { results <- z.gates["g1"].Do(context.Background(), &Check{Service: "desk"}) }()
 		}
 		time.Sleep(200 * time.Millisecond)
-		page := z.gates["g1"].Status()
-		is.Equal(page.Shares, share.Report{Valid: true, Version: 1, Agreed: 1, Used: 4, Borrowed: 2})
-		is.Equal(page.Services[0].Targets[0].Outstanding, 6)
+		status := z.gates["g1"].Status()
+		is.Equal(status.Shares, share.Report{Valid: true, Version: 1, Agreed: 1, Used: 4, Borrowed: 2})
+		is.Equal(status.Services[0].Targets[0].Outstanding, 6)
 		go func() {
 			results <- z.gates["g3"].Do(context.Background(), &Check{Service: "desk", Deadline: 10 * time.Second})
 		}()
--- a/session/session.go
+++ b/session/session.go
@@ -47,13 +47,13 @@
 func New(keys ...[]byte) *Signer { return &Signer{keys: keys} }
 
 // CheckKeys adds findings for invalid keys of the settings.
-func CheckKeys(l *finding.List, place string, keys ...[]byte) {
+func CheckKeys(l *finding.List, path string, keys ...[]byte) {
 	if len(keys) == 0 {
-		l.Add(place, "must have at least one key")
+		l.Add(path, "must have at least one key")
 	}
 	for _, key := range keys {
 		if len(key) < MinKeyBytes {
-			l.Add(place, "each key must have at least %d bytes", MinKeyBytes)
+			l.Add(path, "each key must have at least %d bytes", MinKeyBytes)
 		}
 	}
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -65,14 +65,15 @@
 	is.Equal(len(l), 2)
 }
 
-func FuzzOpen(f *testing.F) {
+// Guards against accepting any token other than the signed one.
+func FuzzVerify(f *testing.F) {
 	s := New(oldKey)
 	token, _ := s.Sign(validSession)
 	f.Add(token)
 	f.Add("a.b")
 	f.Fuzz(func(t *testing.T, in string) {
 		if v, err := s.Verify(in, start); (err == nil) != (in == token) || (v != nil) != (err == nil) {
-			t.Fatalf("%q opened as %v, %v", in, v, err)
+			t.Fatalf("%q verified as %v, %v", in, v, err)
 		}
 	})
 }
--- a/view/state.go
+++ b/view/state.go
@@ -188,12 +188,12 @@
 }
 
 // updatePresence adds or removes one presence key.
-func (s *viewState) updatePresence(key string, there bool) {
+func (s *viewState) updatePresence(key string, exists bool) {
 	present := maps.Clone(s.view.Load().Present)
 	if present == nil {
 		return
 	}
-	if there {
+	if exists {
 		present[key] = true
 	} else {
 		delete(present, key)
--- a/view/view.go
+++ b/view/view.go
@@ -23,7 +23,7 @@
 	DefaultMaxSilence     = 10 * time.Second
 	// CallTimeout limits one call to the store, which may be slow, or one read of the VM list.
 	CallTimeout = 5 * time.Second
-	// PeerTimeout limits one call to another process, apart from the time spent waiting for a
+	// PeerTimeout limits one call to another process, excluding the time spent waiting for a
 	// change.
 	PeerTimeout = time.Second
 	// DefaultRefreshInterval is the default interval at which all keys are read from the store
