--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -179,7 +179,7 @@
 		f.RecordOutcome(startTime, id, "bad", "sweep", false)
 		is.Equal(f.JobFailing("bad"), i == 2)
 	}
-	f.RecordOutcome(startTime, ids[1], "another", "roster", false) // Other work fails here too, so it no longer counts.
+	f.RecordOutcome(startTime, ids[1], "another", "roster", false) // Another job fails on it too, so it no longer counts as healthy.
 	is.True(!f.JobFailing("bad"))
 	f.RecordOutcome(startTime, ids[3], "bad", "sweep", false)
 	is.True(f.JobFailing("bad"))
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -4,20 +4,21 @@
 
 // Defaults.
 const (
-	// DefaultFailureThreshold is how many consecutive failures eject a member.
+	// DefaultFailureThreshold is the number of consecutive failures that eject a member.
 	DefaultFailureThreshold = 3
 	// DefaultFailureWindow is how long a failure counts against a member.
 	DefaultFailureWindow = 10 * time.Minute
-	// DefaultMissedThreshold is how many consecutive missed heartbeats stop new work for a member.
+	// DefaultMissedThreshold is the number of consecutive missed heartbeats after which a member gets no new work.
 	DefaultMissedThreshold = 2
-	// DefaultRequiredProbes is how many probe tasks must succeed before a member is Healthy again.
+	// DefaultRequiredProbes is the number of probe tasks that must succeed before a member is Healthy again.
 	DefaultRequiredProbes = 3
 	// DefaultBackOff and DefaultMaxBackOff are the first and the longest time between ejection and probing.
 	DefaultBackOff    = 10 * time.Second
 	DefaultMaxBackOff = 5 * time.Minute
 	// DefaultEjectionDivisor limits the ejected members to one in this many.
 	DefaultEjectionDivisor = 3
-	// DefaultMinHealthyFailures is on how many otherwise healthy members a job must fail to count as a failing job.
+	// DefaultMinHealthyFailures is the number of otherwise healthy members on which a job or class must fail to be
+	// considered at fault itself.
 	DefaultMinHealthyFailures = 3
 	// DefaultRetention is how long the state of a member that is no longer listed is kept after its last contact.
 	DefaultRetention = 5 * time.Minute
@@ -28,10 +29,10 @@
 	DefaultListLag = 30 * time.Second
 
 	maxMembersPerHistory = 8
-	// historyRetention is how long a history is kept after its last update; an ended job may never be forgotten
-	// explicitly.
+	// historyRetention is how long a history is kept after its last update. Callers may not call ForgetJob for every
+	// ended job.
 	historyRetention = time.Hour
-	// minMassDelisting is the minimum number of members that must disappear at once for the list to be in doubt.
+	// minMassDelisting is the minimum number of members that must disappear at once for the list to be distrusted.
 	minMassDelisting = 3
 )
 
@@ -52,16 +53,16 @@
 // Option sets a field of Options.
 type Option func(*Options)
 
-// FailureThreshold sets how many consecutive failures eject a member.
+// FailureThreshold sets the number of consecutive failures that eject a member.
 func FailureThreshold(n int) Option { return func(o *Options) { o.FailureThreshold = n } }
 
 // FailureWindow sets how long a failure counts against a member.
 func FailureWindow(d time.Duration) Option { return func(o *Options) { o.FailureWindow = d } }
 
-// MissedThreshold sets how many consecutive missed heartbeats stop new work for a member.
+// MissedThreshold sets the number of consecutive missed heartbeats after which a member gets no new work.
 func MissedThreshold(n int) Option { return func(o *Options) { o.MissedThreshold = n } }
 
-// RequiredProbes sets how many probe tasks must succeed before a member is Healthy again.
+// RequiredProbes sets the number of probe tasks that must succeed before a member is Healthy again.
 func RequiredProbes(n int) Option { return func(o *Options) { o.RequiredProbes = n } }
 
 // BackOff sets the first and the longest time between ejection and probing.
@@ -72,7 +73,8 @@
 // EjectionDivisor limits the ejected members to one in n.
 func EjectionDivisor(n int) Option { return func(o *Options) { o.EjectionDivisor = n } }
 
-// MinHealthyFailures sets on how many otherwise healthy members a job must fail to count as a failing job.
+// MinHealthyFailures sets the number of otherwise healthy members on which a job or class must fail to be considered
+// at fault itself.
 func MinHealthyFailures(n int) Option { return func(o *Options) { o.MinHealthyFailures = n } }
 
 // Retention sets how long the state of a member that is no longer listed is kept after its last contact.
