--- a/day/day.go
+++ b/day/day.go
@@ -30,7 +30,7 @@
 	windowLength = 2 * time.Second
 )
 
-// Options configure an Analyzer.
+// Options configures an Analyzer.
 type Options struct {
 	// MaxWorks limits the number of tracked works, MaxNamed the works listed as lost and as slowest.
 	MaxWorks, MaxNamed int
@@ -102,15 +102,15 @@
 // and skipped. An error is returned only if the reader fails.
 func (d *Analyzer) Read(r io.Reader, name string) error {
 	return eachLine(r, func(number int, raw []byte, tooLong bool) {
-		place := fmt.Sprintf("%s:%d", name, number)
+		path := fmt.Sprintf("%s:%d", name, number)
 		if tooLong {
-			d.addUnreadable(place, fmt.Errorf("longer than %d bytes", maxLineBytes))
+			d.addUnreadable(path, fmt.Errorf("longer than %d bytes", maxLineBytes))
 			return
 		}
 		l, ok, err := parse(raw)
 		switch {
 		case err != nil:
-			d.addUnreadable(place, err)
+			d.addUnreadable(path, err)
 		case !ok || l.Msg == "" || l.Time.IsZero():
 			d.nonLogLines++
 		default:
@@ -140,14 +140,14 @@
 	}
 }
 
-func (d *Analyzer) addUnreadable(place string, err error) {
+func (d *Analyzer) addUnreadable(path string, err error) {
 	d.unreadable++
 	if len(d.findings) < maxFindings {
-		d.findings.Add(place, "not a log line: %v", err)
+		d.findings.Add(path, "not a log line: %v", err)
 	}
 }
 
-// Findings returns the unreadable lines: the first ones with their place, the others as a count.
+// Findings returns the unreadable lines: the first ones with their path, the others as a count.
 func (d *Analyzer) Findings() finding.List {
 	if more := d.unreadable - len(d.findings); more > 0 {
 		return append(d.findings[:len(d.findings):len(d.findings)], finding.Finding{Path: "further lines", Reason: fmt.Sprintf("%d cannot be read either", more)})
@@ -217,7 +217,8 @@
 	return t
 }
 
-// numberPattern matches numbers, which are masked in reasons: those that differ only in a duration count as one.
+// numberPattern matches numbers. They are masked in reasons, so that reasons that differ only in a duration count as
+// one.
 var numberPattern = regexp.MustCompile(`[0-9]+(\.[0-9]+)?`)
 
 // minRefusedStatus is the lowest HTTP status for a request that was not executed or whose outcome is unknown.
--- a/day/group.go
+++ b/day/group.go
@@ -59,7 +59,7 @@
 }
 
 // groupKeys returns the keys of all groups: each queue, each class of a queue and each zone of a queue.
-func groupKeys(works []judgedWork) []groupKey {
+func groupKeys(works []classifiedWork) []groupKey {
 	found := make(map[groupKey]bool)
 	for _, w := range works {
 		found[groupKey{queue: w.queue}] = true
@@ -76,10 +76,10 @@
 	return list
 }
 
-func (d *Analyzer) newGroup(key groupKey, works []judgedWork) Group {
+func (d *Analyzer) newGroup(key groupKey, works []classifiedWork) Group {
 	g := Group{Queue: key.queue, Zone: key.zone, Class: key.class, Outcomes: make(map[Outcome]int), GangSeconds: make(map[string]int)}
 	times := make(map[Stage][]float64)
-	windows := make(map[int][]judgedWork)
+	windows := make(map[int][]classifiedWork)
 	for _, w := range works {
 		if !key.matches(w.work) {
 			continue
@@ -116,7 +116,7 @@
 // in the first window.
 func (d *Analyzer) windowIndex(at time.Time) int { return max(int(at.Sub(d.from)/windowLength), 0) }
 
-func newWindow(i int, works []judgedWork, waits map[string]int) Window {
+func newWindow(i int, works []classifiedWork, waits map[string]int) Window {
 	out := Window{After: millis(time.Duration(i) * windowLength), Works: len(works), Stages: make(map[Stage]float64), GangSeconds: waits}
 	outcomes := make(map[Outcome]int)
 	counts := make(map[Stage]int)
@@ -152,21 +152,22 @@
 	return 0
 }
 
-// setMargins compares each group with its queue, whose own group precedes it in the list.
+// setMargins sets the margin of each group. The group of the whole queue precedes those of its zones and classes.
 func setMargins(groups []Group) {
-	whole := 0.0
+	queueDone := 0.0
 	for i := range groups {
 		g := &groups[i]
 		if g.Zone == "" && g.Class == "" {
-			whole = g.Done
+			queueDone = g.Done
 		}
-		if whole > 0 {
-			g.Margin = g.Done / whole
+		if queueDone > 0 {
+			g.Margin = g.Done / queueDone
 		}
 	}
 }
 
-// waitedSeconds sums the waiting time of a group's steps. It is 0 for a zone, because these lines have no zone.
+// waitedSeconds sums the waiting time of a group's steps. It is 0 for a zone, because the log lines about waiting
+// steps have no zone.
 func (d *Analyzer) waitedSeconds(key groupKey) (inTime, late int) {
 	if key.zone != "" {
 		return 0, 0
@@ -180,8 +181,8 @@
 	return inTime, late
 }
 
-// gangSeconds sums the waiting time of a group's gangs by window and reason. It is empty for a zone, because these
-// lines have no zone.
+// gangSeconds sums the waiting time of a group's gangs by window and reason. It is empty for a zone, because the log
+// lines about waiting gangs have no zone.
 func (d *Analyzer) gangSeconds(key groupKey) map[int]map[string]int {
 	out := make(map[int]map[string]int)
 	if key.zone != "" {
--- a/day/page.go
+++ b/day/page.go
@@ -143,8 +143,8 @@
 	return out
 }
 
-// renderPlot draws curves over the seconds of the day as SVG. A dotted line marks a new owner of the cell, a grey band a
-// store outage. The result is empty if no curve has points.
+// renderPlot draws curves over the seconds of the day as SVG. A dotted line marks a new owner of the cell, a grey band
+// a store outage. The result is empty if no curve has points.
 func (r *Report) renderPlot(title string, curves []curve) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = title, "s"
--- a/day/report.go
+++ b/day/report.go
@@ -88,7 +88,7 @@
 		r.Tenures = append(r.Tenures, *t)
 	}
 	slices.SortFunc(r.Tenures, func(a, b Tenure) int { return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.Fence, b.Fence)) })
-	works := d.judgedWorks()
+	works := d.classifiedWorks()
 	for _, key := range groupKeys(works) {
 		r.Groups = append(r.Groups, d.newGroup(key, works))
 	}
@@ -97,15 +97,15 @@
 	return r
 }
 
-// judgedWorks returns the works with a known queue, sorted by the time of acceptance.
-func (d *Analyzer) judgedWorks() []judgedWork {
-	var list []judgedWork
+// classifiedWorks returns the works with a known queue, sorted by the time of acceptance.
+func (d *Analyzer) classifiedWorks() []classifiedWork {
+	var list []classifiedWork
 	for _, w := range d.works {
 		if w.queue != "" {
-			list = append(list, judgedWork{w, w.classify(), w.stageTimes()})
+			list = append(list, classifiedWork{w, w.classify(), w.stageTimes()})
 		}
 	}
-	slices.SortFunc(list, func(a, b judgedWork) int { return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(list, func(a, b classifiedWork) int { return cmp.Or(a.accepted.Compare(b.accepted), cmp.Compare(a.id, b.id)) })
 	return list
 }
 
@@ -151,7 +151,7 @@
 }
 
 // namedWorks returns the largest lost works and the completed works that took longest.
-func (d *Analyzer) namedWorks(works []judgedWork) (lost, slowest []WorkDetail) {
+func (d *Analyzer) namedWorks(works []classifiedWork) (lost, slowest []WorkDetail) {
 	for _, w := range works {
 		n := WorkDetail{ID: w.id, Queue: w.queue, Zone: w.zone, Class: w.class, CoreSeconds: w.size, Stages: w.stages}
 		switch w.outcome {
--- a/day/work.go
+++ b/day/work.go
@@ -27,10 +27,10 @@
 	StageTurn     Stage = "turn"     // from acceptance to the first permit request
 	StagePermits  Stage = "permits"  // until the first permit response
 	StageAgain    Stage = "again"    // time before the first start with at least one further permit request pending
-	StageRoom     Stage = "room"     // remaining time until the first start is decided; counted from acceptance if no permit is needed
+	StageRoom     Stage = "room"     // other time until the first start is decided; from acceptance if no permit is needed
 	StageRecorded Stage = "recorded" // until the intent to start is durable, mean over the runs
 	StageOrdered  Stage = "ordered"  // until the worker has answered the order, mean over the runs
-	StageRun      Stage = "run"      // from the first start until the last end is reported or the result is published, later steps included
+	StageRun      Stage = "run"      // from the first start to the last reported end or the publication, including later steps
 	StageShown    Stage = "shown"    // until the end is durable and published
 )
 
@@ -99,7 +99,7 @@
 // millis converts a duration to milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// lostAfterObjectives is the age, in multiples of its objective, at which a work has expired.
+// lostAfterObjectives is the age, in multiples of its objective, after which a work has expired.
 const lostAfterObjectives = 3
 
 // classify returns the outcome of the work. A cancellation or failure takes precedence over a loss, since a cancelled
@@ -175,8 +175,8 @@
 	return sum
 }
 
-// judgedWork is a work with its outcome and stage times, which are computed once for all groups.
-type judgedWork struct {
+// classifiedWork is a work with its outcome and stage times, which are computed once for all groups.
+type classifiedWork struct {
 	*work
 	outcome Outcome
 	stages  map[Stage]float64
