--- a/cmd/ctl/caller.go
+++ b/cmd/ctl/caller.go
@@ -110,11 +110,11 @@
 	return s.opts.awaitJob(st.ID)
 }
 
-// awaitJob waits for the job's final state and prints it. It waits for at most a minute, and half a second less than the
-// command's time limit so that the gate can still answer.
+// awaitJob waits for the job's final state and prints it. It waits for at most a minute, and half a second less than
+// the command's time limit so that the gate can still answer.
 func (c *commonOptions) awaitJob(id string) error {
-	margin := int64(max(1, c.Seconds)*1000 - 500)
-	r, err := c.call(http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/wait?timeoutMillis="+strconv.FormatInt(min(margin, 60_000), 10), nil, nil)
+	waitMillis := int64(max(1, c.Seconds)*1000 - 500)
+	r, err := c.call(http.MethodGet, "/v1/jobs/"+url.PathEscape(id)+"/wait?timeoutMillis="+strconv.FormatInt(min(waitMillis, 60_000), 10), nil, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/ctl/cell.go
+++ b/cmd/ctl/cell.go
@@ -232,7 +232,7 @@
 	})
 }
 
-// missingZones returns an error for each zone without a state.
+// missingZones returns an error that names each zone without a state, or nil.
 func missingZones(l []operate.Zone) error {
 	var out []error
 	for i := range l {
@@ -252,8 +252,8 @@
 	s := z.State
 	fmt.Printf(", epoch %d: %d live jobs, %d running tasks, %d of %d workers open, packing %.0f%%, %d refused\n",
 		s.Epoch, s.Live, s.Stats.Running, s.Stats.Open, s.Stats.Workers, 100*s.Stats.Packing, s.Refused)
-	if doubt := z.Warning(); doubt != "" {
-		fmt.Println("  " + doubt)
+	if warning := z.Warning(); warning != "" {
+		fmt.Println("  " + warning)
 	}
 	for _, class := range operate.PendingClasses(s.Stats.Pending) {
 		fmt.Printf("  %d tasks of class %s wait\n", s.Stats.Pending[class], stripControls(class))
--- a/cmd/ctl/rules.go
+++ b/cmd/ctl/rules.go
@@ -44,8 +44,8 @@
 	return &exitError{exitFailed, fmt.Errorf("the store at %s gave no answer (%w); set --store, or see what the cell has by 'ctl inforce'", c.Store, err)}
 }
 
-// current returns the newer of the rules in the store and in the chosen scheduler, or the standard rules if none were
-// set yet.
+// current returns the newer of the rules in the store and in the chosen scheduler, or the standard rules as version
+// zero if none were set yet.
 //
 // A store restored from a backup holds older rules than the processes. An edit based on those would be accepted but
 // never come into force, because no process accepts an older version than it has. The scheduler is read before the
@@ -101,7 +101,7 @@
 		return err
 	}
 	if g.Version > 0 {
-		if e, err = g.opts.findEdition(ctx, s, g.Version); err != nil {
+		if e, err = g.opts.findVersion(ctx, s, g.Version); err != nil {
 			return err
 		}
 	}
@@ -112,7 +112,7 @@
 	return printJSON(e.Rules)
 }
 
-func (c *commonOptions) findEdition(ctx context.Context, s *store.Store, version int64) (operate.RulesVersion, error) {
+func (c *commonOptions) findVersion(ctx context.Context, s *store.Store, version int64) (operate.RulesVersion, error) {
 	l, err := operate.History(ctx, s)
 	if err != nil {
 		return operate.RulesVersion{}, c.storeError(err)
--- a/cmd/ctl/edition.go
+++ b/cmd/ctl/versions.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	if d.Version > 0 {
-		if e, err = d.opts.findEdition(ctx, s, d.Version); err != nil {
+		if e, err = d.opts.findVersion(ctx, s, d.Version); err != nil {
 			return err
 		}
 	}
@@ -72,7 +72,7 @@
 
 type rulesHistory struct{ opts *commonOptions }
 
-// Execute lists the kept editions.
+// Execute lists the stored versions.
 func (h *rulesHistory) Execute([]string) error {
 	s, err := h.opts.openStore()
 	if err != nil {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	e, err := r.opts.findEdition(ctx, s, r.Args.Version)
+	e, err := r.opts.findVersion(ctx, s, r.Args.Version)
 	if err != nil {
 		return err
 	}
--- a/cmd/scheduler/main.go
+++ b/cmd/scheduler/main.go
@@ -25,8 +25,8 @@
 	"turmericgap/worker/web"
 )
 
-// cellWritesPerSecond limits the commits of all zones' journals together; each zone gets an equal share. journalBurst is
-// the number of commits that one journal may send at once.
+// cellWritesPerSecond limits the commits of all zones' journals together; each zone gets an equal share. journalBurst
+// is the number of commits that one journal may send at once.
 const (
 	cellWritesPerSecond = 60.0
 	journalBurst        = 5
--- a/cmd/standintarget/main.go
+++ b/cmd/standintarget/main.go
@@ -39,11 +39,11 @@
 		os.Exit(2)
 	}
 	mux := http.NewServeMux()
-	judge := history.New(history.MaxEvents(o.Events))
-	endpoint.Get(mux, "/events", func() any { return judge.Events() })
+	checker := history.New(history.MaxEvents(o.Events))
+	endpoint.Get(mux, "/events", func() any { return checker.Events() })
 	targets := make([]*standin.Target, o.Count)
 	for i := range targets {
-		targets[i] = standin.New(o.info(i), standin.ServiceTime(o.Work), standin.Record(judge.Record))
+		targets[i] = standin.New(o.info(i), standin.ServiceTime(o.Work), standin.Record(checker.Record))
 		path := fmt.Sprintf("/t/%d", i)
 		mux.Handle(path+"/", http.StripPrefix(path, targets[i].Handler()))
 	}
--- a/cmd/standinworker/main.go
+++ b/cmd/standinworker/main.go
@@ -43,11 +43,11 @@
 		os.Exit(2)
 	}
 	mux := http.NewServeMux()
-	judge := history.New(history.MaxEvents(o.Events))
-	endpoint.Get(mux, "/events", func() any { return judge.Events() })
+	checker := history.New(history.MaxEvents(o.Events))
+	endpoint.Get(mux, "/events", func() any { return checker.Events() })
 	var vms vmlist.List
 	for i := range o.Count {
-		w := standin.New(o.info(i), o.workerOptions(judge)...)
+		w := standin.New(o.info(i), o.workerOptions(checker)...)
 		path := fmt.Sprintf("/w/%d", i)
 		mux.Handle(path+"/", http.StripPrefix(path, w.Handler()))
 		vms.Workers = append(vms.Workers, w.Info())
@@ -69,14 +69,14 @@
 	}
 }
 
-func (o *options) workerOptions(judge *history.Checker) []standin.Option {
+func (o *options) workerOptions(checker *history.Checker) []standin.Option {
 	use := func(s *worker.Start) job.Resources {
 		return job.Resources{
 			Millicores: s.Resources.Millicores * o.Use / 100, MemoryMB: s.Resources.MemoryMB * o.Use / 100,
 			Accelerators: s.Resources.Accelerators,
 		}
 	}
-	opts := []standin.Option{standin.RunTime(o.Run), standin.Usage(use), standin.Record(judge.Record)}
+	opts := []standin.Option{standin.RunTime(o.Run), standin.Usage(use), standin.Record(checker.Record)}
 	if o.Guards {
 		opts = append(opts, standin.RejectInvalid())
 	}
