--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -30,12 +30,12 @@
 		return &route.ListReply{Jobs: jobs}, err
 	})
 	rpc.Handle(server, route.CallExplain, func(ctx context.Context, r *route.JobRequest) (*route.Explanation, error) {
-		return s.Why(ctx, r.ID)
+		return s.Explain(ctx, r.ID)
 	})
 }
 
-// Why returns the status of a job, the rule that decided on it, and what it is waiting for.
-func (s *Scheduler) Why(ctx context.Context, id string) (*route.Explanation, error) {
+// Explain returns the status of a job, the rule that decided on it, and what it is waiting for.
+func (s *Scheduler) Explain(ctx context.Context, id string) (*route.Explanation, error) {
 	status, err := s.Status(ctx, id)
 	if err != nil {
 		return nil, err
