--- a/owner/claim.go
+++ b/owner/claim.go
@@ -54,7 +54,7 @@
 	due := time.Since(g.strongerSince) > yieldAfter
 	g.mu.Unlock()
 	if due {
-		g.endTenure("a stronger VM is alive: " + stronger)
+		g.endTenure("a stronger VM is there: " + stronger)
 	}
 }
 
