--- a/job/work.go
+++ b/job/work.go
@@ -90,8 +90,8 @@
 	// MaxAttempts is how often a task may fail before its work has failed.
 	MaxAttempts int `msgpack:"a"`
 	// SlackFactor times the longest chain of work, and Target more, is when the work should be done.
-	SlackFactor    float64       `msgpack:"s"`
-	TargetDuration time.Duration `msgpack:"t"`
+	SlackFactor float64       `msgpack:"s"`
+	Objective   time.Duration `msgpack:"t"`
 	// Permit is how the queue's policy service answers; nil means that any worker may run its steps.
 	Permit *PermitCost `msgpack:"c,omitempty"`
 }
