--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -21,9 +21,9 @@
 )
 
 // accept adds a new work and makes it durable with the next commit. done is closed once it is durable, or receives the
-// reason why it was withdrawn unsent. The term can be sure that an ID is new only once it knows all works, including
-// those that have ended.
-func (t *term) accept(w *job.Work) (taken bool, done chan error) {
+// reason why it was refused, or withdrawn unsent. The term can be sure that an ID is new only once it knows all works,
+// including those that have ended, and accepts nothing before that.
+func (t *term) accept(w *job.Work) (accepted bool, done chan error) {
 	if !t.endedLoaded {
 		return false, nil
 	}
@@ -41,7 +41,7 @@
 			done <- errStoreUnavailable
 			return true, done
 		}
-		if reason := t.unschedulableReason(w); reason != "" {
+		if reason := t.infeasibleReason(w); reason != "" {
 			done <- rpc.Refused(0, "%s", reason)
 			return true, done
 		}
@@ -62,8 +62,8 @@
 // run a work: a new owner's list may arrive late, and entries that expired in an outage return two seconds after it.
 const workerListSettleTime = 5 * time.Second
 
-// unschedulableReason returns why a work can never start, or "" if it can.
-func (t *term) unschedulableReason(w *job.Work) string {
+// infeasibleReason returns why a work can never start, or "" if it may start.
+func (t *term) infeasibleReason(w *job.Work) string {
 	if _, failing := t.o.StoreFailing(); failing || time.Since(t.startedAt) < workerListSettleTime ||
 		time.Since(t.unlistedAt) < workerListSettleTime {
 		return ""
--- a/dispatch/calllimiter.go
+++ b/dispatch/calllimiter.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxConcurrentCalls limits the calls to workers without an answer yet: as many as a weak VM makes within the time
-	// that others wait for its answer to a ping.
+	// maxConcurrentCalls limits the calls to workers in flight. A weak VM can make this many within the time that other
+	// VMs wait for its answer to a ping.
 	maxConcurrentCalls = 32
 	// callSlotTimeout is how long a call without an answer keeps its slot, many times the duration of a round trip.
 	// Without it, calls to workers that are cut off would block the calls to all others.
@@ -25,7 +25,7 @@
 
 func newCallLimiter() callLimiter { return make(callLimiter, maxConcurrentCalls) }
 
-// acquire waits for a slot, which done or callSlotTimeout frees. It returns false if ctx has ended.
+// acquire waits for a slot, which is freed by done or after callSlotTimeout. It returns false if ctx has ended.
 func (c callLimiter) acquire(ctx context.Context) (done func(), ok bool) {
 	select {
 	case c <- struct{}{}:
--- a/dispatch/roomindex.go
+++ b/dispatch/capacityindex.go
@@ -12,9 +12,9 @@
 	bucketCount      = 130
 )
 
-// roomIndex indexes workers by availability zone and free CPU, so that those with room for a task are found without
+// capacityIndex indexes workers by availability zone and free CPU, so that those on which a task fits are found without
 // examining the others. It is updated with each change of a worker's free capacity.
-type roomIndex struct {
+type capacityIndex struct {
 	zones map[string]*zoneBuckets
 	// counts is the number of workers of all zones in each bucket.
 	counts [bucketCount]int
@@ -25,7 +25,7 @@
 
 // indexPosition is the position of a worker in the index.
 type indexPosition struct {
-	index *roomIndex
+	index *capacityIndex
 	zone  string
 	// bucket and slot are valid if indexed is true.
 	bucket, slot int
@@ -70,7 +70,7 @@
 	p.index.counts[p.bucket]--
 }
 
-func (r *roomIndex) zone(name string) *zoneBuckets {
+func (r *capacityIndex) zone(name string) *zoneBuckets {
 	if r.zones == nil {
 		r.zones = make(map[string]*zoneBuckets)
 	}
@@ -81,7 +81,7 @@
 }
 
 // maxFree returns an upper bound for the free CPU of any worker.
-func (r *roomIndex) maxFree() int64 {
+func (r *capacityIndex) maxFree() int64 {
 	for bucket := bucketCount - 1; bucket >= 0; bucket-- {
 		switch {
 		case r.counts[bucket] == 0:
@@ -97,7 +97,7 @@
 // visit calls fn for the workers with at least the free CPU of minBucket, those with the most first: first in the given
 // zone, then in the others. It starts at a different worker of a bucket for each offset, so that concurrent searches do
 // not all find the same workers. It stops if fn returns false.
-func (r *roomIndex) visit(zone string, minBucket, offset int, fn func(*node) bool) {
+func (r *capacityIndex) visit(zone string, minBucket, offset int, fn func(*node) bool) {
 	order := []string{zone}
 	for name := range r.zones {
 		if name != zone {
@@ -123,5 +123,5 @@
 // fitsNowhere reports whether a task of the stage surely fits on no worker. In a full cell this saves waiting stages
 // from examining all their workers.
 func (t *term) fitsNowhere(s *stage) bool {
-	return t.roomIndex.maxFree() < s.taskResources().Millicores
+	return t.capacityIndex.maxFree() < s.taskResources().Millicores
 }
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -28,8 +28,8 @@
 	return int(min(has/need, math.MaxInt32))
 }
 
-// taskResources returns the resources that one task is charged for. Filler tasks run on CPU that others leave unused
-// and are not charged for it.
+// taskResources returns the resources that one task is charged for. Best-effort tasks run on CPU that others leave
+// unused and are not charged for it.
 func (s *stage) taskResources() resources {
 	need := s.spec.TaskResources
 	if s.spec.BestEffort {
@@ -48,12 +48,12 @@
 	if fitCount(n.free.Minus(n.setAside), s.taskResources()) == 0 {
 		return 0 // a cheap check that suffices for most workers of a full cell
 	}
-	return t.limitTasks(s, n, fitCount(n.roomUntil(s.taskEndBound(now)), s.taskResources()))
+	return t.limitTasks(s, n, fitCount(n.availableUntil(s.taskEndBound(now)), s.taskResources()))
 }
 
-// tasksFittingBesideClaims returns how many fit without using capacity claimed by gangs.
-func (t *term) tasksFittingBesideClaims(s *stage, n *node, now time.Time) int {
-	return t.limitTasks(s, n, fitCount(n.roomBesideClaims(s.taskEndBound(now)), s.taskResources()))
+// tasksFittingUnclaimed returns how many tasks of a stage fit on a worker without using capacity claimed by gangs.
+func (t *term) tasksFittingUnclaimed(s *stage, n *node, now time.Time) int {
+	return t.limitTasks(s, n, fitCount(n.unclaimedUntil(s.taskEndBound(now)), s.taskResources()))
 }
 
 // taskEndBound returns an upper bound for the end of a task that starts now, used for backfilling reserved capacity.
@@ -61,7 +61,7 @@
 	return now.Add(time.Duration(backfillMargin * float64(s.spec.Estimate)))
 }
 
-// limitTasks bounds a number of tasks by the stage's limit per worker and by the worker's trial.
+// limitTasks bounds a number of tasks by the stage's limit per worker, and to a single trial run on a worker on trial.
 func (t *term) limitTasks(s *stage, n *node, k int) int {
 	if limit := s.spec.MaxPerWorker; limit > 0 {
 		k = min(k, limit-s.tasksOn(n))
@@ -102,8 +102,8 @@
 	return s.allowedNodes
 }
 
-// nodesWithRoom returns the workers on which a task of the stage fits now, best first.
-func (t *term) nodesWithRoom(s *stage, now time.Time) []*node {
+// nodesWithCapacity returns the workers on which a task of the stage fits now, best first.
+func (t *term) nodesWithCapacity(s *stage, now time.Time) []*node {
 	return t.sortedCandidates(s, now, func(n *node) bool { return t.tasksFitting(s, n, now) > 0 })
 }
 
@@ -113,11 +113,12 @@
 // choice is a worker with its sort keys.
 type choice struct {
 	node *node
-	// suspicion, dataDistance and outsideZone are penalties of the worker for the stage; room is its available CPU.
+	// suspicion, dataDistance and outsideZone are penalties of the worker for the stage; available is its available CPU.
 	suspicion, dataDistance, outsideZone int
-	room                                 int64
+	available                            int64
 }
 
+// compare orders choices best first. emptiestFirst prefers the workers with the most available CPU.
 func (c *choice) compare(o *choice, emptiestFirst bool) int {
 	switch {
 	case c.suspicion != o.suspicion:
@@ -129,13 +130,13 @@
 	case emptiestFirst:
 		c, o = o, c
 	}
-	return cmp.Or(cmp.Compare(c.room, o.room), strings.Compare(c.node.id, o.node.id))
+	return cmp.Or(cmp.Compare(c.available, o.available), strings.Compare(c.node.id, o.node.id))
 }
 
-// sortedCandidates returns the usable workers that may run the stage and that keep accepts, best first. Suspect workers
-// come last, before them workers away from the stage's data, before them workers outside the caller's zone. Among
-// equals, workers with less room come first, so that large blocks of capacity stay whole. Gangs and rules with the
-// spread strategy prefer the most room. The list is valid until the next call.
+// sortedCandidates returns the usable workers that may run the stage and that keep accepts, best first. It prefers, in
+// this order, workers with fewer failures, workers near the stage's data, and workers in the caller's zone. Among
+// equals, workers with less available CPU come first, so that large blocks of capacity stay whole; for gangs and rules
+// with the spread strategy, those with the most come first. The list is valid until the next call.
 func (t *term) sortedCandidates(s *stage, now time.Time, keep func(*node) bool) []*node {
 	p := &t.pass
 	choices := p.choices[:0]
@@ -143,7 +144,7 @@
 	p.examined += len(candidates)
 	for _, n := range candidates {
 		if keep(n) && t.usable(n, now) && t.matches(s, n) && !s.interferes(n) {
-			choices = append(choices, choice{n, s.suspicion(n), s.dataDistance(n), s.outsideZone(n), n.room().Millicores})
+			choices = append(choices, choice{n, s.suspicion(n), s.dataDistance(n), s.outsideZone(n), n.available().Millicores})
 		}
 	}
 	emptiestFirst := s.emptiestFirst()
@@ -183,8 +184,8 @@
 	return 0
 }
 
-// interferes reports whether a stage should not share a worker with the tasks that run there. Filler tasks push the
-// tail latency of tasks with a latency bound over that bound, and nothing throttles them yet.
+// interferes reports whether a stage should not share a worker with the tasks that run there. Best-effort tasks push
+// the tail latency of tasks with a latency bound over that bound, and nothing throttles them yet.
 func (s *stage) interferes(n *node) bool {
 	if !s.spec.BestEffort && s.spec.TailLatency == 0 {
 		return false
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -253,7 +253,8 @@
 	}
 }
 
-// resolve reports whether a rejected transaction had already been applied by an earlier attempt.
+// resolve returns the revision of the stream's key if an earlier attempt of a rejected transaction was applied, and
+// errTermClosed if none was.
 func (t *term) resolve(ctx context.Context, batch *commitBatch, res *store.TxnResult) (int64, error) {
 	found := res.Existing
 	if len(found) == 0 {
--- a/dispatch/committer.go
+++ b/dispatch/committer.go
@@ -19,7 +19,7 @@
 	// retryAt is when the next commit may be sent after the store declined one; backoff computes the delays.
 	retryAt time.Time
 	backoff *retry.Backoff
-	// wakeAt is when a timer triggers the next look at the queue.
+	// wakeAt is when a timer triggers the next check of the queue.
 	wakeAt time.Time
 	// lastSent is when the latest commit was sent.
 	lastSent time.Time
@@ -35,7 +35,7 @@
 
 const (
 	// maxStreams bounds the transactions in flight. This many carry a burst of checks while the store is slow; a
-	// single one does not.
+	// single one could not.
 	maxStreams = 8
 	// streamOpenDelay is how long a change waits before another stream is used while a commit is in flight: three times
 	// the usual store latency.
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case ready == 0:
-		return c.inFlight == 0 && len(t.endedToRemove) >= removeBatch
+		return c.inFlight == 0 && len(t.endedToRemove) >= removalBatchSize
 	case ready >= maxTxnOps-commitOverhead:
 		return true
 	}
@@ -146,5 +146,6 @@
 	time.AfterFunc(after, func() { t.post(func() { c.wakeAt = time.Time{} }) })
 }
 
-// removeBatch is how many records of ended work one commit deletes.
-const removeBatch = 24
+// removalBatchSize is the number of records of ended work from which a commit is sent only to delete them. Other
+// commits delete as many as fit.
+const removalBatchSize = 24
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -6,8 +6,8 @@
 // consistent across owners:
 //
 //   - A start is sent only after its intent is durable, so a successor knows every task that may be running.
-//   - The end of a run is acknowledged to the worker only after it is durable. Otherwise the worker lists it
-//     again, so a successor still sees it.
-//   - Every commit compares the owner's key and the number of the previous commit, so neither a replaced owner
-//     nor a commit that the store applies late can change anything.
+//   - The end of a run is acknowledged to the worker only after it is durable. Until then the worker keeps
+//     listing it, so a successor sees an end that was not stored.
+//   - Every commit compares the owner's key and the revision that the previous commit of its stream left, so
+//     neither a replaced owner nor a commit that the store applies late can change anything.
 package dispatch
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -9,7 +9,7 @@
 	"turmericgap/worker"
 )
 
-// endRun handles the certain end of a run.
+// endRun handles the end of a run that has certainly ended.
 func (t *term) endRun(r *run, how worker.RunOutcome, checkpoint string) {
 	if r.ended {
 		return
@@ -22,7 +22,7 @@
 	if checkpoint != "" {
 		r.stage.keepCheckpoint(r.index, checkpoint)
 	}
-	t.noteEnding(r, how)
+	t.recordEnding(r, how)
 	t.log.Info("dispatch: run ended", zap.String("id", e.work.ID), zap.Int("occurrence", r.stage.occurrence.number),
 		zap.Int("step", r.stage.index), zap.Int("task", r.index), zap.Int64("run", r.number),
 		zap.String("worker", r.node.id),
@@ -87,7 +87,7 @@
 		return
 	case how == worker.OutcomeFailed && !s.spec.Service:
 		task.failures++
-		s.noteFailureOn(r.node.id)
+		s.recordFailureOn(r.node.id)
 		if task.failures >= s.entry.queue.MaxAttempts {
 			t.failWork(s)
 		}
@@ -110,7 +110,7 @@
 		}
 	case worker.OutcomeFailed:
 		g.failed = true
-		s.noteFailureOn(r.node.id)
+		s.recordFailureOn(r.node.id)
 	default:
 	}
 	if !g.done && !g.aborted {
@@ -194,7 +194,7 @@
 	t.passNeeded = true
 }
 
-func (s *stage) noteFailureOn(workerID string) {
+func (s *stage) recordFailureOn(workerID string) {
 	if s.failuresByWorker == nil {
 		s.failuresByWorker = make(map[string]int)
 	}
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -29,15 +29,16 @@
 	started bool
 	// endQueued is true once the record of the end is in a commit, where it replaces the work.
 	endQueued bool
-	// size is the work's resource use in core-seconds. class is its size class when it was accepted, for the log only:
-	// turns use the current class, because the first works that a new owner sees are the large ones that waited.
+	// size is the work's resource use in core-seconds. class is its size class when this term added it, for the log
+	// only: scheduling uses the current class, because the first works that a new owner sees are the large ones that
+	// waited.
 	size  float64
 	class aging.Class
 	// outcomeCounted is true once the outcome of the work has been counted.
 	outcomeCounted bool
 	// remainingAfter is, for each step, the estimated duration of the longest chain of steps after it.
 	remainingAfter []time.Duration
-	// objective is how long after it is due an occurrence should be done.
+	// objective is how long after its due time an occurrence should be done.
 	objective time.Duration
 	// needsCreate is true while the work itself is not durable: the next commit of the entry creates it.
 	needsCreate bool
@@ -79,8 +80,8 @@
 	permits
 	// waitReason is why a gang did not start in the latest pass.
 	waitReason gangWaitReason
-	// reservedRoom is the room reserved for the gang in the latest pass.
-	reservedRoom []allocation
+	// reservedCapacity is the capacity reserved for the gang in the latest pass.
+	reservedCapacity []allocation
 	// failuresByWorker counts the failures of the stage's tasks by worker ID.
 	failuresByWorker map[string]int
 }
@@ -114,7 +115,7 @@
 	node   *node
 	need   job.Resources
 	// decidedAt is when the start was decided, sentAt when the order was sent, and confirmedAt when the worker was
-	// known to have the run. They are zero if a former owner did this.
+	// known to have the run. For a run of a former owner, decidedAt is zero and sentAt is the start of this term.
 	decidedAt, sentAt, confirmedAt time.Time
 	// startExpires is when the start order becomes void, on the worker's clock; zero if none was sent.
 	startExpires time.Duration
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -14,7 +14,7 @@
 	gangWaitLastRun  gangWaitReason = "rest"     // members of the last run may still be running
 	gangWaitRule     gangWaitReason = "rule"     // its rule's limit of running tasks is reached
 	gangWaitReserved gangWaitReason = "reserved" // capacity is reserved for it
-	gangWaitRoom     gangWaitReason = "room"     // there is no capacity, and none is reserved for it
+	gangWaitCapacity gangWaitReason = "room"     // there is no capacity, and none is reserved for it
 )
 
 // placeGang starts all tasks of a gang together. If it lacks permits, it sets capacity aside and requests them; if it
@@ -33,7 +33,7 @@
 		return
 	}
 	if t.fitsNowhere(s) && !t.canReserve(s, now) {
-		s.waitReason = gangWaitRoom
+		s.waitReason = gangWaitCapacity
 		return
 	}
 	nodes := t.sortedCandidates(s, now, anyNode)
@@ -52,12 +52,12 @@
 	plan := t.planGang(s, nodes, now, func(*node) bool { return true })
 	switch {
 	case plan != nil:
-	case s.needsPermit() && t.hasUnnamedRoom(s, now):
+	case s.needsPermit() && t.hasUnnamedCapacity(s, now):
 		s.waitReason = gangWaitPermit
 		t.sendFirstRequests(s, now)
 		return
 	default:
-		s.waitReason = gangWaitRoom
+		s.waitReason = gangWaitCapacity
 		if res, ok := t.reserve(s, nodes, now); ok {
 			s.waitReason = gangWaitReserved
 			t.requestEarly(s, &res, now)
@@ -67,14 +67,14 @@
 	names := make([]string, 0, len(plan))
 	for _, p := range plan {
 		names = append(names, p.node.id)
-		s.setAsideRoom(p.node, p.tasks)
+		s.setAsideCapacity(p.node, p.tasks)
 	}
 	s.waitReason = gangWaitPermit
 	t.sendPermitRequest(s, names, now)
 }
 
-// planGang assigns all tasks of a gang to eligible nodes, or returns nil if they do not fit. A gang that wants a single
-// rack gets several only if no rack fits it.
+// planGang assigns all tasks of a gang to eligible nodes, or returns nil if they do not fit. A gang that prefers a
+// single rack is spread over several only if it fits in none.
 func (t *term) planGang(s *stage, nodes []*node, now time.Time, eligible func(*node) bool) []allocation {
 	if s.spec.SameRack {
 		for _, rack := range racks(nodes) {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// suspectFailures is how many recent failures, if they outnumber the successes, make a worker suspect. Up to one
-	// run in twenty fails through the fault of its work.
+	// suspectFailures is the number of recent failures above which a worker is suspect, if they also outnumber its
+	// successes. Up to one run in twenty fails through the fault of its work.
 	suspectFailures = 2
 	// endsWindow is the number of recent ends after which all counts are halved. A worker has about three ends a
 	// second.
@@ -23,9 +23,9 @@
 	// Workers on which everything fails do so for several seconds.
 	quarantineMin = time.Second
 	quarantineMax = 4 * time.Second
-	// quarantineShare is the divisor that limits quarantine: at most one worker in quarantineShare. If more of them
-	// fail, the workers are not the cause, and work must not wait for a quarantine to end.
-	quarantineShare = 4
+	// quarantineDivisor limits quarantine to one worker in this many. If more of them fail, the workers are not the
+	// cause, and work must not wait for a quarantine to end.
+	quarantineDivisor = 4
 )
 
 // health is the state of a worker derived from the ends of its runs.
@@ -61,8 +61,8 @@
 	return h.trialRun == nil && !s.spec.Gang && len(s.failuresByWorker) == 0
 }
 
-// noteEnding updates the health of a worker after the end of a run.
-func (t *term) noteEnding(r *run, ending worker.RunOutcome) {
+// recordEnding updates the health of a worker after the end of a run.
+func (t *term) recordEnding(r *run, ending worker.RunOutcome) {
 	h := &r.node.health
 	if h.trialRun == r {
 		h.trialRun = nil
@@ -108,5 +108,5 @@
 			quarantined++
 		}
 	}
-	return quarantined*quarantineShare <= len(t.nodes)
+	return quarantined*quarantineDivisor <= len(t.nodes)
 }
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	fresh := newTestStage(&job.Work{Steps: []job.Step{{Tasks: 1}}})
 	failed := newTestStage(&job.Work{Steps: []job.Step{{Tasks: 1}}})
-	failed.noteFailureOn("another")
+	failed.recordFailureOn("another")
 	u := &health{failedInARow: quarantineAfter}
 	is.True(u.acceptsTrial(fresh))
 	is.True(!u.acceptsTrial(failed))
@@ -53,7 +53,7 @@
 	for id, n := range term.nodes {
 		for i := range quarantineAfter {
 			s := newTestStage(&job.Work{ID: id + string(rune('0'+i)), Steps: []job.Step{{Tasks: 1}}})
-			term.noteEnding(&run{stage: s, node: n}, worker.OutcomeFailed)
+			term.recordEnding(&run{stage: s, node: n}, worker.OutcomeFailed)
 		}
 	}
 	quarantined := 0
@@ -62,7 +62,7 @@
 			quarantined++
 		}
 	}
-	is.Equal(quarantined, len(term.nodes)/quarantineShare)
+	is.Equal(quarantined, len(term.nodes)/quarantineDivisor)
 }
 
 // Guards against spreading a gang over two racks, where it runs three times as long, while an open permit request may
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -34,11 +34,11 @@
 	t.wg.Go(func() { t.sendHolds(ctx, n) })
 }
 
-// initialLeaseEnd returns when a worker that this term has never reached holds no lease from a former owner, which may
-// have extended it for extendGrace.
+// initialLeaseEnd returns when a lease from a former owner has certainly lapsed on a worker that this term has never
+// reached. The former owner may have extended it for extendGrace.
 func (t *term) initialLeaseEnd() time.Time { return t.startedAt.Add(extendGrace + t.maxLeaseSpan()) }
 
-// maxLeaseSpan returns how long after a hold was sent the lease may last, with the drift of the worker's clock.
+// maxLeaseSpan returns how long after a hold was sent the lease may last, including the drift of the worker's clock.
 func (t *term) maxLeaseSpan() time.Duration {
 	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + lapseMargin
 }
@@ -62,8 +62,8 @@
 	}
 }
 
-// hold sends a hold. One that is answered at once uses a slot of the call limiter. One that waits at the worker does
-// not, as it would block the slot.
+// hold sends a hold, the call that extends a worker's lease and returns its active and ended runs. A hold that is
+// answered at once uses a slot of the call limiter. One that waits at the worker does not, as it would block the slot.
 func (t *term) hold(ctx context.Context, n *node, h *worker.Hold) (held *worker.HoldReply, err error) {
 	if h.Wait == 0 {
 		err = t.call(ctx, n.agent, holdTimeoutSlack, func(ctx context.Context) error {
@@ -83,7 +83,7 @@
 	now := time.Now()
 	h := worker.Hold{Fence: t.tenure.Fence, Observed: n.lastEndObserved, Wait: wait}
 	if n.synced && n.misses < extendMissLimit && t.tenure.Confirmed(extendGrace) {
-		// The hold is sent after the pause; the lease then lasts that much shorter from its arrival.
+		// The hold is sent after the pause, so the lease lasts that much less from its arrival.
 		h.Until = n.clockNow(now) + t.o.MaxHold
 		n.leaseEnd = now.Add(pause + t.maxLeaseSpan())
 	}
@@ -176,7 +176,7 @@
 	switch {
 	case errors.Is(err, worker.ErrReplaced):
 		n.listed = false
-		t.endLifetime(n, worker.OutcomeLeaseExpired, "its lifetime is over")
+		t.endAllRuns(n, worker.OutcomeLeaseExpired, "its lifetime is over")
 		return
 	case errors.As(err, &refused) && refused.Reason == worker.ReasonFenced:
 		t.loseOwnership("a worker knows a later owner", err)
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -20,7 +20,7 @@
 	number int64
 }
 
-// node is the owner's state of one lifetime of a worker.
+// node is the owner's state of one worker instance.
 type node struct {
 	id      string
 	listing worker.ListedWorker
@@ -32,11 +32,11 @@
 	agent      *worker.Agent
 	stop       context.CancelFunc
 	holdOrders chan holdOrder
-	// roomWantedPass is the latest pass after which a stage waited for capacity here; wake ends the pause before a
+	// capacityAwaitedPass is the latest pass after which a stage waited for capacity here; wake ends the pause before a
 	// hold.
-	roomWantedPass int64
-	wake           chan struct{}
-	// usablePart is the slice of a pass for which usableNow is valid, sortedPart the one for which runsByEnd is sorted.
+	capacityAwaitedPass int64
+	wake                chan struct{}
+	// usablePart is the part of a pass for which usableNow is valid, sortedPart the one for which runsByEnd is sorted.
 	usablePart, sortedPart int64
 	usableNow              bool
 	runsByEnd              []*run
@@ -57,16 +57,17 @@
 	claimedUntil time.Time
 	runs         map[runKey]*run
 	// unknownRuns is the number of runs on the worker that this term does not know. As their resources are unknown,
-	// nothing new is placed beside them.
+	// nothing new is placed on the worker while it has any.
 	unknownRuns int
 	// synced is true once the worker has answered a hold of this term. From then on it rejects older orders to start.
 	synced bool
 	// clock is the worker's clock at the local time clockAt.
 	clock   time.Duration
 	clockAt time.Time
+	// heardAt is when a hold or probe was last answered.
 	heardAt time.Time
-	// silentAt is when an order to the worker last got no answer. The worker gets nothing new until it answers again.
-	// holdDue is when the pending hold should have been answered.
+	// silentAt is when an order to the worker last got no answer. The worker gets nothing new until a hold or probe is
+	// answered again. holdDue is when the pending hold should have been answered.
 	silentAt, holdDue time.Time
 	// lastEndSeen is the highest number of an end that was processed, lastEndObserved the highest that is durable.
 	lastEndSeen, lastEndObserved int64
@@ -75,14 +76,15 @@
 	// holding is true while a hold is pending. observeWait identifies the current wait for durable ends.
 	holding     bool
 	observeWait int
-	// holdSentAt is when the latest hold was sent, probedAt when the worker was last probed beside a hold.
+	// holdSentAt is when the latest hold was sent, probedAt when the worker was last probed in addition to a hold.
 	holdSentAt, probedAt time.Time
 	// misses is the number of consecutive holds without an answer.
 	misses int
 	// leaseEnd is when everything on the worker has surely ended if the worker stays silent.
-	leaseEnd    time.Time
-	unwellUntil time.Time
-	// draining is true while the VM below the worker is prepared for maintenance; nothing new is placed there.
+	leaseEnd time.Time
+	// unhealthyUntil is when the worker may get new work again after it declined an order or a run on it stalled.
+	unhealthyUntil time.Time
+	// draining is true while the worker's VM is prepared for maintenance; nothing new is placed there.
 	draining bool
 	health
 }
@@ -93,7 +95,7 @@
 // usable reports whether new runs may be placed on the worker.
 func (n *node) usable(now time.Time) bool {
 	return n.listed && !n.unreadable && n.synced && !n.listing.Leaving && n.unknownRuns == 0 && n.misses == 0 &&
-		now.After(n.unwellUntil) && n.heardAt.After(n.silentAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) &&
+		now.After(n.unhealthyUntil) && n.heardAt.After(n.silentAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) &&
 		!n.isQuarantined(now) && !n.draining
 }
 
@@ -105,7 +107,7 @@
 	return n.ownerLag.slack()
 }
 
-// usable returns n.usable, cached for each slice of a pass.
+// usable returns n.usable, cached for each part of a pass.
 func (t *term) usable(n *node, now time.Time) bool {
 	if n.usablePart != t.pass.part {
 		n.usablePart, n.usableNow = t.pass.part, n.usable(now)
@@ -113,8 +115,8 @@
 	return n.usableNow
 }
 
-// room returns the free capacity for new runs.
-func (n *node) room() job.Resources { return n.free.Minus(n.setAside).Minus(n.reserved) }
+// available returns the capacity that new runs may use: free, less what is set aside and reserved.
+func (n *node) available() job.Resources { return n.free.Minus(n.setAside).Minus(n.reserved) }
 
 // charge charges the resources of a run to the worker.
 func (n *node) charge(r *run) {
@@ -131,14 +133,14 @@
 	n.updateIndex()
 }
 
-// minWatchInterval is the minimum interval between updates from the watch of workers, as each worker writes its entry every
-// second or two. A leaving worker must get nothing new after two seconds.
-const minWatchInterval = 300 * time.Millisecond
+// workersWatchInterval is the minimum interval between updates from the watch of workers, as each worker writes its
+// entry every second or two. A leaving worker must get nothing new after two seconds.
+const workersWatchInterval = 300 * time.Millisecond
 
 // followWorkers watches the workers' entries.
 func (t *term) followWorkers() {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: t.o.WorkersPrefix, MinInterval: minWatchInterval, Logger: t.log,
+		Store: t.o.Store, Prefix: t.o.WorkersPrefix, MinInterval: workersWatchInterval, Logger: t.log,
 		OnReset:  func(pairs []store.Pair, _ int64) { t.post(func() { t.resetWorkers(pairs) }) },
 		OnChange: func(events []store.Event, _ int64) { t.post(func() { t.changeWorkers(events) }) },
 	}
@@ -173,7 +175,7 @@
 				hasLeft := n.hasLeft(time.Now())
 				t.onUnlisted(n)
 				if hasLeft {
-					t.endLifetime(n, worker.OutcomeLeaseExpired, "it has left")
+					t.endAllRuns(n, worker.OutcomeLeaseExpired, "it has left")
 				}
 			}
 			continue
@@ -212,8 +214,8 @@
 const maxLeavingEntryAge = 2500 * time.Millisecond
 
 // hasLeft reports whether a worker whose entry was deleted has deleted it itself on leaving, so that nothing runs there
-// any more. Otherwise its last tasks would wait for the end of a lease that nobody holds. An entry that expired is
-// older by the worker's own clock, no matter how late the watch reports it.
+// any more. Without this check, its last tasks would wait for the end of a lease that nobody holds. An entry that
+// expired is older by the worker's own clock, no matter how late the watch reports it.
 func (n *node) hasLeft(now time.Time) bool {
 	return n.listing.Leaving && !n.clockAt.IsZero() && n.listing.Clock > 0 && n.clockNow(now)-n.listing.Clock < maxLeavingEntryAge
 }
@@ -230,7 +232,7 @@
 
 func (t *term) addNode(n *node) {
 	t.nodes[n.id] = n
-	n.position.index, n.ownerLag = &t.roomIndex, &t.lag
+	n.position.index, n.ownerLag = &t.capacityIndex, &t.lag
 	n.updateIndex()
 	at, _ := t.searchNodes(n)
 	t.sortedNodes = slices.Insert(t.sortedNodes, at, n)
@@ -291,8 +293,8 @@
 	t.removeNode(n)
 }
 
-// endLifetime ends all runs of a worker whose lifetime is over.
-func (t *term) endLifetime(n *node, ending worker.RunOutcome, reason string) {
+// endAllRuns ends all runs of a worker instance that has ended or whose lease has lapsed.
+func (t *term) endAllRuns(n *node, ending worker.RunOutcome, reason string) {
 	t.log.Info("dispatch: worker's runs are over", zap.String("worker", n.id), zap.String("reason", reason), zap.Int("runs", len(n.runs)))
 	for _, r := range n.runs {
 		t.endRun(r, ending, "")
@@ -304,7 +306,7 @@
 func (t *term) endLapsed(now time.Time) {
 	for _, n := range t.nodes {
 		if len(n.runs) > 0 && (n.misses > 0 || !n.synced) && now.After(n.leaseEnd) {
-			t.endLifetime(n, worker.OutcomeLeaseExpired, "silent until its lease had lapsed")
+			t.endAllRuns(n, worker.OutcomeLeaseExpired, "silent until its lease had lapsed")
 		}
 	}
 }
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -23,19 +23,19 @@
 	// WorkersPrefix is the key prefix of the worker entries; DecodeWorker decodes one entry.
 	WorkersPrefix string
 	DecodeWorker  func(key string, raw []byte) (worker.ListedWorker, error)
-	// Agent returns the RPC client for one lifetime of a worker.
+	// Agent returns the RPC client of one worker instance.
 	Agent func(worker.Info) *worker.Agent
 	// Config returns the newest configuration known to this process, or nil.
 	Config func() *job.Config
 	// Rules returns the operators' rules in force, or nil.
 	Rules func() *rule.List
 	// Nodes lists the entry VMs that may query the policy service. It returns the same slice until the list changes.
-	// Ask sends a permit request from one of these VMs.
+	// RequestPermit sends a permit request from one of these VMs.
 	Nodes         func() []owner.Node
 	RequestPermit func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error)
 	Logger        *zap.Logger
 	Metrics       *metric.Registry
-	// Waves configures upkeep waves; nil disables them.
+	// Waves configures maintenance waves; nil disables them.
 	Waves *Waves
 	// OnExamined is called during a pass with the number of workers examined since the last call. Tests use it to
 	// simulate the cost. May be nil.
@@ -90,8 +90,8 @@
 	orderTimeout       = 400 * time.Millisecond
 	// haltRetryPause is the delay before an order to stop is sent again.
 	haltRetryPause = 400 * time.Millisecond
-	// unwellDuration is how long a worker that declined a call gets no new work.
-	unwellDuration = 700 * time.Millisecond
+	// unhealthyDuration is how long a worker that declined an order gets no new work.
+	unhealthyDuration = 700 * time.Millisecond
 	// observeTimeout bounds the wait for an end to become durable before the lease is extended without acknowledging
 	// it.
 	observeTimeout = 400 * time.Millisecond
@@ -132,12 +132,12 @@
 
 // Permits sets the entry VMs that query the policy service, and the function that sends a permit request.
 func Permits(
-	nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Request) (*permit.Response, error),
+	nodes func() []owner.Node, request func(context.Context, owner.Node, *permit.Request) (*permit.Response, error),
 ) Option {
-	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, ask }
+	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, request }
 }
 
-// Upkeep sets the source of upkeep waves and the service that carries them out.
+// Upkeep sets the source of maintenance waves and the service that carries them out.
 func Upkeep(w *Waves) Option { return func(o *Options) { o.Waves = w } }
 
 // Logger sets the logger.
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// isDefinite reports whether an error tells the outcome of an order for certain.
+// isDefinite reports whether an error shows the outcome of an order for certain.
 func isDefinite(err error) bool {
 	var refused *worker.Refusal
 	return errors.As(err, &refused) || errors.Is(err, worker.ErrReplaced) || errors.Is(err, worker.ErrUnhealthy)
@@ -75,12 +75,12 @@
 		t.onRefused(r, refused.Reason)
 	case unanswered && isDefinite(err) && !errors.Is(err, worker.ErrReplaced):
 		// A hold that is sent after the order is void shows whether the earlier attempt started the run.
-		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		r.node.unhealthyUntil = time.Now().Add(unhealthyDuration)
 	case errors.Is(err, worker.ErrReplaced):
 		r.node.listed = false
-		t.endLifetime(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
+		t.endAllRuns(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
 	case errors.Is(err, worker.ErrUnhealthy):
-		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		r.node.unhealthyUntil = time.Now().Add(unhealthyDuration)
 		t.onNeverStarted(r, "the worker is unwell")
 	default:
 		// The order may still be carried out; later holds show the outcome.
@@ -102,10 +102,10 @@
 	case worker.ReasonInvalid:
 		t.log.Error("dispatch: a worker does not understand an order", zap.String("id", r.stage.entry.work.ID),
 			zap.String("worker", r.node.id))
-		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		r.node.unhealthyUntil = time.Now().Add(unhealthyDuration)
 		t.onNeverStarted(r, "the worker did not understand")
 	default:
-		r.node.unwellUntil = time.Now().Add(unwellDuration)
+		r.node.unhealthyUntil = time.Now().Add(unhealthyDuration)
 		t.onNeverStarted(r, "the worker refused: "+string(reason))
 	}
 }
@@ -145,7 +145,7 @@
 		t.loseOwnership("a worker knows a later owner", err)
 	case errors.Is(err, worker.ErrReplaced):
 		r.node.listed = false
-		t.endLifetime(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
+		t.endAllRuns(r.node, worker.OutcomeLeaseExpired, "its lifetime is over")
 	default:
 		t.log.Info("dispatch: stop order failed", zap.String("id", r.stage.entry.work.ID), zap.Int64("run", r.number),
 			zap.String("worker", r.node.id), zap.Error(err))
--- a/dispatch/pass.go
+++ b/dispatch/pass.go
@@ -9,8 +9,8 @@
 type pass struct {
 	// number counts the passes; it marks values as computed by a certain pass.
 	number int64
-	// part counts the slices of passes. The loop handles no event during a slice, so that values cached for it stay
-	// valid.
+	// part counts the parts into which passes are split by passBudget. The loop handles no event during a part, so that
+	// values cached for it stay valid.
 	part int64
 	// since is the time of the oldest change that led to this pass. remaining holds the stages that it has yet to try.
 	since     time.Time
@@ -55,7 +55,7 @@
 	if len(order)-first <= expiredPerPass {
 		return order
 	}
-	// Always try expired stages that hold capacity set aside, since only their own turn releases it.
+	// Always try expired stages with capacity set aside, since it is released only when they are tried.
 	var holding, others []urgency
 	for _, u := range order[first:] {
 		if len(u.stage.setAside) > 0 {
--- a/dispatch/permitrequest.go
+++ b/dispatch/permitrequest.go
@@ -13,13 +13,14 @@
 // candidate is a worker that may be named in a permit request for a stage, and was not named in an earlier one.
 type candidate struct {
 	node *node
-	// fits is how many tasks of the stage have room now, or -1 if the worker is not usable.
+	// fits is how many tasks of the stage fit on the worker now, or -1 if the worker is not usable.
 	fits int
 	// sortKey orders the candidates, smallest first.
 	sortKey int
 }
 
-// zoneRank is 0 for a candidate with room in the caller's zone, 1 for one with room elsewhere, 2 for one without room.
+// zoneRank is 0 for a candidate with capacity in the caller's zone, 1 for one with capacity elsewhere, and 2 for one
+// without capacity.
 func (c *candidate) zoneRank(s *stage) int {
 	if c.fits <= 0 {
 		return 2
@@ -31,13 +32,13 @@
 // would use more of the owner's CPU than everything else, and a partial one is as good where capacity is not scarce.
 const maxFullScan = 400
 
-// scansAll reports whether unnamedCandidates examines all workers. For a stage with local data it does in any cell, as
-// the few workers near the data may be anywhere.
+// scansAll reports whether unnamedCandidates examines all workers. For a stage with local data it does so in a cell of
+// any size, as the few workers near the data may be anywhere.
 func (t *term) scansAll(s *stage) bool {
 	return len(t.sortedNodes) <= maxFullScan || s.spec.DataRack != ""
 }
 
-// unnamedCandidates returns workers that were not yet named, sorted by distance from the data, caller's zone and free
+// unnamedCandidates returns workers that were not yet named, sorted by distance from the data, zone rank and free
 // capacity. In a small cell it returns all of them, in a large one as many as a request may need. The list is valid
 // until the next call.
 func (t *term) unnamedCandidates(s *stage, now time.Time) []candidate {
@@ -64,7 +65,7 @@
 	if fitCount(n.listing.Has, need) == 0 {
 		return list
 	}
-	c := candidate{node: n, fits: fitCount(n.room(), need)}
+	c := candidate{node: n, fits: fitCount(n.available(), need)}
 	if !t.usable(n, now) {
 		c.fits = -1
 	}
@@ -75,14 +76,14 @@
 // findCandidates searches the workers with the most free capacity first, until it has as many candidates as a request
 // may need.
 func (t *term) findCandidates(list []candidate, s *stage, now time.Time) []candidate {
-	names, tasks := t.wantedNames(s)
-	withRoom, free, visited := 0, 0, 0
+	names, tasks := t.namesNeeded(s)
+	withCapacity, free, visited := 0, 0, 0
 	collectUntil := func(enough func() bool) func(*node) bool {
 		return func(n *node) bool {
 			visited++
 			before := len(list)
 			if list = t.appendCandidate(list, s, n, visited, now); len(list) > before && list[before].fits > 0 {
-				withRoom++
+				withCapacity++
 				free += list[before].fits
 			}
 			return !enough()
@@ -90,15 +91,15 @@
 	}
 	offset := int(t.pass.number)
 	minBucket := bucketOf(s.taskResources().Millicores)
-	t.roomIndex.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withRoom >= names && free >= tasks }))
-	if withRoom < names || free < tasks {
-		// Gangs must also know workers without room in order to wait for them. Skip the ones already found.
+	t.capacityIndex.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withCapacity >= names && free >= tasks }))
+	if withCapacity < names || free < tasks {
+		// Gangs must also know workers without capacity in order to wait for them. Skip the ones already found.
 		seen := make(map[*node]bool, len(list))
 		for _, c := range list {
 			seen[c.node] = true
 		}
 		more := collectUntil(func() bool { return len(list) >= names+permit.MaxWorkers })
-		t.roomIndex.visit(s.entry.work.Zone, 0, offset, func(n *node) bool { return seen[n] || more(n) })
+		t.capacityIndex.visit(s.entry.work.Zone, 0, offset, func(n *node) bool { return seen[n] || more(n) })
 	}
 	t.pass.examined += visited
 	return list
@@ -146,13 +147,13 @@
 	return limit
 }
 
-// wantedNames returns the minimum number of workers to name, and for how many tasks they should have room.
-func (t *term) wantedNames(s *stage) (names, tasks int) {
-	room := namingFactor * float64(s.waiting) / t.expectedGrantShare(s.entry.queue.Name)
+// namesNeeded returns the minimum number of workers to name, and how many tasks should fit on them.
+func (t *term) namesNeeded(s *stage) (names, tasks int) {
+	capacity := namingFactor * float64(s.waiting) / t.expectedGrantShare(s.entry.queue.Name)
 	if s.spec.Gang {
-		return minNamedWorkers, int(math.Ceil(room))
+		return minNamedWorkers, int(math.Ceil(capacity))
 	}
-	return max(int(room/float64(max(t.maxTasksPerWorker(s)/2, 1))), minNamedWorkers), 0
+	return max(int(capacity/float64(max(t.maxTasksPerWorker(s)/2, 1))), minNamedWorkers), 0
 }
 
 // nameCount returns how many of the unnamed workers to name at once. More cost time at the service; fewer may not
@@ -167,11 +168,11 @@
 		// Naming all is cheaper than a second request.
 		return len(list)
 	}
-	names, tasks := t.wantedNames(s)
+	names, tasks := t.namesNeeded(s)
 	if !s.spec.Gang {
 		return min(names, len(list))
 	}
-	// All tasks of a gang need capacity at the same time, so that only workers with room now count. If these do not
+	// All tasks of a gang need capacity at the same time, so only workers with capacity now count. If these do not
 	// suffice, the gang waits for capacity on full workers, and must know some that are allowed.
 	n, free := 0, 0
 	for n < len(list) && list[n].fits > 0 && free < tasks {
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -23,7 +23,8 @@
 	ticketMargin = 80 * time.Millisecond
 	// defaultGrantShare is the expected fraction of allowed workers before any response is known.
 	defaultGrantShare = 0.4
-	// namingFactor is how many times the capacity needed is named, as some of it is taken while the request is pending.
+	// namingFactor multiplies the capacity needed to get the capacity of the workers that a request names, as some of
+	// it is taken while the request is pending.
 	namingFactor = 1.6
 	// minNamedWorkers is the minimum number of workers that a first request names.
 	minNamedWorkers = 24
@@ -41,7 +42,7 @@
 	requestFailures int
 	// earlyRequests counts the requests sent before there was capacity.
 	earlyRequests int
-	// setAside holds the capacity set aside while a request is pending, until the stage's turn after it.
+	// setAside holds the capacity set aside while a request is pending, until the stage is tried again after it.
 	setAside []allocation
 	// allowedNodes caches the workers with allowed tickets as of version allowedVersion of the term's nodes.
 	allowedNodes   []*node
@@ -61,8 +62,8 @@
 	tasks int
 }
 
-// allowedStale as allowedVersion invalidates allowedNodes after a response.
-const allowedStale = -1
+// allowedNodesStale is the value of allowedVersion that invalidates allowedNodes after a response.
+const allowedNodesStale = -1
 
 // ticket returns the ticket to send to a worker.
 func (s *stage) ticket(workerID string) string { return s.tickets[workerID].value }
@@ -87,8 +88,8 @@
 	return a.allowed && now.Add(ticketMargin).Before(a.until)
 }
 
-// setAsideRoom sets capacity aside for tasks while a permit request is pending.
-func (s *stage) setAsideRoom(n *node, tasks int) {
+// setAsideCapacity sets capacity aside for tasks while a permit request is pending.
+func (s *stage) setAsideCapacity(n *node, tasks int) {
 	n.setAside = n.setAside.Plus(s.taskResources().Times(tasks))
 	n.updateIndex()
 	s.setAside = append(s.setAside, allocation{n, tasks})
@@ -131,15 +132,15 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// canRequest reports whether a stage may send a permit request now. If no VM is free for it, the stage waits for its
-// turn among all stages.
+// canRequest reports whether a stage may send a permit request now. If no VM is free for it, the stage tries again in
+// the next pass, in the order of urgency.
 func (t *term) canRequest(s *stage, now time.Time) bool {
 	return s.openRequests == 0 && !now.Before(s.requestRetryAt) &&
 		t.vmSelector.CanPick(t.permitVMs.ids, s.entry.queue.Permit.Base, now)
 }
 
-// sendPermitRequest sends a permit request from the entry VM that gets a response first. It returns false if no VM is
-// free for it.
+// sendPermitRequest sends a permit request from the entry VM that can get a response soonest. It returns false if no VM
+// is free for it.
 func (t *term) sendPermitRequest(s *stage, names []string, now time.Time) bool {
 	p := s.entry.queue.Permit
 	cost := p.Base + time.Duration(len(names))*p.PerWorker
@@ -149,20 +150,22 @@
 		return false
 	}
 	from := t.permitVMs.nodes[slices.Index(t.permitVMs.ids, vm)]
-	q := &permit.Request{Work: s.entry.work.ID, Occurrence: s.occurrence.number, Step: s.index, Workers: names}
+	req := &permit.Request{Work: s.entry.work.ID, Occurrence: s.occurrence.number, Step: s.index, Workers: names}
 	s.openRequests++
 	t.o.Metrics.Counter("dispatch.questions").Inc(1)
 	t.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(t.ctx, time.Until(until)+requestTimeoutSlack+t.lag.slack())
 		defer cancel()
-		a, err := t.o.RequestPermit(ctx, from, q)
-		t.post(func() { t.onPermitResponse(s, from, q, now, a, err) })
+		resp, err := t.o.RequestPermit(ctx, from, req)
+		t.post(func() { t.onPermitResponse(s, from, req, now, resp, err) })
 	})
 	return true
 }
 
 // onPermitResponse records the permits of a response, or schedules a retry after an error.
-func (t *term) onPermitResponse(s *stage, from owner.Node, q *permit.Request, requestedAt time.Time, a *permit.Response, err error) {
+func (t *term) onPermitResponse(
+	s *stage, from owner.Node, req *permit.Request, requestedAt time.Time, resp *permit.Response, err error,
+) {
 	now := time.Now()
 	s.openRequests--
 	t.passNeeded = true
@@ -171,39 +174,39 @@
 		t.vmSelector.RecordFailure(from.ID, now)
 		s.requestRetryAt = now.Add(min(requestRetryMin<<min(s.requestFailures, 8), requestRetryMax))
 		s.requestFailures++
-		t.log.Info("dispatch: question without an answer", zap.String("id", q.Work), zap.Int("step", q.Step),
-			zap.String("from", from.ID), zap.Int("workers", len(q.Workers)), zap.Error(err))
+		t.log.Info("dispatch: question without an answer", zap.String("id", req.Work), zap.Int("step", req.Step),
+			zap.String("from", from.ID), zap.Int("workers", len(req.Workers)), zap.Error(err))
 		return
 	}
 	t.vmSelector.RecordSuccess(from.ID)
 	s.requestFailures = 0
 	if s.tickets == nil {
-		s.tickets = make(map[string]ticket, len(q.Workers))
+		s.tickets = make(map[string]ticket, len(req.Workers))
 	}
-	for _, id := range q.Workers {
+	for _, id := range req.Workers {
 		if old := s.tickets[id]; !old.allowed {
 			s.tickets[id] = ticket{}
 		}
 	}
-	for _, g := range a.Grants {
-		s.tickets[g.Worker] = ticket{value: g.Ticket, until: now.Add(a.TicketTTL), allowed: true}
+	for _, g := range resp.Grants {
+		s.tickets[g.Worker] = ticket{value: g.Ticket, until: now.Add(resp.TicketTTL), allowed: true}
 	}
-	s.allowedVersion = allowedStale
-	t.updateGrantShare(s.entry.queue.Name, len(a.Grants), len(q.Workers))
-	t.log.Info("dispatch: permits", zap.String("id", q.Work), zap.Int("step", q.Step), zap.String("from", from.ID),
-		zap.Int("named", len(q.Workers)), zap.Int("allowed", len(a.Grants)), zap.Duration("took", now.Sub(requestedAt)),
+	s.allowedVersion = allowedNodesStale
+	t.updateGrantShare(s.entry.queue.Name, len(resp.Grants), len(req.Workers))
+	t.log.Info("dispatch: permits", zap.String("id", req.Work), zap.Int("step", req.Step), zap.String("from", from.ID),
+		zap.Int("named", len(req.Workers)), zap.Int("allowed", len(resp.Grants)), zap.Duration("took", now.Sub(requestedAt)),
 		zap.Duration("waited", now.Sub(s.readySince)), zap.Int("tasks", s.waiting), zap.Int("room", t.tasksFittingAllowed(s, now)))
 }
 
 // tasksFittingAllowed returns how many waiting tasks of a stage fit on its allowed workers now.
 func (t *term) tasksFittingAllowed(s *stage, now time.Time) int {
-	room := 0
+	fitting := 0
 	for _, n := range t.allowedNodes(s) {
 		if n.usable(now) && t.matches(s, n) {
-			room += t.tasksFitting(s, n, now)
+			fitting += t.tasksFitting(s, n, now)
 		}
 	}
-	return min(room, s.waiting)
+	return min(fitting, s.waiting)
 }
 
 // grantShareWeight is the weight of the newest response in a queue's moving average of allowed workers.
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -102,7 +102,7 @@
 }
 
 func (t *term) endPass() {
-	t.markWantedRoom()
+	t.markAwaitedCapacity()
 	t.pass.end()
 	t.passEndedAt = time.Now()
 	t.lastPassLatency = t.passEndedAt.Sub(t.pass.since)
@@ -118,7 +118,7 @@
 	p.examinedReported = p.examined
 }
 
-// scheduleNextPass records the duration of a slice of a pass, and sets when the next one may run.
+// scheduleNextPass records the duration of a part of a pass, and sets when the next one may run.
 func (t *term) scheduleNextPass(began time.Time, took time.Duration) {
 	if took > minPacedPass {
 		t.nextPassAt = began.Add((passPauseFactor + 1) * took)
@@ -134,7 +134,7 @@
 		order = append(order, t.urgencyOf(s, now))
 	}
 	slices.SortFunc(order, urgency.compare)
-	t.shareTurns(order)
+	t.shareStarts(order)
 	t.pass.order = order
 	order = t.pass.limitExpired(order)
 	t.pass.triedStages = len(order)
@@ -143,7 +143,7 @@
 
 // placeStage starts as many tasks of a stage as possible.
 func (t *term) placeStage(s *stage, now time.Time) {
-	s.reservedRoom = nil
+	s.reservedCapacity = nil
 	if s.waiting == 0 || s.entry.state.Final() {
 		delete(t.waitingStages, s)
 		return
@@ -152,8 +152,8 @@
 		s.waitReason = gangWaitPermit
 		return
 	}
-	// Release the capacity set aside only at the stage's own turn. Otherwise more urgent stages would take it, and the
-	// stage's permit requests would be useless as long as there are such stages.
+	// Release the capacity set aside only when the stage itself is tried. Otherwise more urgent stages would take it,
+	// and the stage's permit requests would be useless as long as there are such stages.
 	t.releaseSetAside(s)
 	if s.needsPermit() && s.tickets == nil {
 		s.waitReason = gangWaitService
@@ -183,7 +183,7 @@
 	}
 	nodes := t.sortedCandidates(s, now, func(n *node) bool { return t.tasksFitting(s, n, now) > 0 && s.permitted(n, now) })
 	if len(nodes) > 0 {
-		t.placeOn(s, nodes, now, t.tasksFittingBesideClaims)
+		t.placeOn(s, nodes, now, t.tasksFittingUnclaimed)
 	}
 	if len(nodes) > 0 && s.waiting > 0 {
 		t.placeOn(s, nodes, now, t.tasksFitting)
@@ -193,9 +193,9 @@
 	}
 }
 
-// placeOn starts single tasks on the nodes as far as room allows. The nodes need no sorting in between: a node that got
-// a task has less room than before and stays the first choice until it is full.
-func (t *term) placeOn(s *stage, nodes []*node, now time.Time, room func(*stage, *node, time.Time) int) {
+// placeOn starts single tasks on the nodes; fitting returns how many still fit on a node. The nodes need no sorting in
+// between: a node that got a task has less capacity than before and stays the first choice until it is full.
+func (t *term) placeOn(s *stage, nodes []*node, now time.Time, fitting func(*stage, *node, time.Time) int) {
 	for i := range s.tasks {
 		if s.tasks[i].phase != phaseWaiting {
 			continue
@@ -203,7 +203,7 @@
 		if !t.ruleAllows(s.entry, 1) {
 			return
 		}
-		for len(nodes) > 0 && room(s, nodes[0], now) == 0 {
+		for len(nodes) > 0 && fitting(s, nodes[0], now) == 0 {
 			nodes = nodes[1:]
 		}
 		if len(nodes) == 0 {
@@ -213,20 +213,20 @@
 	}
 }
 
-// renewPermits requests new tickets for allowed workers with room, or permits for workers not yet named.
+// renewPermits requests new tickets for allowed workers with capacity, or permits for workers not yet named.
 func (t *term) renewPermits(s *stage, now time.Time) {
 	if !s.needsPermit() || !t.canRequest(s, now) {
 		return
 	}
 	var names []string
 	left := s.waiting
-	for _, n := range t.nodesWithRoom(s, now) {
+	for _, n := range t.nodesWithCapacity(s, now) {
 		k := min(t.tasksFitting(s, n, now), left)
 		if k == 0 {
 			continue
 		}
 		names = append(names, n.id)
-		s.setAsideRoom(n, k)
+		s.setAsideCapacity(n, k)
 		if left -= k; left == 0 {
 			break
 		}
@@ -235,19 +235,19 @@
 		t.sendPermitRequest(s, names, now)
 		return
 	}
-	if t.hasUnnamedRoom(s, now) {
+	if t.hasUnnamedCapacity(s, now) {
 		t.sendFirstRequests(s, now)
 	}
 }
 
-// hasUnnamedRoom reports whether a worker that was not yet named in a permit request has room.
-func (t *term) hasUnnamedRoom(s *stage, now time.Time) bool {
+// hasUnnamedCapacity reports whether a task fits on a worker that was not yet named in a permit request.
+func (t *term) hasUnnamedCapacity(s *stage, now time.Time) bool {
 	if t.fitsNowhere(s) {
 		return false
 	}
 	need := s.taskResources()
 	for i, n := range t.sortedNodes {
-		if fitCount(n.room(), need) == 0 || !t.usable(n, now) || !t.matches(s, n) {
+		if fitCount(n.available(), need) == 0 || !t.usable(n, now) || !t.matches(s, n) {
 			continue
 		}
 		if _, named := s.tickets[n.id]; !named {
@@ -267,7 +267,7 @@
 // startRun decides a run. Its capacity is charged at once; its order is sent when the intent is durable.
 func (t *term) startRun(s *stage, index int, n *node, number int64) {
 	e, k := s.entry, &s.tasks[index]
-	t.noteFirstStart(s.occurrence)
+	t.recordFirstStart(s.occurrence)
 	r := &run{stage: s, index: index, number: number, node: n, need: s.taskResources(), decidedAt: time.Now()}
 	k.phase, k.run, k.number = phaseStarted, r, number
 	s.waiting--
--- a/dispatch/probe.go
+++ b/dispatch/probe.go
@@ -11,8 +11,8 @@
 	// overdueAfter is how long the end of a run may be overdue before its worker is probed while a hold is in flight:
 	// several times the network delay of an answer.
 	overdueAfter = 100 * time.Millisecond
-	// probeInterval is the minimum interval between probes that reported no end, so that a task that exceeds its
-	// expected duration causes few of them.
+	// probeInterval is the minimum interval after a probe that reported no end, so that a task that exceeds its expected
+	// duration causes few of them.
 	probeInterval = 400 * time.Millisecond
 	// probeTimeout bounds a probe, at many times the network delay of an answer. An unanswered probe may have lost its
 	// answer like the hold, and is sent again at once.
@@ -22,7 +22,7 @@
 )
 
 // probeOverdue probes workers whose hold should have reported an end by now. A hold whose answer is lost or delayed
-// times out only after its full wait, and no end on its worker is reported meanwhile: where some holds are lost,
+// times out only after its full wait, and no end on its worker is reported meanwhile: even if only some holds are lost,
 // half of the checks would be late because of that.
 func (t *term) probeOverdue(now time.Time) {
 	for _, n := range t.nodes {
--- a/dispatch/record.go
+++ b/dispatch/record.go
@@ -16,13 +16,13 @@
 	workPrefix  = root + "work/"
 	statePrefix = root + "state/"
 	endedPrefix = root + "ended/"
-	// wavePrefix holds, for each upkeep wave, the VMs whose upkeep has begun.
+	// wavePrefix holds, for each maintenance wave, the VMs whose maintenance has begun.
 	wavePrefix = root + "wave/"
 	// commitPrefix holds one key per commit stream, which every commit of that stream compares and rewrites.
 	commitPrefix = root + "commit/"
 )
 
-// phase is the phase of a task.
+// phase is how far a task has got.
 type phase uint8
 
 const (
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -15,9 +15,9 @@
 	"turmericgap/store/retry"
 )
 
-// worksWatchPause is the minimum interval between two answers of the watch over accepted work. Entry VMs offer new work
-// directly; the watch only finds what they could not deliver.
-const worksWatchPause = 300 * time.Millisecond
+// worksWatchInterval is the minimum interval between updates from the watches over accepted work and maintenance waves.
+// Entry VMs offer new work directly; the watch only finds what they could not deliver.
+const worksWatchInterval = 300 * time.Millisecond
 
 // recover loads the cell's state; false means that the tenure ended first. The three reads run concurrently: with a
 // store latency of a third of a second a takeover then takes that long, not three times as long. This is safe because
@@ -217,7 +217,7 @@
 
 // followWorks watches for accepted work that its entry VM could not offer directly.
 func (t *term) followWorks() {
-	take := func(pairs []store.Pair) {
+	onPairs := func(pairs []store.Pair) {
 		var works []*job.Work
 		for i := range pairs {
 			if w := t.decodeWork(pairs[i]); w != nil {
@@ -230,17 +230,17 @@
 			}
 		})
 	}
-	t.followWritten(workPrefix, take)
+	t.followWritten(workPrefix, onPairs)
 }
 
-// followWritten watches the keys below a prefix and calls take for existing and newly written ones.
-func (t *term) followWritten(prefix string, take func([]store.Pair)) {
+// followWritten watches the keys below a prefix and calls onPairs with existing and newly written ones.
+func (t *term) followWritten(prefix string, onPairs func([]store.Pair)) {
 	f := &follow.Follower{
-		Store: t.o.Store, Prefix: prefix, MinInterval: worksWatchPause, Logger: t.log,
-		OnReset: func(pairs []store.Pair, _ int64) { take(pairs) },
+		Store: t.o.Store, Prefix: prefix, MinInterval: worksWatchInterval, Logger: t.log,
+		OnReset: func(pairs []store.Pair, _ int64) { onPairs(pairs) },
 		OnChange: func(events []store.Event, _ int64) {
 			if pairs := follow.Puts(events); len(pairs) > 0 {
-				take(pairs)
+				onPairs(pairs)
 			}
 		},
 	}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -9,8 +9,8 @@
 // reportEvery is the interval between two log reports on the state of the cell.
 const reportEvery = time.Second
 
-// report logs the cell's capacity and backlog, so that an engineer can tell a request that waited for room from one
-// that waited for a decision.
+// report logs the cell's capacity and backlog, so that an engineer can distinguish a request that waited for capacity
+// from one that waited for a decision.
 func (t *term) report(now time.Time) {
 	var total, free, setAside, reserved int64
 	usable, runs := 0, 0
@@ -46,9 +46,9 @@
 }
 
 // reportSizes logs, for each queue and size class with waiting or changed works, the outcomes of its works under this
-// owner, how many wait, how many of those can still be in time, and what gangs wait for. A class that is served less
-// often than the rest of its queue shows up here long before callers notice, along with the cause: its turn, permits or
-// room.
+// owner, how many wait, how many of those can still be on time, and what gangs wait for. A class that is served less
+// often than the rest of its queue shows up here long before callers notice, along with the cause: the order of starts,
+// permits or capacity.
 func (t *term) reportSizes(now time.Time) {
 	type waiting struct {
 		steps, inTime int
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -85,8 +85,8 @@
 	if s.spec.MaxPerWorker > 0 {
 		limit = min(limit, s.spec.MaxPerWorker-s.tasksOn(n))
 	}
-	room := n.room()
-	fitting := min(fitCount(room, need), limit)
+	available := n.available()
+	fitting := min(fitCount(available, need), limit)
 	if fitting > 0 {
 		out = append(out, release{n, now, fitting})
 	}
@@ -94,8 +94,8 @@
 		if fitting >= limit {
 			break
 		}
-		room = room.Plus(r.need)
-		if fits := min(fitCount(room, need), limit); fits > fitting {
+		available = available.Plus(r.need)
+		if fits := min(fitCount(available, need), limit); fits > fitting {
 			out = append(out, release{n, r.plannedEnd(now), fits - fitting})
 			fitting = fits
 		}
@@ -104,7 +104,7 @@
 }
 
 // runsByEnd returns the runs of a worker that end by themselves, sorted by their expected end. Several gangs examine
-// the same workers in a slice of a pass. The order is cached for that time, as no run ends meanwhile; a start
+// the same workers in a part of a pass. The order is cached for that part, as no run ends meanwhile; a start
 // invalidates it.
 func (t *term) runsByEnd(n *node, now time.Time) []*run {
 	if n.sortedPart == t.pass.part {
@@ -133,10 +133,10 @@
 		return res, false
 	}
 	t.pass.plannedMillicores += s.taskResources().Times(len(s.tasks)).Millicores
-	s.reservedRoom = res.plan
+	s.reservedCapacity = res.plan
 	for _, p := range res.plan {
-		want := s.taskResources().Times(p.tasks)
-		p.node.reserved = p.node.reserved.Plus(minResources(want, p.node.room()))
+		needed := s.taskResources().Times(p.tasks)
+		p.node.reserved = p.node.reserved.Plus(minResources(needed, p.node.available()))
 		if p.node.reservedUntil.IsZero() {
 			t.pass.reservedNodes = append(t.pass.reservedNodes, p.node)
 		}
@@ -147,9 +147,9 @@
 	return res, true
 }
 
-// canReserve reports whether capacity may be reserved for this gang. The limit is the total capacity of the cell, not a
-// number of gangs: with that, a few gangs would hold all reservations, and large ones, which rarely fit by chance,
-// would starve.
+// canReserve reports whether capacity may be reserved for this gang. The limit is the total capacity of the cell. With
+// a limit on the number of gangs, a few of them would hold all reservations, and the large ones among the others, which
+// rarely fit by chance, would starve.
 func (t *term) canReserve(s *stage, now time.Time) bool {
 	t.refreshCapacities()
 	return t.pass.plannedMillicores < t.totalMillicores && t.urgencyOf(s, now).lateness == latenessOnTime
@@ -177,24 +177,24 @@
 	}
 }
 
-// roomUntil returns the capacity for a task that is expected to end at a time. It includes reserved capacity if the
-// task ends before the reservation starts.
-func (n *node) roomUntil(end time.Time) resources {
+// availableUntil returns the capacity for a task that is expected to end at a time. It includes reserved capacity if
+// the task ends before the reservation starts.
+func (n *node) availableUntil(end time.Time) resources {
 	if !n.reservedUntil.IsZero() && end.Before(n.reservedUntil) {
 		return n.free.Minus(n.setAside)
 	}
-	return n.room()
+	return n.available()
 }
 
-// roomBesideClaims returns the same capacity without the claims of the previous pass. Less urgent gangs have not
-// reserved theirs yet in this pass; if their claims were ignored, small tasks would take capacity that the gangs wait
-// for although other capacity would do.
-func (n *node) roomBesideClaims(end time.Time) resources {
-	room := n.roomUntil(end)
+// unclaimedUntil returns the capacity of availableUntil without the claims of the previous pass. Less urgent gangs have
+// not reserved theirs yet in this pass; if their claims were ignored, small tasks would take capacity that the gangs
+// wait for although other capacity would do.
+func (n *node) unclaimedUntil(end time.Time) resources {
+	available := n.availableUntil(end)
 	if !n.claimedUntil.IsZero() && end.Before(n.claimedUntil) {
-		return room
+		return available
 	}
-	return room.Minus(n.claimed)
+	return available.Minus(n.claimed)
 }
 
 // requestEarly requests permits for a reservation in time for its start.
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -33,8 +33,8 @@
 // strategySpread is the strategy of a rule that places tasks on the emptiest workers.
 const strategySpread = "spread"
 
-// emptiestFirst reports whether a stage prefers the workers with the most room: a gang, which then needs fewer workers,
-// and tasks spread by a rule, which then share their workers with fewer others.
+// emptiestFirst reports whether a stage prefers the workers with the most available CPU: a gang, which then needs fewer
+// workers, and tasks spread by a rule, which then share their workers with fewer others.
 func (s *stage) emptiestFirst() bool { return s.spec.Gang || s.entry.effect.Strategy == strategySpread }
 
 // refreshRuleLimits computes for each rule with a limit how many more tasks may run under it.
--- a/dispatch/schedulehold.go
+++ b/dispatch/schedulehold.go
@@ -7,17 +7,18 @@
 	"turmericgap/heartbeat"
 )
 
-// scheduleHold schedules the next hold to a worker that has answered, for when its answer will be of use.
+// scheduleHold schedules the next hold to a worker that has answered, as late as the stages that wait for its answer
+// allow.
 func (t *term) scheduleHold(n *node) {
 	now := time.Now()
 	select {
-	case <-n.wake: // sent for an earlier pause
+	case <-n.wake: // left over from an earlier pause
 	default:
 	}
-	t.sendNextHold(n, holdWait, heartbeat.PollDelay(now, t.isRoomWanted(n), n.heartbeatRuns()))
+	t.sendNextHold(n, holdWait, heartbeat.PollDelay(now, t.isCapacityAwaited(n), n.heartbeatRuns()))
 }
 
-// heartbeatRuns returns the worker's runs with what the poll delay depends on.
+// heartbeatRuns returns the properties of the worker's runs on which the poll delay depends.
 func (n *node) heartbeatRuns() []heartbeat.Run {
 	list := make([]heartbeat.Run, 0, len(n.runs))
 	for _, r := range n.runs {
@@ -30,8 +31,8 @@
 	return list
 }
 
-// likelyEnd returns when a run is expected to end, for the poll delay: by its progress when it was last seen, or by
-// half of its estimate, which may be twice too long.
+// likelyEnd returns when a run is expected to end, for the poll delay: extrapolated from its last reported progress, or
+// after half of its estimate, which may be twice too long.
 func (r *run) likelyEnd() time.Time {
 	if r.sentAt.IsZero() || r.stopping {
 		return time.Time{}
@@ -79,50 +80,50 @@
 	return true
 }
 
-// markWantedRoom marks the workers whose capacity is wanted by waiting stages, and ends the pauses of workers that were
+// markAwaitedCapacity marks the workers whose capacity waiting stages need, and ends the pauses of workers that were
 // not marked in the previous pass.
-func (t *term) markWantedRoom() {
+func (t *term) markAwaitedCapacity() {
 	unmarked := len(t.sortedNodes)
 	for s := range t.waitingStages {
 		if unmarked == 0 {
 			return
 		}
 		if s.waiting > 0 && s.openRequests == 0 && !s.entry.state.Final() {
-			unmarked -= t.markWantedBy(s)
+			unmarked -= t.markAwaitedBy(s)
 		}
 	}
 }
 
-// markWantedBy marks the workers that a stage waits for: those with a reservation for it, or all that it may run on if
+// markAwaitedBy marks the workers that a stage waits for: those with a reservation for it, or all that it may run on if
 // it has none. It returns the number of newly marked workers.
-func (t *term) markWantedBy(s *stage) int {
+func (t *term) markAwaitedBy(s *stage) int {
 	marked := 0
-	if len(s.reservedRoom) > 0 {
-		for _, k := range s.reservedRoom {
-			marked += t.markWanted(k.node)
+	if len(s.reservedCapacity) > 0 {
+		for _, k := range s.reservedCapacity {
+			marked += t.markAwaited(k.node)
 		}
 		return marked
 	}
 	for _, n := range t.allowedNodes(s) {
-		marked += t.markWanted(n)
+		marked += t.markAwaited(n)
 	}
 	return marked
 }
 
-// markWanted marks a worker, and returns 1 if it was not marked in this pass before.
-func (t *term) markWanted(n *node) int {
-	if n.roomWantedPass == t.pass.number {
+// markAwaited marks a worker, and returns 1 if it was not marked in this pass before.
+func (t *term) markAwaited(n *node) int {
+	if n.capacityAwaitedPass == t.pass.number {
 		return 0
 	}
-	if n.roomWantedPass != t.pass.number-1 {
+	if n.capacityAwaitedPass != t.pass.number-1 {
 		n.wakeHold()
 	}
-	n.roomWantedPass = t.pass.number
+	n.capacityAwaitedPass = t.pass.number
 	return 1
 }
 
-// isRoomWanted reports whether a stage has been waiting for capacity on the worker since the latest pass.
-func (t *term) isRoomWanted(n *node) bool { return n.roomWantedPass == t.pass.number }
+// isCapacityAwaited reports whether a stage has been waiting for capacity on the worker since the latest pass.
+func (t *term) isCapacityAwaited(n *node) bool { return n.capacityAwaitedPass == t.pass.number }
 
 // wakeHold ends the pause before the worker's next hold.
 func (n *node) wakeHold() {
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -36,13 +36,13 @@
 	nodes      map[string]*node
 	// sortedNodes holds the same nodes ordered by ID; nodesVersion counts the changes to the set of nodes and their
 	// capacities.
-	sortedNodes  []*node
-	nodesVersion int
-	roomIndex    roomIndex
+	sortedNodes   []*node
+	nodesVersion  int
+	capacityIndex capacityIndex
 	// capacities is the set of the workers' total resources, computed when nodesVersion was capacitiesVersion.
 	capacities        map[resources]struct{}
 	capacitiesVersion int
-	// totalMillicores is the sum of the workers' processors.
+	// totalMillicores is the total CPU of the workers.
 	totalMillicores int64
 	// unreadable holds the IDs of workers whose entries cannot be decoded.
 	unreadable map[string]bool
@@ -82,7 +82,7 @@
 	// tallies counts the outcomes of works by queue and size class.
 	tallies map[sizeClass]*tally
 	upkeep  upkeep
-	// ruleCapacity is how many more tasks may run under each limiting rule in the present pass.
+	// ruleCapacity is, for each rule with a limit, how many more tasks may run under it in the present pass.
 	ruleCapacity map[string]int
 }
 
@@ -212,7 +212,7 @@
 	t.applyRules(e)
 }
 
-// followAll starts the watches over workers, accepted work and upkeep waves.
+// followAll starts the watches over workers, accepted work and maintenance waves.
 func (t *term) followAll() {
 	t.followWorkers()
 	t.followWorks()
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -47,7 +47,7 @@
 )
 
 // stopStalled stops runs without progress, so that their tasks continue elsewhere from their checkpoints. A worker may
-// answer every call although nothing on it makes progress, and would hold its tasks and their callers for as long as
+// answer every call although nothing on it makes progress, and would delay its tasks and their callers for as long as
 // that lasts. Services are exempt: they stay at 100 percent.
 func (t *term) stopStalled(now time.Time) {
 	for _, n := range t.nodes {
@@ -59,8 +59,8 @@
 				t.log.Info("dispatch: run makes no progress", zap.String("id", r.stage.entry.work.ID),
 					zap.Int("step", r.stage.index), zap.Int("task", r.index),
 					zap.Int64("run", r.number), zap.String("worker", n.id), zap.Int("percent", r.percent))
-				n.unwellUntil = now.Add(stallTimeout)
-				r.stage.noteFailureOn(n.id)
+				n.unhealthyUntil = now.Add(stallTimeout)
+				r.stage.recordFailureOn(n.id)
 				t.halt(r)
 			}
 		}
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -46,8 +46,8 @@
 // upkeep is the owner's state of maintenance waves and VMs.
 type upkeep struct {
 	waves map[int64]*wave
-	// vms is the last list of VMs, which was requested at listRequestedAt. listInFlight is true while a request is pending;
-	// listAnsweredAt is when the last one ended.
+	// vms is the last list of VMs, which was requested at listRequestedAt. listInFlight is true while a request is
+	// pending; listAnsweredAt is when the last one ended.
 	vms                             map[string]maintenance.VM
 	listInFlight                    bool
 	listRequestedAt, listAnsweredAt time.Time
@@ -101,11 +101,11 @@
 	}
 	slices.SortFunc(pending, func(a, b maintenance.VM) int { return t.runCount(a) - t.runCount(b) })
 	for _, vm := range pending {
-		since, clearing := w.draining[vm.ID]
-		if !clearing && (unavailable >= w.MaxUnavailable || vm.State != maintenance.Up) {
+		since, draining := w.draining[vm.ID]
+		if !draining && (unavailable >= w.MaxUnavailable || vm.State != maintenance.Up) {
 			continue
 		}
-		if !clearing {
+		if !draining {
 			unavailable++
 			since = now
 			w.draining[vm.ID] = now
@@ -186,8 +186,8 @@
 	}
 }
 
-// canBeUnavailable reports whether a service task may be made unavailable. The number of other unavailable tasks of its step
-// must be below the limit that the caller set.
+// canBeUnavailable reports whether a service task may be made unavailable: the number of other unavailable tasks of its
+// step must be below the limit that the caller set.
 func (t *term) canBeUnavailable(r *run) bool {
 	limit := r.stage.spec.MaxUnavailable
 	if limit == 0 || r.stopping {
--- a/dispatch/urgency.go
+++ b/dispatch/urgency.go
@@ -15,7 +15,8 @@
 	service  int
 	lateness lateness
 	priority int
-	// sortTime orders stages with equal other fields: due time plus the wait for its size, in Unix nanoseconds.
+	// sortTime orders stages that are equal otherwise: the due time plus a wait that depends on the work's size, in Unix
+	// nanoseconds.
 	sortTime int64
 }
 
@@ -64,9 +65,9 @@
 	return duration + s.entry.remainingAfter[s.index]
 }
 
-// shareTurns divides the starts of each queue fairly between size classes, among on-time stages of equal rank. By the
+// shareStarts divides the starts of each queue fairly between size classes, among on-time stages of equal rank. By the
 // sort order alone, small works of an overloaded queue would always go first.
-func (t *term) shareTurns(order []urgency) {
+func (t *term) shareStarts(order []urgency) {
 	for len(order) > 0 {
 		n := 1
 		for n < len(order) && order[0].sameRank(order[n]) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// interleaveClasses reorders the stages of each queue within the positions that the queue has in the group. Later steps go
-// first, as their works have already started and what was done would be wasted.
+// interleaveClasses reorders the stages of each queue within the positions that the queue has in the group. Later steps
+// go first, as their works have already started and what was done would be wasted.
 func (t *term) interleaveClasses(group []urgency) {
 	positions := make(map[string][]int)
 	for i := range group {
@@ -107,8 +108,8 @@
 	}
 }
 
-// noteFirstStart counts the first start of an occurrence for its size class, unless a former owner started it.
-func (t *term) noteFirstStart(o *occurrence) {
+// recordFirstStart counts the first start of an occurrence for its size class, unless a former owner started it.
+func (t *term) recordFirstStart(o *occurrence) {
 	if o.started {
 		return
 	}
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -91,7 +91,7 @@
 		order = append(order, tm.urgencyOf(s, now))
 	}
 	slices.SortFunc(order, urgency.compare)
-	tm.shareTurns(order)
+	tm.shareStarts(order)
 	at := make(map[string]int)
 	for i, u := range order {
 		at[u.stage.entry.work.ID] = i
--- a/job/work.go
+++ b/job/work.go
@@ -89,7 +89,8 @@
 	Priority int `msgpack:"y,omitempty"`
 	// MaxAttempts is how often a task may fail before its work has failed.
 	MaxAttempts int `msgpack:"a"`
-	// SlackFactor times the longest chain of work, and Target more, is when the work should be done.
+	// SlackFactor and Objective set when a work should be done: SlackFactor times its longest chain of steps, plus
+	// Objective, after it is due.
 	SlackFactor float64       `msgpack:"s"`
 	Objective   time.Duration `msgpack:"t"`
 	// Permit is how the queue's policy service answers; nil means that any worker may run its steps.
