--- a/job/work.go
+++ b/job/work.go
@@ -90,7 +90,8 @@
 	Priority int `msgpack:"y,omitempty"`
 	// MaxAttempts is how often a task may fail before its work fails.
 	MaxAttempts int `msgpack:"a"`
-	// The work should be done within SlackFactor times its longest chain of steps, plus TargetDuration.
+	// SlackFactor and Objective set when a work should be done: SlackFactor times its longest chain of steps, plus
+	// Objective, after it is due.
 	SlackFactor float64       `msgpack:"s"`
 	Objective   time.Duration `msgpack:"t"`
 	// Permit is the cost of requests to the queue's policy service; nil means that any worker may run
