--- a/worker/agent.go
+++ b/worker/agent.go
@@ -53,7 +53,7 @@
 	// Run increases with each start of the task.
 	Run  int64  `msgpack:"r"`
 	Spec string `msgpack:"p"`
-	// Until is when the order expires, on the worker's clock.
+	// Until is when the order expires, by the worker's monotonic clock.
 	Until time.Duration `msgpack:"u"`
 	// Fence is the owner's fencing token; the worker refuses orders with a lower one than it has seen.
 	Fence  int64  `msgpack:"f"`
@@ -75,7 +75,7 @@
 	// Observed is the number of the last ended run that the owner has stored durably. The worker may
 	// forget it and all before it.
 	Observed int64 `msgpack:"o"`
-	// Until is the new end of the lease on the worker's clock; zero leaves the lease unchanged.
+	// Until is the new end of the lease by the worker's monotonic clock; zero leaves the lease unchanged.
 	Until time.Duration `msgpack:"u"`
 	// Wait is how long the worker may wait for a run to end before it replies.
 	Wait time.Duration `msgpack:"w"`
@@ -124,12 +124,12 @@
 }
 
 // Agent calls the program that runs tasks on one worker. After an error other than ErrNotSent,
-// ErrReplaced, ErrUnhealthy or a Refusal, the order may or may not take effect, possibly later.
+// ErrReplaced, ErrUnhealthy or a Refusal, the order may have taken effect or may still do so later.
 type Agent struct {
 	Launch func(ctx context.Context, l *Launch) (clock time.Duration, err error)
 	Halt   func(ctx context.Context, h *Halt) (clock time.Duration, err error)
 	Hold   func(ctx context.Context, h *Hold) (*HoldReply, error)
-	// Relayed reports whether another VM makes the calls on behalf of this one; nil means no.
+	// Relayed reports whether another VM makes the calls on behalf of this one; nil means that none does.
 	Relayed func() bool
 	// Close releases the agent's resources; it may be nil.
 	Close func()
@@ -151,7 +151,7 @@
 	// Pool is the service that the worker runs.
 	Pool   string
 	Labels []string
-	// Clock is the worker's clock when it wrote its entry.
+	// Clock is the reading of the worker's monotonic clock when it wrote its entry.
 	Clock time.Duration
 	// TimeLeft is the time until the worker leaves, if it has announced one.
 	TimeLeft time.Duration
