--- a/rpc/client.go
+++ b/rpc/client.go
@@ -109,8 +109,8 @@
 
 // reset makes the close of the connection discard undelivered data. Otherwise a request delayed by a
 // network partition would be executed when the partition heals, long after its caller has given up.
-func (l *connection) reset() {
-	if tcp, ok := l.conn.(*net.TCPConn); ok {
+func (c *connection) reset() {
+	if tcp, ok := c.conn.(*net.TCPConn); ok {
 		// An error means that the connection is already closed and has no data left.
 		_ = tcp.SetLinger(0)
 	}
--- a/rpc/options.go
+++ b/rpc/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// dialTimeout is many times the round trip between zones; without an answer by then, the peer is down.
+// dialTimeout is many times the round trip between zones, so a peer that has not answered by then is down.
 const dialTimeout = 500 * time.Millisecond
 
 // Option configures a Client.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -67,7 +67,8 @@
 	return &Fault{Code: CodeRefused, Reason: fmt.Sprintf(format, args...), RetryAfter: retryAfter}
 }
 
-// AsFault returns the fault in err, or nil if there is none and the outcome of the call is unknown.
+// AsFault returns the fault in err, or nil if it has none. An error of Call without a fault leaves the outcome
+// unknown, except for ErrNotSent.
 func AsFault(err error) *Fault {
 	var f *Fault
 	if errors.As(err, &f) {
@@ -231,8 +232,8 @@
 // silentSince reports whether no reply arrived on the connection since a call was sent on it. After a
 // network partition a connection may stay open and silent for good. Without this check every later call
 // on it would time out, although a new connection would work.
-func (l *connection) silentSince(sent time.Time) bool {
-	return time.Since(sent) > silentAfter && l.lastReply.Load() < sent.UnixNano()
+func (c *connection) silentSince(sent time.Time) bool {
+	return time.Since(sent) > silentAfter && c.lastReply.Load() < sent.UnixNano()
 }
 
 func withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -30,11 +30,11 @@
 	cases := []struct {
 		name string
 		do   func(context.Context, *request) (*response, error)
-		want func(is *is.I, a *response, err error)
+		want func(is *is.I, resp *response, err error)
 	}{
 		{
-			"response", func(_ context.Context, q *request) (*response, error) { return &response{q.N + 1}, nil },
-			func(is *is.I, a *response, err error) { is.NoErr(err); is.Equal(a.N, 8) },
+			"response", func(_ context.Context, req *request) (*response, error) { return &response{req.N + 1}, nil },
+			func(is *is.I, resp *response, err error) { is.NoErr(err); is.Equal(resp.N, 8) },
 		},
 		{
 			"typed fault keeps its code", func(context.Context, *request) (*response, error) { return nil, Refused(time.Second, "full") },
@@ -60,8 +60,8 @@
 				s := NewServer()
 				Handle(s, "test", c.do)
 				client := pipe(s)
-				a, err := Call[request, response](context.Background(), client, "test", &request{7})
-				c.want(is.New(t), a, err)
+				resp, err := Call[request, response](context.Background(), client, "test", &request{7})
+				c.want(is.New(t), resp, err)
 				client.Close()
 				s.Close()
 			})
