--- a/configuration/configuration.go
+++ b/configuration/configuration.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// peerPollAfter is how long the store may be silent before other VMs are asked. Its watches
-	// report at least every two seconds.
+	// peerPollAfter is how long the store may be silent before this VM polls other VMs. The
+	// watches of a store that answers report at least every two seconds.
 	peerPollAfter    = 2300 * time.Millisecond
 	peerPollInterval = 300 * time.Millisecond
 	peerTimeout      = 300 * time.Millisecond
@@ -70,7 +70,7 @@
 // Current returns the configuration in force, or nil.
 func (w *Watcher) Current() *job.Config { return w.current.Load() }
 
-// LastAnswer returns when the store last answered this VM.
+// LastAnswer returns when the store last answered this VM, or when the Watcher was created.
 func (w *Watcher) LastAnswer() time.Time { return time.Unix(0, w.lastAnswer.Load()) }
 
 // Document returns the configuration in force in the form written by the operators.
@@ -118,7 +118,7 @@
 	w.log.Info("configuration: in force", zap.Int64("version", c.Version), zap.String("from", from), zap.Int("queues", len(c.Queues)))
 }
 
-// pollPeers asks other VMs for a newer document while the store does not answer this VM.
+// pollPeers polls other VMs for a newer document while the store does not answer this VM.
 func (w *Watcher) pollPeers(ctx context.Context) {
 	ticker := time.NewTicker(peerPollInterval)
 	defer ticker.Stop()
--- a/history/history.go
+++ b/history/history.go
@@ -81,7 +81,8 @@
 	c.events = append(c.events, e)
 }
 
-// Events returns the events recorded so far, so that a Checker of several processes can record them too.
+// Events returns the events recorded so far, so that another Checker can check them with those of other
+// processes.
 func (c *Checker) Events() []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,9 +94,9 @@
 	c.mu.Lock()
 	events, dropped := slices.Clone(c.events), c.dropped
 	c.mu.Unlock()
-	// Events with the same time keep the order in which they were recorded, except for facts such as
-	// capacities. With a paused clock, an attempt may start and end and another one may take its place,
-	// all at the same time.
+	// Events with the same time keep the order in which they were recorded, except that facts such as
+	// capacities come first. On a virtual clock, an attempt may start and end and another one may take its
+	// place, all at the same time.
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(sortRank(a.Kind), sortRank(b.Kind)))
 	})
@@ -143,8 +144,8 @@
 	repeatable     bool
 	reported       job.Outcome
 	started        bool
-	// tasks is the number of tasks of the job, startedTasks of those that ever started, and running of
-	// those running now.
+	// tasks is the number of tasks of the job, startedTasks the number of those that ever started, and
+	// running the number of attempts that run now.
 	tasks, startedTasks, running int
 }
 
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -116,7 +116,7 @@
 		{"slots of unknown target", func(e []Event) []Event {
 			return append(e, Event{At: at(40), Kind: RequestStarted, Worker: "t2", Attempt: "r9"})
 		}, "target t2: works on 1 requests with 0 slots"},
-		{"new work while leaving", func(e []Event) []Event { e[31].Session = false; return e }, "target t1: got r3"},
+		{"new request while leaving", func(e []Event) []Event { e[31].Session = false; return e }, "target t1: got r3"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/operate/diff.go
+++ b/operate/diff.go
@@ -30,8 +30,8 @@
 	After  *rule.Rule `json:"after,omitempty"`
 }
 
-// Diff returns the changes from one document to another, removed rules first. A rule counts as moved if
-// its order among the rules in both documents differs.
+// Diff returns the changes from one document to another, removed rules first. A rule counts as moved if its
+// position among the rules that both documents have is different.
 func Diff(from, to rule.Document) []Change {
 	var out []Change
 	common := make([]string, 0, len(from.Rules))
--- a/operate/operate.go
+++ b/operate/operate.go
@@ -20,7 +20,7 @@
 	CallState = "operate.state"
 	// StateTimeout limits a state request to one owner, so that a dead owner does not delay a page.
 	StateTimeout = 2 * time.Second
-	// SilentAfter is how long a process may not be heard of before it is considered silent.
+	// SilentAfter is the time without news of a process after which it is considered silent.
 	SilentAfter = 30 * time.Second
 )
 
@@ -51,9 +51,9 @@
 func (s *Source) Register(server *rpc.Server) { rpc.Handle(server, CallState, s.State) }
 
 // State handles the RPC "operate.state".
-func (s *Source) State(ctx context.Context, a *StateRequest) (*State, error) {
+func (s *Source) State(ctx context.Context, req *StateRequest) (*State, error) {
 	out := &State{At: time.Now().UTC(), Members: s.Members(), InForce: s.InForce()}
-	if !a.Zone {
+	if !req.Zone {
 		return out, nil
 	}
 	zone, err := s.Zone(ctx)
@@ -84,7 +84,8 @@
 	Zones   []Zone         `json:"zones"`
 }
 
-// Collect asks the owners of all zones of the view in parallel; it waits for at most StateTimeout.
+// Collect requests the state of all zones of the view from their owners in parallel. It takes at most
+// StateTimeout.
 func Collect(ctx context.Context, pool *rpc.Pool, v *view.View, inForce []view.Process) Cell {
 	c := Cell{At: time.Now().UTC(), View: *v, InForce: inForce, Zones: listZones(v)}
 	var wg sync.WaitGroup
@@ -139,7 +140,7 @@
 	return out
 }
 
-// PendingClasses returns the classes with waiting tasks, the largest first.
+// PendingClasses returns the classes with waiting tasks, the one with the most tasks first.
 func PendingClasses(pending map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(pending), func(a, b string) int {
 		return cmp.Or(cmp.Compare(pending[b], pending[a]), cmp.Compare(a, b))
--- a/operate/rules_test.go
+++ b/operate/rules_test.go
@@ -17,6 +17,8 @@
 	"turmericgap/view"
 )
 
+// doc returns a document with one rule per ID. An upper-case ID gives the rule of the lower-case ID another
+// limit.
 func doc(ids ...string) []byte {
 	rules := make([]string, len(ids))
 	for i, id := range ids {
--- a/status/status.go
+++ b/status/status.go
@@ -48,15 +48,16 @@
 	Self        string
 	At          time.Time
 	ListVersion int64
-	Newest      int64
-	Alarms      []string
-	Zones       []operate.Zone
-	Queues      []Queue
-	Racks       []Rack
-	Processes   []Process
-	Ejections   []fleet.Ejection
-	Ends        []scheduler.EndedJob
-	Refusals    []Refusal
+	// Newest is the newest version of the rules that this process knows of.
+	Newest    int64
+	Alarms    []string
+	Zones     []operate.Zone
+	Queues    []Queue
+	Racks     []Rack
+	Processes []Process
+	Ejections []fleet.Ejection
+	Ends      []scheduler.EndedJob
+	Refusals  []Refusal
 }
 
 // Refusal is a submission that a zone did not accept.
@@ -71,7 +72,8 @@
 	Waiting     int
 }
 
-// Rack is the total of the workers of a rack. Unknown is set if the zone's owner did not answer.
+// Rack sums up the workers of a rack. Closed lists the workers that are not open, each with its state. Unknown is
+// set if the zone's owner did not answer.
 type Rack struct {
 	Zone, Name           string
 	Workers, Open, Tasks int
@@ -122,8 +124,8 @@
 			p.alarm("Zone %s: %s.", z.Name, z.Problem)
 			continue
 		}
-		if doubt := z.Warning(); doubt != "" {
-			p.alarm("Zone %s: %s.", z.Name, doubt)
+		if warning := z.Warning(); warning != "" {
+			p.alarm("Zone %s: %s.", z.Name, warning)
 		}
 		if s := z.State.Stats; s.Workers > 0 && 2*s.Open < s.Workers {
 			p.alarm("Zone %s: only %d of %d workers get new tasks.", z.Name, s.Open, s.Workers)
