--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -149,7 +149,7 @@
 	return path
 }
 
-// call sends a request to both gates in turn until one of them succeeds.
+// call sends a request to the gates alternately until one returns a success status.
 func (c *testCell) call(method, path string, body []byte) *job.Status {
 	var last []byte
 	for start, i := time.Now(), 0; time.Since(start) < waitTimeout; i++ {
--- a/cell/trace_test.go
+++ b/cell/trace_test.go
@@ -44,7 +44,7 @@
 		is := is.New(t)
 		g, stop := newTracedGate(t)
 		defer stop()
-		time.Sleep(30 * time.Second) // A new gate first waits for the last requests of earlier gates.
+		time.Sleep(30 * time.Second) // A new gate first waits out the removal grace period of earlier gates.
 		check := request(g, http.MethodPost, "/v1/checks/course-desk/booking", "seat", "0af7651916cd43dd8448eb211c80319c")
 		is.Equal(check.Code, http.StatusOK)
 		spec := `{"key":"k","team":"t","class":"roster","kind":"batch","tasks":1,"repeatable":true,"each":{"millicores":1000,"memoryMB":1000,"accelerators":0}}`
@@ -87,10 +87,10 @@
 		return near, nil
 	}))
 	c := &route.Client{Zones: []string{zone}, Pool: pool, Owner: func(string) (string, bool) { return "10.0.0.1:1", true }}
-	desk := standintarget.New(target.Info{ID: "desk", Zone: zone, Service: "course-desk", Slots: 8, Connections: 64})
+	deskTarget := standintarget.New(target.Info{ID: "desk", Zone: zone, Service: "course-desk", Slots: 8, Connections: 64})
 	g = gate.New(gate.Zone(zone), gate.JobOwner(gate.JobClient{Submit: c.Submit, Status: c.Status, Wait: c.Wait}),
-		gate.Targets(func() []target.Info { return []target.Info{desk.Info()} }),
-		gate.Dial(func(target.Info, int) *target.Client { return desk.Client() }))
+		gate.Targets(func() []target.Info { return []target.Info{deskTarget.Info()} }),
+		gate.Dial(func(target.Info, int) *target.Client { return deskTarget.Client() }))
 	return g, func() {
 		g.Close()
 		s.Kill()
--- a/logger/async.go
+++ b/logger/async.go
@@ -16,8 +16,8 @@
 	// flushInterval is how long lines are collected before they are written together. One write for many
 	// lines costs less than one write per line.
 	flushInterval = 100 * time.Millisecond
-	// maxWriteBytes limits a write, which holds whole lines, to the size that a pipe writes atomically.
-	// Readers lost everything after the first 8 KB of larger writes.
+	// maxWriteBytes limits a write of several lines to the size that a pipe writes atomically. Some readers
+	// lose everything after the first 8 KB of a larger write.
 	maxWriteBytes = 4 << 10
 )
 
@@ -34,78 +34,79 @@
 
 // NewAsyncWriter returns an AsyncWriter that writes to out until it is closed.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	b := &AsyncWriter{lines: make(chan []byte, queueLines), out: out, buf: make([]byte, 0, maxWriteBytes), stop: make(chan struct{})}
-	b.wg.Go(b.run)
-	return b
+	w := &AsyncWriter{lines: make(chan []byte, queueLines), out: out, buf: make([]byte, 0, maxWriteBytes), stop: make(chan struct{})}
+	w.wg.Go(w.run)
+	return w
 }
 
 // Write queues a line, or drops it if the queue is full.
-func (b *AsyncWriter) Write(line []byte) (int, error) {
+func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case w.lines <- append([]byte(nil), line...):
 	default:
-		b.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Sync does nothing; the lines are written in the background.
-func (b *AsyncWriter) Sync() error { return nil }
+func (w *AsyncWriter) Sync() error { return nil }
 
 // Dropped returns the number of dropped lines.
-func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
+func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
 // Close writes the queued lines and stops the writer.
-func (b *AsyncWriter) Close() {
-	b.once.Do(func() { close(b.stop) })
-	b.wg.Wait()
+func (w *AsyncWriter) Close() {
+	w.once.Do(func() { close(w.stop) })
+	w.wg.Wait()
 }
 
-func (b *AsyncWriter) run() {
+func (w *AsyncWriter) run() {
 	for {
 		select {
-		case <-b.stop:
-			b.drain()
+		case <-w.stop:
+			w.drain()
 			return
-		case line := <-b.lines:
-			b.buffer(line)
+		case line := <-w.lines:
+			w.buffer(line)
 			select {
-			case <-b.stop:
+			case <-w.stop:
 			case <-time.After(flushInterval):
 			}
-			b.drain()
+			w.drain()
 		}
 	}
 }
 
 // drain writes all queued lines.
-func (b *AsyncWriter) drain() {
+func (w *AsyncWriter) drain() {
 	for {
 		select {
-		case line := <-b.lines:
-			b.buffer(line)
+		case line := <-w.lines:
+			w.buffer(line)
 		default:
-			b.flush()
+			w.flush()
 			return
 		}
 	}
 }
 
-// buffer adds a line to the next write and flushes first if the line does not fit.
-func (b *AsyncWriter) buffer(line []byte) {
-	if len(b.buf)+len(line) > maxWriteBytes {
-		b.flush()
+// buffer adds a line to the next write and flushes first if the line does not fit. A longer line than
+// maxWriteBytes is written on its own.
+func (w *AsyncWriter) buffer(line []byte) {
+	if len(w.buf)+len(line) > maxWriteBytes {
+		w.flush()
 	}
-	b.buf = append(b.buf, line...)
+	w.buf = append(w.buf, line...)
 }
 
-func (b *AsyncWriter) flush() {
-	if len(b.buf) == 0 {
+func (w *AsyncWriter) flush() {
+	if len(w.buf) == 0 {
 		return
 	}
 	// There is nowhere to report a failing log output.
-	_, _ = b.out.Write(b.buf)
-	b.buf = b.buf[:0]
+	_, _ = w.out.Write(w.buf)
+	w.buf = w.buf[:0]
 }
 
 // NewWithOutput returns the root logger of a program, writing JSON lines to out.
--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,3 +1,3 @@
-// Package trace sets up tracing, with one span for each hop of a request, and the exporter chosen in the
-// settings.
+// Package trace sets up tracing and exports the spans with the exporter chosen in the settings. Each hop of a
+// request has one span.
 package trace
