--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -91,7 +91,7 @@
 	c := &cell{
 		t: t, kv: memory.New(), floor: floor.New(behave), vms: make(map[string]*vm),
 		config: &job.Config{Version: 1, Queues: []job.Queue{{
-			Name: "roster", Pool: pool, MaxAttempts: 2, SlackFactor: 2, TargetDuration: time.Second,
+			Name: "roster", Pool: pool, MaxAttempts: 2, SlackFactor: 2, Objective: time.Second,
 		}}},
 	}
 	for _, id := range vms {
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -33,7 +33,7 @@
 }
 
 func (l *workload) newWork(kind string, i int, cost *job.PermitCost, step job.Step) *job.Work {
-	q := job.Queue{Name: kind, Pool: "p", MaxAttempts: 3, SlackFactor: 2.2, TargetDuration: time.Second, Permit: cost}
+	q := job.Queue{Name: kind, Pool: "p", MaxAttempts: 3, SlackFactor: 2.2, Objective: time.Second, Permit: cost}
 	return &job.Work{ID: fmt.Sprintf("%s%03d", kind, i), Zone: fmt.Sprint("z", i%3), Queue: q, Steps: []job.Step{step}}
 }
 
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -152,7 +152,7 @@
 // updateObjective computes the objective from the caller's estimates along the longest chain of steps, including one
 // permit request per step.
 func (e *entry) updateObjective() {
-	e.objective = time.Duration(e.queue.SlackFactor*float64(e.longestChain())) + e.queue.TargetDuration
+	e.objective = time.Duration(e.queue.SlackFactor*float64(e.longestChain())) + e.queue.Objective
 }
 
 // deadline is when an occurrence should be done.
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -117,7 +117,7 @@
 			}
 			return floor.Behaviour{Duration: 3 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 20, Objective: time.Minute})
 		c.addWorkers(3, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
@@ -277,9 +277,9 @@
 			}
 			return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, time.Millisecond
+		c.config.Queues[0].Priority, c.config.Queues[0].Objective = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 20, TargetDuration: time.Minute})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 20, Objective: time.Minute})
 		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
 		c.addWorkers(2, 4)
 		v := c.waitForOwner()
@@ -359,9 +359,9 @@
 			}
 			return floor.Behaviour{Duration: time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].Priority, c.config.Queues[0].TargetDuration = 1, 20*time.Second
+		c.config.Queues[0].Priority, c.config.Queues[0].Objective = 1, 20*time.Second
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 200 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
-		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 4, TargetDuration: time.Second})
+		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 4, Objective: time.Second})
 		c.permits = func(*permit.Request) ([]string, time.Duration) {
 			return []string{"w00", "w01"}, 240 * time.Millisecond
 		}
--- a/dispatch/large_test.go
+++ b/dispatch/large_test.go
@@ -81,7 +81,7 @@
 		for i, n := range r.term.sortedNodes {
 			n.agent.Launch = func(ctx context.Context, _ *worker.Launch) (time.Duration, error) { return call(ctx, i%10 > 0) }
 		}
-		w := &job.Work{ID: "wide", Queue: job.Queue{Name: "wide", Pool: "p", MaxAttempts: 2, SlackFactor: 2, TargetDuration: time.Second}, Steps: []job.Step{
+		w := &job.Work{ID: "wide", Queue: job.Queue{Name: "wide", Pool: "p", MaxAttempts: 2, SlackFactor: 2, Objective: time.Second}, Steps: []job.Step{
 			{Tasks: 400, Estimate: 10 * time.Second, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 10}},
 		}}
 		r.submitAt(0, w, 10*time.Second)
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -14,10 +14,10 @@
 // objective: it would be started first, end late, and delay newer work that could still be on time.
 func TestHopeCountsAllThatIsLeft(t *testing.T) {
 	gang := &job.Work{
-		Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
+		Queue: job.Queue{SlackFactor: 2, Objective: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
 		Steps: []job.Step{{Tasks: 4, Gang: true, Estimate: 2 * time.Second}, {Tasks: 4, Gang: true, Estimate: 3 * time.Second, DependsOn: []int{0}}},
 	}
-	single := &job.Work{Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second}, Steps: []job.Step{{Tasks: 4, Estimate: 2 * time.Second}}}
+	single := &job.Work{Queue: job.Queue{SlackFactor: 2, Objective: time.Second}, Steps: []job.Step{{Tasks: 4, Estimate: 2 * time.Second}}}
 	for name, c := range map[string]struct {
 		work *job.Work
 		step int
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -31,10 +31,10 @@
 	Rules func() *rule.List
 	// Nodes lists the entry VMs that may query the policy service. It returns the same slice until the list changes.
 	// Ask sends a permit request from one of these VMs.
-	Nodes   func() []owner.Node
-	Ask     func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error)
-	Logger  *zap.Logger
-	Metrics *metric.Registry
+	Nodes         func() []owner.Node
+	RequestPermit func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error)
+	Logger        *zap.Logger
+	Metrics       *metric.Registry
 	// Waves configures upkeep waves; nil disables them.
 	Waves *Waves
 	// OnExamined is called during a pass with the number of workers examined since the last call. Tests use it to
@@ -134,7 +134,7 @@
 func Permits(
 	nodes func() []owner.Node, ask func(context.Context, owner.Node, *permit.Request) (*permit.Response, error),
 ) Option {
-	return func(o *Options) { o.Nodes, o.Ask = nodes, ask }
+	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, ask }
 }
 
 // Upkeep sets the source of upkeep waves and the service that carries them out.
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -36,7 +36,7 @@
 	}
 	for i := range stages {
 		w := &job.Work{
-			ID: fmt.Sprint(i), Accepted: now.Add(time.Duration(i) * time.Millisecond), Queue: job.Queue{Pool: "p", MaxAttempts: 2, SlackFactor: 4, TargetDuration: time.Hour, Permit: &job.PermitCost{}},
+			ID: fmt.Sprint(i), Accepted: now.Add(time.Duration(i) * time.Millisecond), Queue: job.Queue{Pool: "p", MaxAttempts: 2, SlackFactor: 4, Objective: time.Hour, Permit: &job.PermitCost{}},
 			Steps: []job.Step{{Tasks: 10, TaskResources: job.Resources{Millicores: 1000, MemoryMB: 100}, Gang: i%10 == 9}},
 		}
 		t.addWork(w)
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -155,7 +155,7 @@
 	t.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(t.ctx, time.Until(until)+requestTimeoutSlack+t.lag.slack())
 		defer cancel()
-		a, err := t.o.Ask(ctx, from, q)
+		a, err := t.o.RequestPermit(ctx, from, q)
 		t.post(func() { t.onPermitResponse(s, from, q, now, a, err) })
 	})
 	return true
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -68,9 +68,9 @@
 		is := is.New(t)
 		c := newCell(t, runsFor(2*time.Second), "vm1", "vm2")
 		c.config.Queues = []job.Queue{
-			{Name: "sweep", Pool: pool, Priority: 1, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
-			{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
-			{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 9, TargetDuration: time.Minute},
+			{Name: "sweep", Pool: pool, Priority: 1, MaxAttempts: 2, SlackFactor: 9, Objective: time.Minute},
+			{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 9, Objective: time.Minute},
+			{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 9, Objective: time.Minute},
 		}
 		c.addWorkers(2, 4)
 		v := c.waitForOwner()
--- a/dispatch/size_test.go
+++ b/dispatch/size_test.go
@@ -20,7 +20,7 @@
 		c := newCell(t, func(worker.Task, int64) floor.Behaviour {
 			return floor.Behaviour{Duration: 2 * time.Second, Ending: worker.OutcomeDone, Resources: job.Resources{Millicores: 1000}}
 		}, "vm1")
-		c.config.Queues[0].SlackFactor, c.config.Queues[0].TargetDuration = 3, time.Second
+		c.config.Queues[0].SlackFactor, c.config.Queues[0].Objective = 3, time.Second
 		c.addWorkers(4, 8)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -29,7 +29,7 @@
 	work := func(id string, ago time.Duration, priority int) *job.Work {
 		return &job.Work{
 			ID: id, Accepted: now.Add(-ago), Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}},
-			Queue: job.Queue{Priority: priority, SlackFactor: 2, TargetDuration: time.Second},
+			Queue: job.Queue{Priority: priority, SlackFactor: 2, Objective: time.Second},
 		}
 	}
 	service := work("service", time.Hour, 3)
@@ -56,7 +56,7 @@
 	is := is.New(t)
 	w := &job.Work{
 		ID: "roster", Steps: []job.Step{{Tasks: 1, Estimate: 2 * time.Second}, {Tasks: 1, Estimate: 3 * time.Second, DependsOn: []int{0}}},
-		Queue: job.Queue{SlackFactor: 2, TargetDuration: time.Second},
+		Queue: job.Queue{SlackFactor: 2, Objective: time.Second},
 	}
 	is.Equal(newEntry(w).objective, 11*time.Second)
 	w.Queue.Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}
@@ -75,7 +75,7 @@
 	}
 	work := func(id string, tasks int) *stage {
 		return newTestStage(&job.Work{
-			ID: id, Accepted: now, Queue: job.Queue{Name: "rosters", SlackFactor: 2, TargetDuration: time.Second},
+			ID: id, Accepted: now, Queue: job.Queue{Name: "rosters", SlackFactor: 2, Objective: time.Second},
 			Steps: []job.Step{{Tasks: tasks, TaskResources: job.Resources{Millicores: 1000}, Estimate: 10 * time.Second}, {Tasks: 1, DependsOn: []int{0}}},
 		})
 	}
--- a/job/work.go
+++ b/job/work.go
@@ -91,8 +91,8 @@
 	// MaxAttempts is how often a task may fail before its work fails.
 	MaxAttempts int `msgpack:"a"`
 	// The work should be done within SlackFactor times its longest chain of steps, plus TargetDuration.
-	SlackFactor    float64       `msgpack:"s"`
-	TargetDuration time.Duration `msgpack:"t"`
+	SlackFactor float64       `msgpack:"s"`
+	Objective   time.Duration `msgpack:"t"`
 	// Permit is the cost of requests to the queue's policy service; nil means that any worker may run
 	// its steps without a permit.
 	Permit *PermitCost `msgpack:"c,omitempty"`
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -84,9 +84,9 @@
 func queues() []job.Queue {
 	cost := &job.PermitCost{Base: 50 * time.Millisecond, PerWorker: time.Millisecond, Valid: 1500 * time.Millisecond}
 	return []job.Queue{
-		{Name: "check", Host: "desk.example", Prefix: "/check/", Pool: "desk", MaxAttempts: 3, SlackFactor: 3, TargetDuration: time.Second},
-		{Name: "roster", Host: "desk.example", Prefix: "/roster/", Pool: "desk", Priority: 1, MaxAttempts: 3, SlackFactor: 3, TargetDuration: time.Second, Permit: cost},
-		{Name: "batch", Host: "desk.example", Prefix: "/batch/", Pool: "desk", Priority: 2, MaxAttempts: 3, SlackFactor: 4, TargetDuration: 2 * time.Second},
+		{Name: "check", Host: "desk.example", Prefix: "/check/", Pool: "desk", MaxAttempts: 3, SlackFactor: 3, Objective: time.Second},
+		{Name: "roster", Host: "desk.example", Prefix: "/roster/", Pool: "desk", Priority: 1, MaxAttempts: 3, SlackFactor: 3, Objective: time.Second, Permit: cost},
+		{Name: "batch", Host: "desk.example", Prefix: "/batch/", Pool: "desk", Priority: 2, MaxAttempts: 3, SlackFactor: 4, Objective: 2 * time.Second},
 	}
 }
 
