--- a/decisions_test.go
+++ b/decisions_test.go
@@ -20,8 +20,8 @@
 	forbiddenClock   = []string{"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"}
 )
 
-// Code that reads the clock, starts a goroutine or does I/O cannot be replayed, so that a change to it needs
-// long simulations instead of a test.
+// The packages in pureDirs must not read the clock, start goroutines or do I/O. A recorded load could not be
+// replayed on them otherwise, and a change to their decisions would need days of simulation instead of a test.
 func TestDecisionsDoNoIO(t *testing.T) {
 	for _, dir := range pureDirs {
 		for _, use := range forbiddenUses(t, dir) {
@@ -75,8 +75,8 @@
 		return "a goroutine"
 	case *ast.ImportSpec:
 		path, _ := strconv.Unquote(n.Path.Value)
-		for _, b := range forbiddenImports {
-			if path == b || strings.HasPrefix(path, b+"/") {
+		for _, forbidden := range forbiddenImports {
+			if path == forbidden || strings.HasPrefix(path, forbidden+"/") {
 				return "import of " + path
 			}
 		}
@@ -85,9 +85,9 @@
 		if !ok || pkg.Name != "time" {
 			return ""
 		}
-		for _, b := range forbiddenClock {
-			if n.Sel.Name == b {
-				return "time." + b
+		for _, forbidden := range forbiddenClock {
+			if n.Sel.Name == forbidden {
+				return "time." + forbidden
 			}
 		}
 	}
