--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,8 @@
 TOOLS := $(or $(XDG_CACHE_HOME),$(HOME)/.cache)/turmericgap-tools
 LINT_VERSION := v2.15.0
 LINT := $(TOOLS)/golangci-lint
+# The newest version that builds with this Go. It renames across packages: gopls rename -w FILE:LINE:COLUMN NAME.
+GOPLS_VERSION := v0.23.0
 
 .PHONY: build demo platform-demo soak test fmt check lint tools fuzz
 
@@ -53,3 +55,5 @@
 tools:
 	@if ! $(LINT) version 2>/dev/null | grep -q "$(LINT_VERSION:v%=%)"; then \
 		mkdir -p $(TOOLS) && GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION); fi
+	@if ! $(TOOLS)/gopls version 2>/dev/null | grep -q "$(GOPLS_VERSION)"; then \
+		mkdir -p $(TOOLS) && GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION); fi
