--- a/fleet/options.go
+++ b/fleet/options.go
@@ -15,7 +15,7 @@
 	// DefaultBackOff and DefaultMaxBackOff are the first and the longest time between ejection and probing.
 	DefaultBackOff    = 10 * time.Second
 	DefaultMaxBackOff = 5 * time.Minute
-	// DefaultEjectionDivisor limits the ejected members to one in this many.
+	// DefaultEjectionDivisor is the default for EjectionDivisor: a third of the fleet may be ejected at a time.
 	DefaultEjectionDivisor = 3
 	// DefaultMinHealthyFailures is the number of otherwise healthy members on which a job or class must fail to be
 	// considered at fault itself.
@@ -70,7 +70,7 @@
 	return func(o *Options) { o.BackOff, o.MaxBackOff = first, longest }
 }
 
-// EjectionDivisor limits the ejected members to one in n.
+// EjectionDivisor limits the members that are ejected at the same time to one in n of the fleet, but at least one.
 func EjectionDivisor(n int) Option { return func(o *Options) { o.EjectionDivisor = n } }
 
 // MinHealthyFailures sets the number of otherwise healthy members on which a job or class must fail to be considered
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -114,9 +114,10 @@
 	return nil, ctx.Err()
 }
 
-// Guards against a wrong outcome after an attempt fails, hangs, or returns a truncated answer or
-// that of another attempt. A check that did not run may go to another target. A check that may have
-// run is retried only if it is repeatable, and is never reported as NotRun afterwards.
+// Guards against a wrong outcome after a target refuses an attempt, is busy, cuts the connection, hangs,
+// or returns a truncated answer or that of another attempt. A check that did not run may go to another
+// target. A check that may have run is retried only if it is repeatable, and is never reported as
+// NotRun afterwards, whatever the later attempts return.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
 		name       string
--- a/policy/load.go
+++ b/policy/load.go
@@ -32,7 +32,8 @@
 	PeakUsage job.Resources
 }
 
-// offered returns the offered load as a share of the capacity: the larger of the processor and memory shares.
+// offered returns the offered load as a share of what the workers can do between From and To: the larger of the
+// processor and memory shares.
 func (l *Load) offered() float64 {
 	var capacity, work job.Resources
 	for i := range l.Workers {
--- a/policy/replay.go
+++ b/policy/replay.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// samplePacking records the used share of the resource that is demanded in excess of the capacity, or the larger share
-// if several are. Without excess demand it records nothing. Only under excess demand is full use the upper bound for
-// any policy.
+// samplePacking records the used share of the capacity while the demand for processors or memory exceeds it. If both
+// are short, it records the larger share. It records nothing without excess demand, because no policy could reach
+// full use then.
 func (r *replay) samplePacking(now time.Time) {
 	capacity := r.report.capacity
 	if now.After(r.load.To) || r.demand.FitsIn(capacity) {
--- a/policy/report.go
+++ b/policy/report.go
@@ -22,7 +22,7 @@
 	// LostCoreSeconds is the work of preempted attempts, without credit for checkpoints.
 	LostCoreSeconds int64
 
-	// Offered is the offered load as a share of the capacity.
+	// Offered is the offered load as a share of what the workers can do in the measured time.
 	Offered float64
 
 	capacity job.Resources
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -30,7 +30,7 @@
 // Code classifies a fault by what its caller may conclude.
 type Code string
 
-// The codes of faults. Each is an answer from the server.
+// The codes of faults. Each is a definite answer from the server, unlike a lost reply.
 const (
 	// CodeRefused means that nothing was done and nothing will be.
 	CodeRefused Code = "refused"
--- a/soak/run_test.go
+++ b/soak/run_test.go
@@ -13,7 +13,7 @@
 type Options struct {
 	// Context cancels the run.
 	Context context.Context //nolint:containedctx // a run is one call
-	// Seed determines the works and the faults. Faults enables the faults.
+	// Seed determines the works and the faults. Faults enables the faults; without them, every work must be accepted.
 	Seed   uint64
 	Faults bool
 	// Duration is how long works are submitted and faults are injected. Works that remain have settleTimeout to end.
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -217,9 +217,10 @@
 	})
 }
 
-// Guards against a burst of calls when a store returns after an outage of all processes: owners
-// must keep ownership by promises during the outage, and the calls per second must stay bounded on
-// return. Without faults there is one watch per VM and one lease per process.
+// Guards against a burst of calls when all processes reconnect to the store at the same time. All lose
+// the store for one to ten minutes and reconnect within seconds. Owners must keep ownership by promises
+// during the outage, and the calls per second must stay bounded on return. Without faults there are few
+// calls: one watch per VM and one lease per process.
 func TestCallsOfCell(t *testing.T) {
 	for vms, outage := range map[int]time.Duration{1: time.Minute, 4: 10 * time.Minute, 8: time.Minute} {
 		runCell(t, vms, func(c *cell) {
--- a/vmlist/doc.go
+++ b/vmlist/doc.go
@@ -1,2 +1,2 @@
-// Package vmlist reads the platform's list of live and leaving VMs, which is shown with a delay.
+// Package vmlist reads the platform's list of live and leaving VMs. The list lags behind the actual state.
 package vmlist
--- a/webcall/webcall.go
+++ b/webcall/webcall.go
@@ -38,7 +38,7 @@
 // ErrNotSent means that no byte of the call left this process.
 var ErrNotSent = errors.New("not sent")
 
-// StatusError is a reply with a status other than 200.
+// StatusError is a reply with a status other than 200. It is a definite answer from the server.
 type StatusError struct {
 	Code   int
 	Reason string
