--- a/gate/finish.go
+++ b/gate/finish.go
@@ -3,8 +3,8 @@
 import "time"
 
 // finishAttempt records the outcome of an attempt and releases its slot. The target may still work
-// on a request that was given up, so its slot is released only after the deadline sent to the
-// target.
+// on a request that was given up, so its slot is released only after the deadline sent to the target
+// plus Limits.Grace.
 func (g *Gate) finishAttempt(t *ticket, a *attempt) {
 	now := time.Now()
 	g.mu.Lock()
