--- a/record/codec.go
+++ b/record/codec.go
@@ -92,7 +92,7 @@
 		return h, errors.Join(ErrCorrupt, err)
 	}
 	if h.First == 0 || (h.Generation == "") != (h.Parts == 0) {
-		return h, fmt.Errorf("head has inconsistent fields: %w", ErrCorrupt)
+		return h, fmt.Errorf("journal head has inconsistent fields: %w", ErrCorrupt)
 	}
 	return h, nil
 }
--- a/record/inspect.go
+++ b/record/inspect.go
@@ -149,7 +149,7 @@
 		err = b.forEach(func(Record) error { in.report.Records++; return nil })
 	}
 	if err == nil && b.Number != n {
-		err = fmt.Errorf("contains the number %d: %w", b.Number, ErrCorrupt)
+		err = fmt.Errorf("contains a block with number %d: %w", b.Number, ErrCorrupt)
 	}
 	if err != nil {
 		in.report.Findings.Add(place, "%s", err.Error())
--- a/record/recover.go
+++ b/record/recover.go
@@ -78,7 +78,7 @@
 	j.nextSegment = j.head.First
 	err := j.readBlocks(ctx, j.keys.segments(), j.nextSegment, func(b block, size int) error {
 		if b.Number != j.nextSegment {
-			return fmt.Errorf("segment %d is followed by %d: %w", j.nextSegment-1, b.Number, ErrCorrupt)
+			return fmt.Errorf("segment %d is followed by segment %d: %w", j.nextSegment-1, b.Number, ErrCorrupt)
 		}
 		j.nextSegment++
 		j.addSegment(size)
--- a/scheduler/record.go
+++ b/scheduler/record.go
@@ -109,7 +109,7 @@
 	case kindJob:
 		var body jobRecord
 		if err := msgpack.Unmarshal(r.Data, &body); err != nil {
-			return eris.Wrapf(err, "job record %s", r.Key)
+			return eris.Wrapf(err, "decode job record %s", r.Key)
 		}
 		t.jobs[r.Key] = newEntry(r.Key, body)
 	case kindTask:
@@ -119,7 +119,7 @@
 		}
 		var body taskRecord
 		if err := msgpack.Unmarshal(r.Data, &body); err != nil {
-			return eris.Wrapf(err, "task record %s", r.Key)
+			return eris.Wrapf(err, "decode task record %s", r.Key)
 		}
 		if e := t.jobs[id]; e != nil && task < len(e.tasks) {
 			t.set(e, task, body)
@@ -127,13 +127,13 @@
 	case kindMoved:
 		var body movedRecord
 		if err := msgpack.Unmarshal(r.Data, &body); err != nil {
-			return eris.Wrapf(err, "moved record %s", r.Key)
+			return eris.Wrapf(err, "decode moved record %s", r.Key)
 		}
 		t.moved[r.Key] = body
 	case kindCancel:
 		var body cancelRecord
 		if err := msgpack.Unmarshal(r.Data, &body); err != nil {
-			return eris.Wrapf(err, "cancel record %s", r.Key)
+			return eris.Wrapf(err, "decode cancel record %s", r.Key)
 		}
 		if e := t.jobs[r.Key]; e != nil {
 			e.cancel = &body
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -65,7 +65,7 @@
 	}
 	t, err := openTerm(ctx, s.o, epoch, revision)
 	if err != nil {
-		s.o.Logger.Warn("scheduler: recovery of the zone failed; will be retried", zap.Error(err))
+		s.o.Logger.Warn("scheduler: recovery of the zone failed; retrying", zap.Error(err))
 		return
 	}
 	s.setTerm(t)
--- a/scheduler/term.go
+++ b/scheduler/term.go
@@ -213,6 +213,6 @@
 		l.close()
 	}
 	if err := t.journal.Flush(ctx); err != nil {
-		t.o.Logger.Warn("scheduler: journal was not flushed completely at close", zap.Error(err))
+		t.o.Logger.Warn("scheduler: flushing the journal failed at close", zap.Error(err))
 	}
 }
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -45,7 +45,7 @@
 	}
 	exporter, err := build(ctx, address)
 	if err != nil {
-		return nil, eris.Wrap(err, "trace exporter")
+		return nil, eris.Wrap(err, "create trace exporter")
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
--- a/trial/plot.go
+++ b/trial/plot.go
@@ -41,7 +41,7 @@
 	}
 	p.Add(zero, bars, dots)
 	p.NominalY(names...)
-	return eris.Wrap(p.Save(plotWidth, plotFrame+vg.Length(len(rows))*plotLine, path), "save a plot")
+	return eris.Wrap(p.Save(plotWidth, plotFrame+vg.Length(len(rows))*plotLine, path), "save plot of a comparison")
 }
 
 // intervals holds points with error bars along X.
