--- a/gate/target/check.go
+++ b/gate/target/check.go
@@ -10,7 +10,7 @@
 	// ErrTruncated means that the answer is incomplete.
 	ErrTruncated = errors.New("target answer truncated")
 	// ErrMismatch means that the answer belongs to another request.
-	ErrMismatch = errors.New("target answer of another request")
+	ErrMismatch = errors.New("target answer belongs to another request")
 )
 
 // Check returns an error unless the response is the complete answer to the request with that ID.
--- a/history/history.go
+++ b/history/history.go
@@ -269,7 +269,7 @@
 		p.list.Add("target "+e.Worker, "works on %d requests with %d slots", t.inUse, t.slots)
 	}
 	if !t.leavingSince.IsZero() && !e.Session && e.At.Sub(t.leavingSince) > p.opts.LeavingGrace {
-		p.list.Add("target "+e.Worker, "got %s %s after its leaving", e.Attempt, e.At.Sub(t.leavingSince))
+		p.list.Add("target "+e.Worker, "got %s %s after it started leaving", e.Attempt, e.At.Sub(t.leavingSince))
 	}
 	p.job(p.opts.Task(e.Attempt)).started = true
 	if e.Key == "" {
