--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -56,7 +56,7 @@
 		err = service.Run()
 	}
 	if err != nil {
-		log.Error("service: failed", zap.Error(err))
+		log.Error("service: ended with an error", zap.Error(err))
 		return exitFailed
 	}
 	return 0
--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -67,7 +67,7 @@
 		err = service.Run()
 	}
 	if err != nil {
-		service.Logger().Error("service: failed", zap.Error(err))
+		service.Logger().Error("service: ended with an error", zap.Error(err))
 		os.Exit(exitFailed)
 	}
 }
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -92,7 +92,7 @@
 	defer resp.Body.Close()
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("gate answered with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/cmd/standinstore/main.go
+++ b/cmd/standinstore/main.go
@@ -35,7 +35,7 @@
 	}
 	log := logger.New("standinstore")
 	if err := serve(args.Listen, log); err != nil {
-		log.Fatal("standinstore: serving failed", zap.Error(err))
+		log.Fatal("standinstore: serving requests failed", zap.Error(err))
 	}
 }
 
@@ -53,7 +53,7 @@
 			log.Warn("standinstore: closing the HTTP server failed", zap.Error(err))
 		}
 	}()
-	log.Info("standinstore: serving", zap.String("address", listener.Addr().String()))
+	log.Info("standinstore: serving requests", zap.String("address", listener.Addr().String()))
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/gate/sessions.go
+++ b/gate/sessions.go
@@ -71,7 +71,7 @@
 	s := &session.Session{ID: rand.Text(), Service: info.Service, Target: info.ID, Zone: info.Zone}
 	token, err := g.issueToken(s)
 	if err != nil {
-		g.log.Error("gate: token not made", zap.Error(err))
+		g.log.Error("gate: signing a session token failed", zap.Error(err))
 		reply(ctx, notRun("token not made", noTargetRetry))
 		return
 	}
--- a/gate/shares.go
+++ b/gate/shares.go
@@ -31,7 +31,7 @@
 // differ after each restart of a process.
 func (g *Gate) SetTable(t share.Table) {
 	if len(t.Gates) > maxGates {
-		g.log.Error("gate: gate table has more gates than the connections of a target are divided among",
+		g.log.Error("gate: gate table lists more gates than can share the connections of a target",
 			zap.Int("gates", len(t.Gates)), zap.Int("most", maxGates))
 	}
 	g.shares.SetTable(t, time.Now())
--- a/member/reconcile.go
+++ b/member/reconcile.go
@@ -179,7 +179,7 @@
 	}
 	if g.joinedVersion == 0 {
 		g.joinedVersion, g.joinedAt = t.Version, time.Now()
-		g.log.Info("member: joined", zap.Int64("version", t.Version))
+		g.log.Info("member: joined the member table", zap.Int64("version", t.Version))
 	}
 	own, _ := t.Find(g.self.ID)
 	g.self.State, g.presenceLease, g.wasUnlisted = own.State, lease, false
--- a/turmericgap.go
+++ b/turmericgap.go
@@ -84,7 +84,7 @@
 	}
 	s.opts.Logger.Info("service: started")
 	sig := <-stop
-	s.opts.Logger.Info("service: stopping", zap.String("signal", sig.String()))
+	s.opts.Logger.Info("service: shutting down", zap.String("signal", sig.String()))
 	s.shutdown(flush)
 	return nil
 }
