--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -20,7 +20,7 @@
 	Cloud  maintenance.Cloud
 	// Self is the ID of this VM at the platform.
 	Self string
-	// Lease is how long orders of a former owner may still arrive. A new owner gives none before that.
+	// Lease is how long orders of a former owner may still arrive. A new owner gives no orders before then.
 	Lease time.Duration
 	// UpkeepDuration is how long a VM is unavailable during its maintenance.
 	UpkeepDuration time.Duration
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -14,7 +14,7 @@
 type Run struct {
 	// ExpectedEnd is when the run is expected to end; zero if unknown.
 	ExpectedEnd time.Time
-	// Awaited reports whether a caller or the next step waits for this run only, or waits for this run longest.
+	// Awaited reports whether a caller or the next step waits for this run, which is the only one or expected to end last.
 	Awaited bool
 }
 
--- a/job/job.go
+++ b/job/job.go
@@ -29,7 +29,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// Kind is whether a job's tasks end by themselves.
+// Kind says whether a job's tasks end by themselves.
 type Kind string
 
 // The kinds of jobs.
