--- a/cmd/internal/process/process.go
+++ b/cmd/internal/process/process.go
@@ -154,7 +154,7 @@
 	parsed, err := rule.Parse(latest.Raw)
 	if err != nil {
 		// Documents are validated when they are accepted, but a newer version of the program may have accepted this one.
-		r.Logger.Error("rules: document cannot be parsed; keeping the previous rules", zap.Int64("version", latest.Version), zap.Error(err))
+		r.Logger.Error("rules: document not understood, the last one stays", zap.Int64("version", latest.Version), zap.Error(err))
 		return r.list, newer
 	}
 	r.list = parsed
--- a/view/edit.go
+++ b/view/edit.go
@@ -80,7 +80,7 @@
 		// A lost answer does not mean that the write failed. The next attempt reads the document
 		// first and recognizes this edit by its identity if it was written.
 		if b.Wait(ctx) != nil {
-			return 0, eris.Wrap(err, "outcome of the rules edit is unknown")
+			return 0, eris.Wrap(err, "edit of unknown outcome")
 		}
 	}
 }
