--- a/share/share_test.go
+++ b/share/share_test.go
@@ -301,6 +301,7 @@
 
 // Guards against a target getting more requests than it has slots. Gates join, crash, pause past their leases, learn
 // tables late or not at all, and exchange confirmations and loans by messages that are delayed, reordered or lost.
+// A gate may use a larger share only once no other gate can still hold the part that it gains.
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 2))
