--- a/member/plan_test.go
+++ b/member/plan_test.go
@@ -67,7 +67,8 @@
 }
 
 // A promise given at the wrong moment lets two owners act.
-// Each case is a state of the member that is asked for a promise.
+// Each case is a state of the member that is asked for a promise, with the wanted reason to refuse it. The member must
+// promise if that is empty and only then.
 func TestRefusalReason(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -17,8 +17,8 @@
 	preemptInterval = time.Second
 	// reclaimDelay is the time that a job within its quota waits before tasks on borrowed capacity are preempted.
 	reclaimDelay = 5 * time.Second
-	// maxVictims limits the tasks of a job for which one search frees capacity.
-	maxVictims = 512
+	// maxSlots limits the slots that one search frees for a job.
+	maxSlots = 512
 	// maxLateScanned limits the late jobs examined for a reservation.
 	maxLateScanned = 2 * maxReservations
 )
@@ -149,7 +149,7 @@
 // preempt asks the tasks with the least lost work to stop. For a gang it does so only if all its tasks will fit.
 func (p *Planner) preempt(now time.Time, e *entry, plan *Plan, reason string, eligible func(*task) bool) bool {
 	e.lastPreemption = now
-	need := min(len(e.pending), maxVictims)
+	need := min(len(e.pending), maxSlots)
 	zones := map[string][]slot{}
 	var names []string
 	p.index.ForEach(func(n *placement.Node) {
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// evictFinished drops finished jobs after AnswerRetention, and the oldest answer while the answers exceed
-// AnswerBudgetBytes.
+// evictFinished drops finished jobs after AnswerRetention. If the answers exceed AnswerBudgetBytes, it also drops those
+// of the job that ended first; each tick drops one job's answers.
 func (t *term) evictFinished(now time.Time) {
 	for id, m := range t.moved {
 		if now.Sub(m.At) > t.o.AnswerRetention {
