--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -56,7 +56,8 @@
 	return t.limitTasks(s, n, fitCount(n.unclaimedUntil(s.taskEndBound(now)), s.taskResources()))
 }
 
-// taskEndBound returns an upper bound for the end of a task that starts now, used for backfilling reserved capacity.
+// taskEndBound returns when a task that starts now should have ended at the latest: its estimate times backfillMargin.
+// The task may use reserved capacity if the reservation starts later than that.
 func (s *stage) taskEndBound(now time.Time) time.Time {
 	return now.Add(time.Duration(backfillMargin * float64(s.spec.Estimate)))
 }
--- a/dispatch/urgency_test.go
+++ b/dispatch/urgency_test.go
@@ -63,9 +63,9 @@
 	is.Equal(newEntry(w).objective, 15*time.Second)
 }
 
-// Guards against a late service that lacks capacity, so stays first in the order, and keeps the works after it from
-// sharing starts between size classes: a large work must still precede the last small ones, and a later step must
-// precede all works that have not started.
+// A late service without capacity stays first in the order. It must not keep the size classes of the works after it
+// from sharing starts: a large work must still precede the last small ones, and a later step must precede all works
+// that have not started.
 func TestSizeClassesShareStarts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/dispatch/worker_test.go
+++ b/dispatch/worker_test.go
@@ -81,8 +81,8 @@
 	})
 }
 
-// Guards against a launch that its worker executes seconds after it was sent, without an answer: by then it has
-// expired, its capacity is free once the worker's clock shows that, and the task runs once.
+// A worker executes a launch up to seconds after it was sent, and does not answer it. A launch that has expired by then
+// must not start the task: its capacity is free once the worker's clock shows that, and the task runs once.
 func TestLateStart(t *testing.T) {
 	for _, late := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
