--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -161,8 +161,8 @@
 		if r := s.tasks[i].run; r != nil && !r.ended {
 			r.ended = true
 			r.node.release(r)
-			if r.node.trialRun == r {
-				r.node.trialRun = nil
+			if r.node.trial == r {
+				r.node.trial = nil
 			}
 			s.entry.activeRuns--
 		}
--- a/dispatch/capacityindex.go
+++ b/dispatch/capacityindex.go
@@ -122,6 +122,4 @@
 
 // fitsNowhere reports whether a task of the stage surely fits on no worker. In a full cell this saves waiting stages
 // from examining all their workers.
-func (t *term) fitsNowhere(s *stage) bool {
-	return t.capacityIndex.maxFree() < s.taskResources().Millicores
-}
+func (t *term) fitsNowhere(s *stage) bool { return t.capacity.maxFree() < s.taskResources().Millicores }
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -342,8 +342,8 @@
 	return &job.Work{ID: id, Queue: c.config.Queues[0], Spec: "spec of " + id, Steps: []job.Step{s}, Accepted: time.Now()}
 }
 
-// submitToQueue submits a work of one step to a queue by name.
-func (c *cell) submitToQueue(v *vm, queue, id string, s job.Step) {
+// enqueue submits a work of one step to a queue by name.
+func (c *cell) enqueue(v *vm, queue, id string, s job.Step) {
 	c.t.Helper()
 	w := c.newWork(id, s)
 	w.Queue = *c.config.QueueByName(queue)
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -99,9 +99,8 @@
 		t.Run(name, func(t *testing.T) {
 			for _, seed := range []uint64{1, 2, 3} {
 				t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-					inBubble(t, func(t *testing.T) {
-						(&overload{workers: 48, cores: 16, ownerTenure: tenure, useGangs: true}).run(t, seed)
-					})
+					inBubble(t,
+						func(t *testing.T) { (&overload{workers: 48, cores: 16, ownerTenure: tenure, gangs: true}).run(t, seed) })
 				})
 			}
 		})
@@ -132,8 +131,8 @@
 	cores   int64
 	// ownerTenure is how long each VM owns the cell before it is killed.
 	ownerTenure time.Duration
-	// useGangs submits gangs that need permits instead of single tasks.
-	useGangs bool
+	// gangs submits gangs that need permits instead of single tasks.
+	gangs bool
 }
 
 const (
@@ -150,12 +149,12 @@
 		return floor.Behaviour{Duration: r.taskDuration, Ending: worker.OutcomeDone, Resources: s.TaskResources, GangSize: requiredGangSize(s)}
 	}, vms...)
 	c.config.Queues[0].SlackFactor = rosterSlack
-	if o.useGangs {
+	if o.gangs {
 		c.config.Queues[0].Permit = &job.PermitCost{Base: rosterPermitBase, PerWorker: rosterPermitPerWorker}
 		c.permits = allowQuarter
 	}
 	load := newRosters(c, submitPerSecond*loadSeconds, seed)
-	if !o.useGangs {
+	if !o.gangs {
 		toSingleTasks(load)
 	}
 	for _, r := range load {
@@ -211,7 +210,7 @@
 		"the largest tenth": load[len(load)*9/10:], "the fifth below it": load[len(load)*7/10 : len(load)*9/10],
 	} {
 		share := served(class)
-		t.Logf("served: %.2f of %s, %.2f of all %d", share, name, all, len(load))
+		t.Logf("%s: %.2f served; all %d: %.2f served", name, share, len(load), all)
 		is.True(share >= minServedShare*all)
 	}
 }
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -20,8 +20,8 @@
 	effects []func()
 }
 
-// commitMarker is the value of a stream's key; it identifies the last commit.
-type commitMarker struct {
+// marker is the value of a stream's key; it identifies the last commit.
+type marker struct {
 	Fence  int64 `msgpack:"f"`
 	Number int64 `msgpack:"n"`
 }
@@ -50,8 +50,8 @@
 // afterSaved runs effect once the present state of an entry is durable.
 func (t *term) afterSaved(e *entry, effect func()) { t.save(e, effect) }
 
-// commitBatch is the content of one commit.
-type commitBatch struct {
+// batch is the content of one commit.
+type batch struct {
 	stream   *commitStream
 	txn      store.Txn
 	marker   []byte
@@ -63,13 +63,13 @@
 	removed []string
 }
 
-func (t *term) sendBatch(batch *commitBatch) {
-	before, started := batch.stream.revision, time.Now()
-	t.committer.lastSent, batch.stream.sentAt = started, started
+func (t *term) sendBatch(b *batch) {
+	before, started := b.stream.revision, time.Now()
+	t.committer.lastSent, b.stream.sentAt = started, started
 	t.wg.Go(func() {
-		revision, err := t.commit(batch, before)
+		revision, err := t.commit(b, before)
 		if errors.Is(err, store.ErrNotSent) {
-			t.post(func() { t.onDeclined(batch) })
+			t.post(func() { t.onDeclined(b) })
 			return
 		}
 		if err != nil {
@@ -78,59 +78,57 @@
 			}
 			return
 		}
-		t.post(func() { t.onCommitted(batch, revision, time.Since(started)) })
+		t.post(func() { t.onCommitted(b, revision, time.Since(started)) })
 	})
 }
 
 // buildBatch builds a transaction from as many pending changes as fit.
-func (t *term) buildBatch(stream *commitStream) *commitBatch {
+func (t *term) buildBatch(stream *commitStream) *batch {
 	c := &t.committer
-	batch := &commitBatch{
-		stream: stream, marker: encode(&commitMarker{t.tenure.Fence, c.number}), states: make(map[*entry]job.WorkState),
-	}
-	batch.txn.Compares = []store.Compare{
+	b := &batch{stream: stream, marker: encode(&marker{t.tenure.Fence, c.number}), states: make(map[*entry]job.WorkState)}
+	b.txn.Compares = []store.Compare{
 		t.tenure.Compare(),
 		{Key: stream.key, Target: store.ModRevision, Revision: stream.revision},
 	}
-	batch.txn.Then = []store.Op{{Key: stream.key, Value: batch.marker}}
+	b.txn.Then = []store.Op{{Key: stream.key, Value: b.marker}}
 	var left []*pendingSave
 	now := time.Now()
 	for _, s := range c.queue {
-		if !t.canCommit(s.entry, now) || len(batch.txn.Then)+maxOpsPerWork > maxTxnOps-commitOverhead+1 {
+		if !t.canCommit(s.entry, now) || len(b.txn.Then)+maxOpsPerWork > maxTxnOps-commitOverhead+1 {
 			left = append(left, s)
 			continue
 		}
-		t.addToBatch(batch, s.entry)
-		batch.saves = append(batch.saves, s)
+		t.addToBatch(b, s.entry)
+		b.saves = append(b.saves, s)
 		s.entry.pendingSave, s.entry.committing = nil, true
 	}
 	c.queue = left
-	for len(t.endedToRemove) > 0 && len(batch.txn.Then) < maxTxnOps-commitOverhead+1 {
-		batch.txn.Then = append(batch.txn.Then, store.Op{Delete: true, Key: endedPrefix + t.endedToRemove[0]})
-		batch.removed = append(batch.removed, t.endedToRemove[0])
+	for len(t.endedToRemove) > 0 && len(b.txn.Then) < maxTxnOps-commitOverhead+1 {
+		b.txn.Then = append(b.txn.Then, store.Op{Delete: true, Key: endedPrefix + t.endedToRemove[0]})
+		b.removed = append(b.removed, t.endedToRemove[0])
 		t.endedToRemove = t.endedToRemove[1:]
 	}
-	return batch
+	return b
 }
 
 // onDeclined handles a commit that the store has certainly not applied. Its changes are queued again, merged with newer
 // ones, so that a new work among them can still be withdrawn safely. Retrying the same commit instead would keep
 // callers waiting until they time out.
-func (t *term) onDeclined(batch *commitBatch) {
+func (t *term) onDeclined(b *batch) {
 	c := &t.committer
 	c.inFlight--
-	batch.stream.inFlight = false
+	b.stream.inFlight = false
 	c.retryAt = time.Now().Add(c.backoff.Next())
-	for e := range batch.states {
+	for e := range b.states {
 		e.committing = false
 	}
-	for _, e := range batch.created {
+	for _, e := range b.created {
 		e.needsCreate = !e.createdElsewhere
 	}
-	for _, e := range batch.finished {
+	for _, e := range b.finished {
 		e.endQueued = false
 	}
-	for _, s := range batch.saves {
+	for _, s := range b.saves {
 		if newer := s.entry.pendingSave; newer != nil {
 			newer.effects, newer.since = append(s.effects, newer.effects...), s.since
 			continue
@@ -138,24 +136,24 @@
 		s.entry.pendingSave = s
 		c.queue = append(c.queue, s)
 	}
-	t.endedToRemove = append(batch.removed, t.endedToRemove...)
+	t.endedToRemove = append(b.removed, t.endedToRemove...)
 }
 
 // addToBatch adds the state of one entry. Once a work has ended and none of its runs is left, a record of its end
 // replaces the work and its progress.
-func (t *term) addToBatch(batch *commitBatch, e *entry) {
+func (t *term) addToBatch(b *batch, e *entry) {
 	id := e.work.ID
-	batch.states[e] = e.reportedState()
+	b.states[e] = e.reportedState()
 	if e.needsCreate && !e.isRemovable() {
 		e.needsCreate = false
-		batch.created = append(batch.created, e)
-		batch.txn.Then = append(batch.txn.Then, store.Op{Key: workPrefix + id, Value: encode(e.work)})
+		b.created = append(b.created, e)
+		b.txn.Then = append(b.txn.Then, store.Op{Key: workPrefix + id, Value: encode(e.work)})
 		if e.lastRun == 0 && e.occurrencesBegun <= 1 && !e.state.Final() {
 			return // a work without progress has not started
 		}
 	}
 	if !e.isRemovable() {
-		batch.txn.Then = append(batch.txn.Then, store.Op{Key: statePrefix + id, Value: encode(e.toProgress())})
+		b.txn.Then = append(b.txn.Then, store.Op{Key: statePrefix + id, Value: encode(e.toProgress())})
 		return
 	}
 	if e.endQueued {
@@ -163,8 +161,8 @@
 	}
 	e.endQueued = true
 	end := Ended{State: e.state, At: time.Now(), Queue: e.work.Queue.Name}
-	batch.finished = append(batch.finished, e)
-	batch.txn.Then = append(batch.txn.Then,
+	b.finished = append(b.finished, e)
+	b.txn.Then = append(b.txn.Then,
 		store.Op{Delete: true, Key: workPrefix + id},
 		store.Op{Delete: true, Key: statePrefix + id},
 		store.Op{Key: endedPrefix + id, Value: encode(&end)})
@@ -185,26 +183,26 @@
 }
 
 // onCommitted handles a successful commit on the loop.
-func (t *term) onCommitted(batch *commitBatch, revision int64, took time.Duration) {
+func (t *term) onCommitted(b *batch, revision int64, took time.Duration) {
 	t.committer.inFlight--
-	batch.stream.inFlight, batch.stream.revision = false, revision
+	b.stream.inFlight, b.stream.revision = false, revision
 	t.committer.backoff.Reset()
 	t.o.Metrics.Histogram("dispatch.commitMillis").Update(took.Milliseconds())
-	for e, state := range batch.states {
+	for e, state := range b.states {
 		e.durableState, e.committing = state, false
 	}
-	for _, e := range batch.finished {
+	for _, e := range b.finished {
 		delete(t.entries, e.work.ID)
 		t.countEnded(e, time.Now())
 		t.addEnded(e.work.ID, Ended{State: e.state, At: time.Now(), Queue: e.work.Queue.Name})
 		t.log.Info("dispatch: work ended", zap.String("id", e.work.ID), zap.String("queue", e.work.Queue.Name),
 			zap.String("state", string(e.state)), zap.Duration("took", time.Since(e.work.Accepted)),
-			zap.Stringer("class", e.class), zap.Duration("beforeGoal", time.Until(e.lastDeadline())))
+			zap.Stringer("class", e.class), zap.Duration("beforeGoal", time.Until(e.doneBy())))
 	}
-	for _, e := range batch.created {
+	for _, e := range b.created {
 		e.waiters = nil
 	}
-	for _, s := range batch.saves {
+	for _, s := range b.saves {
 		for _, f := range s.effects {
 			f()
 		}
@@ -222,14 +220,14 @@
 // commit sends a transaction until its outcome is certain and returns the resulting revision of its stream's key. After
 // a lost answer it tries again: the marker in the key shows whether an earlier attempt was applied, and once a later
 // commit has changed the key, no earlier attempt can be applied any more.
-func (t *term) commit(batch *commitBatch, before int64) (int64, error) {
-	b := retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
+func (t *term) commit(b *batch, before int64) (int64, error) {
+	backoff := retry.New(retry.Bounds(commitRetryMin, commitRetryMax))
 	for first := true; ; first = false {
 		ctx, cancel := context.WithTimeout(t.ctx, storeTimeout)
-		res, err := t.o.Store.Txn(ctx, batch.txn)
+		res, err := t.o.Store.Txn(ctx, b.txn)
 		if err == nil && !res.Succeeded {
 			var revision int64
-			if revision, err = t.resolve(ctx, batch, &res); err == nil {
+			if revision, err = t.resolve(ctx, b, &res); err == nil {
 				cancel()
 				return revision, nil
 			}
@@ -249,23 +247,23 @@
 			return 0, err
 		}
 		t.log.Warn("dispatch: commit without an answer", zap.Int64("after", before), zap.Error(err))
-		retry.Sleep(t.ctx, b.Next())
+		retry.Sleep(t.ctx, backoff.Next())
 	}
 }
 
 // resolve returns the revision of the stream's key if an earlier attempt of a rejected transaction was applied, and
 // errTermClosed if none was.
-func (t *term) resolve(ctx context.Context, batch *commitBatch, res *store.TxnResult) (int64, error) {
+func (t *term) resolve(ctx context.Context, b *batch, res *store.TxnResult) (int64, error) {
 	found := res.Existing
 	if len(found) == 0 {
-		r, err := t.o.Store.Range(ctx, store.Range{Key: batch.stream.key})
+		r, err := t.o.Store.Range(ctx, store.Range{Key: b.stream.key})
 		if err != nil {
 			return 0, err
 		}
 		found = r.Pairs
 	}
 	for i := range found {
-		if found[i].Key == batch.stream.key && bytes.Equal(found[i].Value, batch.marker) {
+		if found[i].Key == b.stream.key && bytes.Equal(found[i].Value, b.marker) {
 			return found[i].ModRevision, nil
 		}
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,8 +14,8 @@
 // errTermClosed is returned when this VM no longer owns the cell.
 var errTermClosed = errors.New("this entry VM no longer owns the cell")
 
-// ownerRetryAfter is the retry hint while the cell has no owner, about the duration of a takeover.
-const ownerRetryAfter = time.Second
+// ownerRetry is the retry hint while the cell has no owner, about the duration of a takeover.
+const ownerRetry = time.Second
 
 // Dispatcher serves requests for the cell while this entry VM owns it.
 type Dispatcher struct {
@@ -49,9 +49,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.term == nil {
-		return nil, &rpc.Fault{
-			Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetryAfter,
-		}
+		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetry}
 	}
 	return d.term, nil
 }
@@ -80,17 +78,13 @@
 func (d *Dispatcher) Accept(ctx context.Context, w *job.Work) error {
 	accepted, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
 	if err == nil && !accepted {
-		return &rpc.Fault{
-			Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetryAfter,
-		}
+		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetry}
 	}
 	return err
 }
 
 // decideDurably runs decide on the loop and waits until its result is durable. It returns false if nothing was decided.
-func (d *Dispatcher) decideDurably(
-	ctx context.Context, decide func(*term) (decided bool, done chan error),
-) (bool, error) {
+func (d *Dispatcher) decideDurably(ctx context.Context, decide func(*term) (ok bool, done chan error)) (bool, error) {
 	t, err := d.currentTerm()
 	if err != nil {
 		return false, err
@@ -154,7 +148,7 @@
 		return 0, err
 	}
 	if !t.isTenureConfirmed() {
-		return 0, rpc.Refused(ownerRetryAfter,
+		return 0, rpc.Refused(ownerRetry,
 			"the store has not confirmed for a while that this entry VM owns the cell")
 	}
 	return callLoop(ctx, t, func() int { return t.countWaiting(queue) })
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -195,10 +195,10 @@
 }
 
 func (s *stage) recordFailureOn(workerID string) {
-	if s.failuresByWorker == nil {
-		s.failuresByWorker = make(map[string]int)
+	if s.failedOn == nil {
+		s.failedOn = make(map[string]int)
 	}
-	s.failuresByWorker[workerID]++
+	s.failedOn[workerID]++
 }
 
 // keepCheckpoint records a checkpoint. A checkpoint of one gang member applies to all members.
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -82,8 +82,8 @@
 	waitReason gangWaitReason
 	// reservedCapacity is the capacity reserved for the gang in the latest pass.
 	reservedCapacity []allocation
-	// failuresByWorker counts the failures of the stage's tasks by worker ID.
-	failuresByWorker map[string]int
+	// failedOn counts the failures of the stage's tasks by worker ID.
+	failedOn map[string]int
 }
 
 type task struct {
@@ -136,9 +136,7 @@
 }
 
 func (r *run) task() worker.Task {
-	return worker.Task{
-		Work: r.stage.entry.work.ID, Occurrence: r.stage.occurrence.number, Step: r.stage.index, Index: r.index,
-	}
+	return worker.Task{Work: r.stage.entry.work.ID, Occurrence: r.stage.occurrence.number, Step: r.stage.index, Index: r.index}
 }
 
 func newEntry(w *job.Work) *entry {
@@ -159,10 +157,8 @@
 // deadline is when an occurrence should be done.
 func (o *occurrence) deadline(e *entry) time.Time { return e.work.DueAt(o.number).Add(e.objective) }
 
-// lastDeadline is when the last occurrence of a work should be done.
-func (e *entry) lastDeadline() time.Time {
-	return e.work.DueAt(e.work.NumOccurrences() - 1).Add(e.objective)
-}
+// doneBy returns the deadline of the last occurrence of a work.
+func (e *entry) doneBy() time.Time { return e.work.DueAt(e.work.NumOccurrences() - 1).Add(e.objective) }
 
 // expiry is when the result of an occurrence becomes worthless.
 func (o *occurrence) expiry(e *entry) time.Time {
@@ -223,9 +219,7 @@
 	for _, o := range e.occurrences {
 		or := occurrenceRecord{Number: o.number}
 		for _, s := range o.stages {
-			sr := stageRecord{
-				Fails: s.failures, Failing: s.gang != nil && s.gang.failed, Tasks: make([]taskRecord, len(s.tasks)),
-			}
+			sr := stageRecord{Fails: s.failures, Failing: s.gang != nil && s.gang.failed, Tasks: make([]taskRecord, len(s.tasks))}
 			for _, u := range s.unresolved {
 				sr.Unresolved = append(sr.Unresolved, unresolvedRecord{Run: u.number, Worker: u.worker})
 			}
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -125,7 +125,7 @@
 		time.Sleep(5 * time.Second)
 		var submitted time.Time
 		for i := range 150 {
-			c.submitToQueue(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
+			c.enqueue(v, "batch", fmt.Sprint("small", i), job.Step{Tasks: 1, Estimate: 3 * time.Second})
 			if i == 50 {
 				submitted = time.Now()
 				c.submit(v, c.newWork("gang", job.Step{
@@ -287,9 +287,7 @@
 		c.addWorkers(2, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		submitCheck := func(id string, tasks int) {
-			c.submitToQueue(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second})
-		}
+		submitCheck := func(id string, tasks int) { c.enqueue(v, "check", id, job.Step{Tasks: tasks, Estimate: time.Second}) }
 		submitCheck("before", 8)
 		submitted := time.Now()
 		c.submit(v, c.newWork("gang", job.Step{
@@ -372,9 +370,7 @@
 		c.addWorkers(4, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
-		submitCheck := func(i int) {
-			c.submitToQueue(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second})
-		}
+		submitCheck := func(i int) { c.enqueue(v, "check", fmt.Sprint("check", i), job.Step{Tasks: 1, Estimate: time.Second}) }
 		c.submit(v, c.newWork("long", job.Step{Tasks: 2, MaxPerWorker: 1, Estimate: time.Minute}))
 		time.Sleep(time.Second)
 		for i := range 10 {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -39,8 +39,8 @@
 	// quarantine is the duration of the latest quarantine, quarantinedUntil its end.
 	quarantine       time.Duration
 	quarantinedUntil time.Time
-	// trialRun is the current run that decides whether the worker leaves quarantine.
-	trialRun *run
+	// trial is the current run that decides whether the worker leaves quarantine.
+	trial *run
 }
 
 // isSuspect reports whether other workers are to be preferred.
@@ -52,20 +52,18 @@
 // isQuarantined reports whether the worker gets no new runs. A worker on which every start fails always has free
 // capacity: without quarantine, the works of a full cell would go there and use up their attempts.
 func (h *health) isQuarantined(now time.Time) bool {
-	return h.isOnTrial() && (h.trialRun != nil || now.Before(h.quarantinedUntil))
+	return h.isOnTrial() && (h.trial != nil || now.Before(h.quarantinedUntil))
 }
 
-// acceptsTrial reports whether a stage may start a trial run on this worker. The stage must not have failed yet, so
+// canTry reports whether a stage may start a trial run on this worker. The stage must not have failed yet, so
 // that the trial cannot cost its last attempt, and must not be a gang, which needs other workers too.
-func (h *health) acceptsTrial(s *stage) bool {
-	return h.trialRun == nil && !s.spec.Gang && len(s.failuresByWorker) == 0
-}
+func (h *health) canTry(s *stage) bool { return h.trial == nil && !s.spec.Gang && len(s.failedOn) == 0 }
 
 // recordEnding updates the health of a worker after the end of a run.
 func (t *term) recordEnding(r *run, ending worker.RunOutcome) {
 	h := &r.node.health
-	if h.trialRun == r {
-		h.trialRun = nil
+	if h.trial == r {
+		h.trial = nil
 	}
 	switch ending {
 	case worker.OutcomeDone:
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -232,7 +232,7 @@
 
 func (t *term) addNode(n *node) {
 	t.nodes[n.id] = n
-	n.position.index, n.ownerLag = &t.capacityIndex, &t.lag
+	n.position.index, n.ownerLag = &t.capacity, &t.lag
 	n.updateIndex()
 	at, _ := t.searchNodes(n)
 	t.sortedNodes = slices.Insert(t.sortedNodes, at, n)
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -118,9 +118,7 @@
 }
 
 // Workers sets the key prefix of the worker entries, their decoder and the constructor of worker clients.
-func Workers(
-	prefix string, decode func(string, []byte) (worker.ListedWorker, error), agent func(worker.Info) *worker.Agent,
-) Option {
+func Workers(prefix string, decode func(string, []byte) (worker.ListedWorker, error), agent func(worker.Info) *worker.Agent) Option {
 	return func(o *Options) { o.WorkersPrefix, o.DecodeWorker, o.Agent = prefix, decode, agent }
 }
 
@@ -131,10 +129,8 @@
 func Rules(f func() *rule.List) Option { return func(o *Options) { o.Rules = f } }
 
 // Permits sets the entry VMs that query the policy service, and the function that sends a permit request.
-func Permits(
-	nodes func() []owner.Node, request func(context.Context, owner.Node, *permit.Request) (*permit.Response, error),
-) Option {
-	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, request }
+func Permits(nodes func() []owner.Node, send func(context.Context, owner.Node, *permit.Request) (*permit.Response, error)) Option {
+	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, send }
 }
 
 // Upkeep sets the source of maintenance waves and the service that carries them out.
--- a/dispatch/permitrequest.go
+++ b/dispatch/permitrequest.go
@@ -28,15 +28,13 @@
 	return s.outsideZone(c.node)
 }
 
-// maxFullScan is the largest number of workers that are all examined for a first request. In larger cells a full scan
+// maxScan is the largest number of workers that are all examined for a first request. In larger cells a full scan
 // would use more of the owner's CPU than everything else, and a partial one is as good where capacity is not scarce.
-const maxFullScan = 400
+const maxScan = 400
 
 // scansAll reports whether unnamedCandidates examines all workers. For a stage with local data it does so in a cell of
 // any size, as the few workers near the data may be anywhere.
-func (t *term) scansAll(s *stage) bool {
-	return len(t.sortedNodes) <= maxFullScan || s.spec.DataRack != ""
-}
+func (t *term) scansAll(s *stage) bool { return len(t.sortedNodes) <= maxScan || s.spec.DataRack != "" }
 
 // unnamedCandidates returns workers that were not yet named, sorted by distance from the data, zone rank and free
 // capacity. In a small cell it returns all of them, in a large one as many as a request may need. The list is valid
@@ -91,7 +89,7 @@
 	}
 	offset := int(t.pass.number)
 	minBucket := bucketOf(s.taskResources().Millicores)
-	t.capacityIndex.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withCapacity >= names && free >= tasks }))
+	t.capacity.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withCapacity >= names && free >= tasks }))
 	if withCapacity < names || free < tasks {
 		// Gangs must also know workers without capacity in order to wait for them. Skip the ones already found.
 		seen := make(map[*node]bool, len(list))
@@ -99,7 +97,7 @@
 			seen[c.node] = true
 		}
 		more := collectUntil(func() bool { return len(list) >= names+permit.MaxWorkers })
-		t.capacityIndex.visit(s.entry.work.Zone, 0, offset, func(n *node) bool { return seen[n] || more(n) })
+		t.capacity.visit(s.entry.work.Zone, 0, offset, func(n *node) bool { return seen[n] || more(n) })
 	}
 	t.pass.examined += visited
 	return list
--- a/dispatch/permits.go
+++ b/dispatch/permits.go
@@ -157,15 +157,13 @@
 		ctx, cancel := context.WithTimeout(t.ctx, time.Until(until)+requestTimeoutSlack+t.lag.slack())
 		defer cancel()
 		resp, err := t.o.RequestPermit(ctx, from, req)
-		t.post(func() { t.onPermitResponse(s, from, req, now, resp, err) })
+		t.post(func() { t.onResponse(s, from, req, now, resp, err) })
 	})
 	return true
 }
 
-// onPermitResponse records the permits of a response, or schedules a retry after an error.
-func (t *term) onPermitResponse(
-	s *stage, from owner.Node, req *permit.Request, requestedAt time.Time, resp *permit.Response, err error,
-) {
+// onResponse records the permits of a response, or schedules a retry after an error.
+func (t *term) onResponse(s *stage, from owner.Node, req *permit.Request, sent time.Time, resp *permit.Response, err error) {
 	now := time.Now()
 	s.openRequests--
 	t.passNeeded = true
@@ -194,7 +192,7 @@
 	s.allowedVersion = allowedNodesStale
 	t.updateGrantShare(s.entry.queue.Name, len(resp.Grants), len(req.Workers))
 	t.log.Info("dispatch: permits", zap.String("id", req.Work), zap.Int("step", req.Step), zap.String("from", from.ID),
-		zap.Int("named", len(req.Workers)), zap.Int("allowed", len(resp.Grants)), zap.Duration("took", now.Sub(requestedAt)),
+		zap.Int("named", len(req.Workers)), zap.Int("allowed", len(resp.Grants)), zap.Duration("took", now.Sub(sent)),
 		zap.Duration("waited", now.Sub(s.readySince)), zap.Int("tasks", s.waiting), zap.Int("room", t.tasksFittingAllowed(s, now)))
 }
 
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -275,7 +275,7 @@
 	n.charge(r)
 	t.ruleCapacity[e.effect.Rule]--
 	if n.isOnTrial() {
-		n.trialRun, n.usablePart = r, 0
+		n.trial, n.usablePart = r, 0
 	}
 	t.save(e, func() { t.launch(r) })
 	t.log.Info("dispatch: start decided", zap.String("id", e.work.ID), zap.Int("occurrence", s.occurrence.number), zap.Int("step", s.index),
--- a/dispatch/recover.go
+++ b/dispatch/recover.go
@@ -173,9 +173,7 @@
 	if n.leaseEnd.IsZero() {
 		n.leaseEnd = t.initialLeaseEnd()
 	}
-	r := &run{
-		stage: s, index: index, number: tr.Run, node: n, need: s.taskResources(), recovered: true, sentAt: t.startedAt,
-	}
+	r := &run{stage: s, index: index, number: tr.Run, node: n, need: s.taskResources(), recovered: true, sentAt: t.startedAt}
 	s.tasks[index].run = r
 	s.entry.activeRuns++
 	n.charge(r)
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -76,10 +76,8 @@
 		}
 		tally.logged = true
 		fields := []zap.Field{zap.String("queue", key.queue), zap.Stringer("class", key.class)}
-		for _, outcome := range []workOutcome{
-			outcomeTaken, outcomeInTime, outcomeLate, outcomeLost, outcomeFailed, outcomeCancelled,
-		} {
-			fields = append(fields, zap.Int(string(outcome), tally.counts[outcome]))
+		for _, o := range []workOutcome{outcomeTaken, outcomeInTime, outcomeLate, outcomeLost, outcomeFailed, outcomeCancelled} {
+			fields = append(fields, zap.Int(string(o), tally.counts[o]))
 		}
 		if w := found[key]; w != nil {
 			fields = append(fields, zap.Int("waitingSteps", w.steps), zap.Int("waitingInTime", w.inTime))
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -77,7 +77,7 @@
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
 		submit := func(queue, id string, tasks int) {
-			c.submitToQueue(v, queue, id, job.Step{Tasks: tasks, Estimate: 2 * time.Second})
+			c.enqueue(v, queue, id, job.Step{Tasks: tasks, Estimate: 2 * time.Second})
 		}
 		c.putRules(1, `[{"id":"sweeps","when":"class == \"sweep\"","then":[{"kind":"limit","with":{"mostRunning":3}}]},
 			{"id":"batches","when":"class in [\"sweep\", \"batch\"]","then":[{"kind":"queue","with":{"priority":4}}]}]`)
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -36,9 +36,9 @@
 	nodes      map[string]*node
 	// sortedNodes holds the same nodes ordered by ID; nodesVersion counts the changes to the set of nodes and their
 	// capacities.
-	sortedNodes   []*node
-	nodesVersion  int
-	capacityIndex capacityIndex
+	sortedNodes  []*node
+	nodesVersion int
+	capacity     capacityIndex
 	// capacities is the set of the workers' total resources, computed when nodesVersion was capacitiesVersion.
 	capacities        map[resources]struct{}
 	capacitiesVersion int
--- a/dispatch/unresolved.go
+++ b/dispatch/unresolved.go
@@ -47,9 +47,7 @@
 // state, and any of them may report the failure, so each is recorded.
 func (s *stage) addUnresolved(number int64, n *node) {
 	u := unresolvedRun{number, n.id, n.leaseEnd}
-	if !slices.ContainsFunc(s.unresolved, func(o unresolvedRun) bool {
-		return o.number == number && o.worker == n.id
-	}) {
+	if !slices.ContainsFunc(s.unresolved, func(o unresolvedRun) bool { return o.number == number && o.worker == n.id }) {
 		s.unresolved = append(s.unresolved, u)
 	}
 }
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -93,7 +93,7 @@
 		w.loaded, w.completionSaved = true, bytes.Equal(status, completed)
 		if status == nil {
 			key, value := t.o.Waves.Status(w.Number, false)
-			t.writeInBackground(w, key, value)
+			t.writeAsync(w, key, value)
 		}
 	})
 }
@@ -114,12 +114,10 @@
 
 // recordWave stores which VMs have begun their maintenance. A successor that misses one drains that VM again and
 // repeats the order, which has no effect if it was carried out.
-func (t *term) recordWave(w *wave) {
-	t.writeInBackground(w, w.key(), encode(&waveRecord{Begun: w.begun}))
-}
+func (t *term) recordWave(w *wave) { t.writeAsync(w, w.key(), encode(&waveRecord{Begun: w.begun})) }
 
-// writeInBackground writes a record of a wave that may be out of date for a while.
-func (t *term) writeInBackground(w *wave, key string, value []byte) {
+// writeAsync writes a record of a wave that may be out of date for a while.
+func (t *term) writeAsync(w *wave, key string, value []byte) {
 	t.wg.Go(func() {
 		if err := t.writeAsOwner(key, value); err != nil {
 			t.log.Info("dispatch: record of the wave could not be written", zap.Int64("wave", w.Number), zap.String("key", key), zap.Error(err))
