--- a/planner/next.go
+++ b/planner/next.go
@@ -94,9 +94,8 @@
 	case !p.ledger.Fits(e.pool, e.charge.Times(count)) && !p.ledger.CanBorrow(e.pool):
 		return e.setWaitReason(now, waitQuota)
 	case e.spec.Gang:
-		nodes := p.index.FindGang(e.charge, count, e.spec.Zone, func(n *placement.Node) job.Resources {
-			return p.availableTo(now, e, n)
-		})
+		nodes := p.index.FindGang(e.charge, count, e.spec.Zone,
+			func(n *placement.Node) job.Resources { return p.availableTo(now, e, n) })
 		if nodes == nil {
 			return e.setWaitReason(now, waitCapacity)
 		}
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -110,9 +110,8 @@
 	if requeue {
 		c.unstarted[s.Job]++
 	}
-	c.Release(c.now, s.Job, s.Task, AttemptResult{
-		Completed: !requeue, Requeue: requeue, RunTime: time.Minute, PeakUsage: c.specs[s.Job].TaskResources.Times(c.peakFactor),
-	})
+	c.Release(c.now, s.Job, s.Task,
+		AttemptResult{Completed: !requeue, Requeue: requeue, RunTime: time.Minute, PeakUsage: c.specs[s.Job].TaskResources.Times(c.peakFactor)})
 }
 
 // applyPlan checks a plan and stops some of the victims; the others stop with later plans.
--- a/planner/preempt.go
+++ b/planner/preempt.go
@@ -236,10 +236,7 @@
 // commitPreemption asks the victims to stop and reserves their workers for the job.
 func (p *Planner) commitPreemption(now time.Time, e *entry, chosen []slot, plan *Plan, reason string) {
 	p.unreserve(e.reservation)
-	r := &reservation{
-		entry: e, startAt: now.Add(preemptDuration), expiresAt: now.Add(preemptDuration + reserveGracePeriod),
-		preempted: true,
-	}
+	r := &reservation{entry: e, startAt: now.Add(preemptDuration), expiresAt: now.Add(preemptDuration + reserveGrace), preempted: true}
 	free := map[string]job.Resources{}
 	counts := map[string]int{}
 	for _, o := range chosen {
@@ -257,9 +254,8 @@
 	for i := range r.workers {
 		r.workers[i].count = counts[r.workers[i].worker]
 	}
-	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
-		return free[n.Info.ID].Minus(e.charge.Times(count))
-	})
+	p.addReservation(r,
+		func(n *placement.Node, count int) job.Resources { return free[n.Info.ID].Minus(e.charge.Times(count)) })
 }
 
 // requestStop asks a task to stop. For a gang it asks all tasks, since the remaining ones could not make progress but
@@ -278,8 +274,7 @@
 		}
 		v.preempting = true
 		v.entry.preempting++
-		plan.Preemptions = append(plan.Preemptions, Preemption{
-			Job: v.entry.id, Task: v.index, Worker: v.worker, ForJob: e.id, Reason: reason,
-		})
+		plan.Preemptions = append(plan.Preemptions,
+			Preemption{Job: v.entry.id, Task: v.index, Worker: v.worker, ForJob: e.id, Reason: reason})
 	}
 }
--- a/planner/reserve.go
+++ b/planner/reserve.go
@@ -17,8 +17,8 @@
 	reserveDelay = 10 * time.Second
 	// starvationDelay is the wait for capacity after which a late job that is not large may get a reservation too.
 	starvationDelay = 30 * time.Minute
-	// reserveGracePeriod is the minimum time that a reservation is kept after its planned start.
-	reserveGracePeriod = 30 * time.Second
+	// reserveGrace is the minimum time that a reservation is kept after its planned start.
+	reserveGrace = 30 * time.Second
 )
 
 // reservation keeps workers for a waiting job from the time at which they should be free. Other jobs may use the
@@ -184,20 +184,14 @@
 	if f.zone == "" {
 		return
 	}
-	r := &reservation{
-		entry: e, startAt: at, expiresAt: at.Add(max(reserveGracePeriod, at.Sub(now)/2)), workers: f.chooseWorkers(),
-	}
-	p.addReservation(r, func(n *placement.Node, count int) job.Resources {
-		return f.free[n].Minus(f.request.Times(count))
-	})
+	r := &reservation{entry: e, startAt: at, expiresAt: at.Add(max(reserveGrace, at.Sub(now)/2)), workers: f.chooseWorkers()}
+	p.addReservation(r,
+		func(n *placement.Node, count int) job.Resources { return f.free[n].Minus(f.request.Times(count)) })
 }
 
 // forecast simulates the end of running tasks in order of time until the job fits into a zone.
 func (p *Planner) forecast(now time.Time, e *entry) (f *forecast, at time.Time) {
-	f = &forecast{
-		free: map[*placement.Node]job.Resources{}, fits: map[string]int{},
-		request: e.charge, need: e.nextStartCount(),
-	}
+	f = &forecast{free: map[*placement.Node]job.Resources{}, fits: map[string]int{}, request: e.charge, need: e.nextStartCount()}
 	p.index.ForEach(func(n *placement.Node) {
 		if n.Open && !n.Probe && !n.Reserved() && (e.spec.Zone == "" || e.spec.Zone == n.Info.Zone) &&
 			e.charge.FitsIn(n.Info.Has) {
