--- a/member/plan_test.go
+++ b/member/plan_test.go
@@ -19,39 +19,15 @@
 		o       peerState
 		want    time.Duration
 	}{
-		{
-			"knows this process, nothing promised", "b",
-			peerState{keyMissingSince: ago(time.Second), knowsSelfSince: ago(time.Hour)},
-			-800 * time.Millisecond,
-		},
+		{"knows this process, nothing promised", "b", peerState{keyMissingSince: ago(time.Second), knowsSelfSince: ago(time.Hour)}, -800 * time.Millisecond},
 		{"other members write first", "b", peerState{keyMissingSince: now, knowsSelfSince: ago(time.Hour)}, writeStagger},
-		{
-			"promised", "b",
-			peerState{keyMissingSince: ago(time.Hour), knowsSelfSince: ago(time.Hour), promiseGivenUntil: now.Add(time.Second)},
-			time.Second,
-		},
-		{
-			"may be about to ask", "b",
-			peerState{keyMissingSince: ago(time.Hour), knowsSelfSince: ago(time.Second)},
-			2 * time.Second,
-		},
+		{"promised", "b", peerState{keyMissingSince: ago(time.Hour), knowsSelfSince: ago(time.Hour), promiseGivenUntil: now.Add(time.Second)}, time.Second},
+		{"may be about to ask", "b", peerState{keyMissingSince: ago(time.Hour), knowsSelfSince: ago(time.Second)}, 2 * time.Second},
 		{"does not know this process", "b", peerState{keyMissingSince: ago(time.Hour)}, replanDelay},
-		{
-			"VM dropped, removal grace not over", "b",
-			peerState{keyMissingSince: ago(time.Second), unlistedSince: ago(time.Hour)},
-			5 * time.Second,
-		},
-		{
-			"VM dropped, just joined", "b",
-			peerState{keyMissingSince: ago(time.Hour), unlistedSince: ago(time.Hour)},
-			4 * time.Second,
-		},
+		{"VM dropped, removal grace not over", "b", peerState{keyMissingSince: ago(time.Second), unlistedSince: ago(time.Hour)}, 5 * time.Second},
+		{"VM dropped, just joined", "b", peerState{keyMissingSince: ago(time.Hour), unlistedSince: ago(time.Hour)}, 4 * time.Second},
 		{"VM dropped just now", "b", peerState{keyMissingSince: ago(time.Hour), unlistedSince: now}, 6 * time.Second},
-		{
-			"VM dropped, promised", "b",
-			peerState{keyMissingSince: ago(time.Hour), unlistedSince: ago(time.Hour), promiseGivenUntil: now.Add(9 * time.Second)},
-			9 * time.Second,
-		},
+		{"VM dropped, promised", "b", peerState{keyMissingSince: ago(time.Hour), unlistedSince: ago(time.Hour), promiseGivenUntil: now.Add(9 * time.Second)}, 9 * time.Second},
 		{"this process holds its address", "a", peerState{promiseGivenUntil: now.Add(time.Hour)}, 0},
 	}
 	for _, c := range cases {
@@ -77,10 +53,7 @@
 		{"promise", func(*Group, *Heartbeat) {}, ""},
 		{"sender knows an older table", func(_ *Group, b *Heartbeat) { b.Version = 4 }, "tables differ"},
 		{"sender knows a newer table", func(_ *Group, b *Heartbeat) { b.Version = 6 }, "tables differ"},
-		{
-			"a removal is under way or its answer was lost",
-			func(g *Group, _ *Heartbeat) { g.peers["1"].removalVersion = 5 }, "a removal is under way",
-		},
+		{"a removal is under way or its answer was lost", func(g *Group, _ *Heartbeat) { g.peers["1"].removalVersion = 5 }, "a removal is under way"},
 		{"an older removal can no longer apply", func(g *Group, _ *Heartbeat) { g.peers["1"].removalVersion = 4 }, ""},
 		{"too long", func(_ *Group, b *Heartbeat) { b.Ask = time.Hour }, "too long"},
 		{"another incarnation", func(_ *Group, b *Heartbeat) { b.From.Incarnation = 2 }, "asker is not in the table"},
