--- a/gate/session_test.go
+++ b/gate/session_test.go
@@ -23,18 +23,16 @@
 
 var sessionKey = []byte("a key of sixteen bytes or more")
 
-// pipeListener is a listener over in-memory pipes, which work with the virtual clock.
-type pipeListener struct {
+// listener is a listener over in-memory pipes, which work with the virtual clock.
+type listener struct {
 	conns chan net.Conn
 	once  sync.Once
 	ended chan struct{}
 }
 
-func newPipeListener() *pipeListener {
-	return &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
-}
+func listen() *listener { return &listener{conns: make(chan net.Conn), ended: make(chan struct{})} }
 
-func (p *pipeListener) Accept() (net.Conn, error) {
+func (p *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -43,10 +41,10 @@
 	}
 }
 
-func (p *pipeListener) Close() error   { p.once.Do(func() { close(p.ended) }); return nil }
-func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *listener) Close() error   { p.once.Do(func() { close(p.ended) }); return nil }
+func (p *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipeListener) client() *http.Client {
+func (p *listener) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		near, far := net.Pipe()
 		select {
@@ -81,10 +79,10 @@
 	return resp.StatusCode, b, o
 }
 
-// serveGate runs a gate behind a pipeListener and stops both when the test ends.
+// serveGate runs a gate behind a listener and stops both when the test ends.
 func serveGate(t *testing.T, f *fakeTargets, opts ...Option) (*Gate, *caller) {
 	g := f.newGate(append(opts, SessionKeys(sessionKey))...)
-	l := newPipeListener()
+	l := listen()
 	go g.Serve(l)
 	c := &caller{Client: l.client()}
 	t.Cleanup(func() {
