--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -82,7 +82,7 @@
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Workers(platform.WorkersPrefix, platform.DecodeWorker, p.relays.Agent),
 		dispatch.Config(func() *job.Config { return p.config.Current() }), dispatch.Rules(p.rules.Current),
 		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.requestPermitFrom(requestPermit)),
-		dispatch.Upkeep(upkeepWaves(p.client, s)),
+		dispatch.Maintenance(upkeepWaves(p.client, s)),
 		dispatch.Limits(s.MostHold, s.StopWithin, s.KeepEnded),
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.fetchPeerConfig, logger.Part(p.log, "configuration"))
@@ -90,7 +90,7 @@
 		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
-		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, AskPermit: requestPermit,
+		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, RequestPermit: requestPermit,
 		EvaluateRules: p.rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: logger.Part(p.log, "front"), Metrics: service.Metrics(),
 	})
 	p.config.Start()
@@ -111,7 +111,7 @@
 	}
 	return &dispatch.Waves{
 		Prefix: platform.WavesPrefix, Decode: platform.DecodeWave, Status: platform.WaveStatus, Cloud: client.Cloud(s.Cloud),
-		Self: s.ID, Lease: s.HolderLease, UpkeepDuration: s.UpkeepTakes, SinceBoot: sinceBoot,
+		Self: s.ID, Lease: s.HolderLease, MaintenanceDuration: s.UpkeepTakes, SinceBoot: sinceBoot,
 	}
 }
 
@@ -215,12 +215,12 @@
 }
 
 // requestPermitFrom returns a function that sends a permit request to the policy service from a given VM of the cell.
-func (p *program) requestPermitFrom(local permit.AskFunc) func(context.Context, owner.Node, *permit.Request) (*permit.Response, error) {
+func (p *program) requestPermitFrom(local permit.RequestFunc) func(context.Context, owner.Node, *permit.Request) (*permit.Response, error) {
 	return func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
 		if from.ID == p.settings.ID {
 			return local(ctx, q)
 		}
-		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodAskPermit, q)
+		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodRequestPermit, q)
 	}
 }
 
--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -193,7 +193,7 @@
 		return gate.Decision{}
 	}
 	d := gate.Decision{
-		RefusalReason: e.Refuse, Service: e.Service, Retries: e.Retries, Queue: e.MostPending,
+		RefusalReason: e.Refuse, Service: e.Service, Retries: e.Retries, Queue: e.MaxPending,
 		Timeout: time.Duration(e.TimeoutSeconds) * time.Second,
 	}
 	if len(e.Zones) > 0 {
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -134,7 +134,7 @@
 		NewClient: func(address string) *rpc.Client { return rpc.NewClient(address, dial) },
 	})
 	v.dispatcher = dispatch.New(
-		dispatch.Upkeep(waves), dispatch.OnExamined(c.onExamined),
+		dispatch.Maintenance(waves), dispatch.OnExamined(c.onExamined),
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
@@ -142,13 +142,13 @@
 				if from.ID == id {
 					return askPermit(ctx, q)
 				}
-				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodAskPermit, q)
+				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodRequestPermit, q)
 			}),
 		dispatch.Limits(maxHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.dispatcher.Lead), owner.Rules(rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.probeCPU), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
-		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, AskPermit: askPermit, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
+		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, RequestPermit: askPermit, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
 	v.front.Register(v.server)
 	v.group.Register(v.server)
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -137,8 +137,8 @@
 	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, request }
 }
 
-// Upkeep sets the source of maintenance waves and the service that carries them out.
-func Upkeep(w *Waves) Option { return func(o *Options) { o.Waves = w } }
+// Maintenance sets the source of maintenance waves and the service that carries them out.
+func Maintenance(w *Waves) Option { return func(o *Options) { o.Waves = w } }
 
 // Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(o *Options) { o.Logger = l } }
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -9,7 +9,7 @@
 	e.effect = t.rules.DecideWork(e.work)
 	if e.effect.Rule != previous {
 		t.log.Info("dispatch: rule decides", zap.String("id", e.work.ID), zap.String("rule", e.effect.Rule),
-			zap.Int64("rules", t.rulesVersion()), zap.Int("priority", e.priority()), zap.Int("mostRunning", e.effect.MostRunning))
+			zap.Int64("rules", t.rulesVersion()), zap.Int("priority", e.priority()), zap.Int("mostRunning", e.effect.MaxRunning))
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	for _, e := range t.entries {
-		if limit := e.effect.MostRunning; limit > 0 {
+		if limit := e.effect.MaxRunning; limit > 0 {
 			remaining, known := t.ruleCapacity[e.effect.Rule]
 			if !known {
 				remaining = limit
@@ -56,5 +56,5 @@
 
 // ruleAllows reports whether this many more tasks of a work may run under its rule.
 func (t *term) ruleAllows(e *entry, tasks int) bool {
-	return e.effect.MostRunning == 0 || t.ruleCapacity[e.effect.Rule] >= tasks
+	return e.effect.MaxRunning == 0 || t.ruleCapacity[e.effect.Rule] >= tasks
 }
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -22,8 +22,8 @@
 	Self string
 	// Lease is how long orders of a former owner may still arrive. A new owner gives none before that.
 	Lease time.Duration
-	// UpkeepDuration is how long a VM is unavailable during its maintenance.
-	UpkeepDuration time.Duration
+	// MaintenanceDuration is how long a VM is unavailable during its maintenance.
+	MaintenanceDuration time.Duration
 	// SinceBoot is a clock that includes the time for which this VM was suspended.
 	SinceBoot func() time.Duration
 }
@@ -143,7 +143,7 @@
 	if !known {
 		at = t.startedAt
 	}
-	return at.Add(t.o.Waves.UpkeepDuration)
+	return at.Add(t.o.Waves.MaintenanceDuration)
 }
 
 // runCount returns the number of runs on a VM.
@@ -170,7 +170,7 @@
 		return
 	}
 	n.draining = true
-	timeout := w.drainTimeout(t.o.Waves.UpkeepDuration)
+	timeout := w.drainTimeout(t.o.Waves.MaintenanceDuration)
 	blocked := false
 	for _, r := range n.runs {
 		if r.stage.spec.Service && !t.canBeUnavailable(r) {
@@ -229,7 +229,7 @@
 		}
 		if err == nil {
 			ctx, cancel := context.WithTimeout(t.ctx, cloudTimeout)
-			err = waves.Cloud.Upkeep(ctx, maintenance.UpkeepOrder{VM: vm.ID, Wave: w.Number, Holder: waves.Self, Fence: t.tenure.Fence})
+			err = waves.Cloud.OrderMaintenance(ctx, maintenance.Order{VM: vm.ID, Wave: w.Number, Owner: waves.Self, Fence: t.tenure.Fence})
 			cancel()
 		}
 		t.post(func() { t.onUpkeepOrdered(w, vm, err) })
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -65,12 +65,12 @@
 
 func (k *fakeCloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, UpkeepDuration: upkeepDuration,
+		Prefix: wavesPrefix, Self: self, Lease: holderLease, MaintenanceDuration: upkeepDuration,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
 		},
-		Cloud:     maintenance.Cloud{List: k.list, Upkeep: k.upkeep},
+		Cloud:     maintenance.Cloud{List: k.list, OrderMaintenance: k.upkeep},
 		SinceBoot: k.sinceBoot,
 	}
 }
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.UpkeepOrder) error {
+func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.Order) error {
 	time.Sleep(k.orderDelay)
 	lost, err := k.execute(o)
 	if lost {
@@ -109,7 +109,7 @@
 }
 
 // execute carries out an order; lost reports that its answer never arrives.
-func (k *fakeCloud) execute(o maintenance.UpkeepOrder) (lost bool, err error) {
+func (k *fakeCloud) execute(o maintenance.Order) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ordersToDrop--; k.ordersToDrop >= 0 {
@@ -119,10 +119,10 @@
 	if o.Fence < k.fence {
 		k.violations = append(k.violations, "an order with a lower fence after one with a higher fence")
 	}
-	if k.holder != "" && k.holder != o.Holder && now.Sub(k.lastOrderAt) < holderLease {
+	if k.holder != "" && k.holder != o.Owner && now.Sub(k.lastOrderAt) < holderLease {
 		k.violations = append(k.violations, "an order of a second holder within the lease of the first")
 	}
-	k.holder, k.lastOrderAt, k.fence = o.Holder, now, o.Fence
+	k.holder, k.lastOrderAt, k.fence = o.Owner, now, o.Fence
 	vm := k.vms[o.VM]
 	if k.serviced[o.VM] {
 		return false, nil
@@ -134,7 +134,7 @@
 		k.violations = append(k.violations, "too many VMs are in upkeep")
 	}
 	k.serviced[o.VM] = true
-	vm.State, vm.Worker = maintenance.Upkeep, ""
+	vm.State, vm.Worker = maintenance.InMaintenance, ""
 	oldWorker := k.workers[o.VM]
 	oldWorker.Crash(true)
 	time.AfterFunc(upkeepDuration, func() { k.returnVM(vm, oldWorker) })
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -84,7 +84,7 @@
 func New(opts ...Option) *Fleet {
 	o := Options{
 		FailureThreshold: DefaultFailureThreshold, FailureWindow: DefaultFailureWindow, MissedThreshold: DefaultMissedThreshold,
-		RequiredProbes: DefaultRequiredProbes, BackOff: DefaultBackOff, MaxBackOff: DefaultMaxBackOff,
+		RequiredProbes: DefaultRequiredProbes, Backoff: DefaultBackoff, MaxBackoff: DefaultMaxBackoff,
 		EjectionDivisor: DefaultEjectionDivisor, MinHealthyFailures: DefaultMinHealthyFailures,
 		Retention: DefaultRetention, ListLag: DefaultListLag,
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -137,7 +137,7 @@
 			is.Equal(f.Admission(now, ids[0]).Decision, AllowProbes)
 			f.RecordOutcome(now, ids[0], fmt.Sprint("probe", i), "roster", false)
 		}
-		is.True(f.Ejections()[0].Until.Sub(now) <= DefaultMaxBackOff)
+		is.True(f.Ejections()[0].Until.Sub(now) <= DefaultMaxBackoff)
 		now = f.Ejections()[0].Until
 		for i := range DefaultRequiredProbes {
 			is.Equal(f.Admission(now, ids[0]).Limit, 1<<i)
@@ -284,7 +284,7 @@
 				fails[id] = 0
 			}
 			if fails[id] >= DefaultFailureThreshold {
-				fails[id], until[id] = 0, now.Add(DefaultBackOff)
+				fails[id], until[id] = 0, now.Add(DefaultBackoff)
 			}
 		},
 	}
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -163,10 +163,10 @@
 
 // eject denies new work to the member until its back-off has passed. Each further ejection doubles the back-off.
 func (f *Fleet) eject(now time.Time, m *member) {
-	if !m.ejected && now.Sub(m.reinstatedAt) > f.opts.MaxBackOff {
+	if !m.ejected && now.Sub(m.reinstatedAt) > f.opts.MaxBackoff {
 		m.backOffLevel = 0
 	}
-	backOff := min(f.opts.BackOff<<m.backOffLevel, f.opts.MaxBackOff)
+	backOff := min(f.opts.Backoff<<m.backOffLevel, f.opts.MaxBackoff)
 	m.backOffLevel = min(m.backOffLevel+1, maxBackOffLevel)
 	m.ejected, m.ejectedAt, m.probeAt, m.probeSuccesses = true, now, now.Add(backOff), 0
 	m.ejectionFailures, m.failures = m.failures, nil
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -12,9 +12,9 @@
 	DefaultMissedThreshold = 2
 	// DefaultRequiredProbes is the number of probe tasks that must succeed before a member is Healthy again.
 	DefaultRequiredProbes = 3
-	// DefaultBackOff and DefaultMaxBackOff are the first and the longest time between ejection and probing.
-	DefaultBackOff    = 10 * time.Second
-	DefaultMaxBackOff = 5 * time.Minute
+	// DefaultBackoff and DefaultMaxBackoff are the first and the longest time between ejection and probing.
+	DefaultBackoff    = 10 * time.Second
+	DefaultMaxBackoff = 5 * time.Minute
 	// DefaultEjectionDivisor limits the ejected members to one in this many.
 	DefaultEjectionDivisor = 3
 	// DefaultMinHealthyFailures is the number of otherwise healthy members on which a job or class must fail to be
@@ -42,8 +42,8 @@
 	FailureWindow      time.Duration
 	MissedThreshold    int
 	RequiredProbes     int
-	BackOff            time.Duration
-	MaxBackOff         time.Duration
+	Backoff            time.Duration
+	MaxBackoff         time.Duration
 	EjectionDivisor    int
 	MinHealthyFailures int
 	Retention          time.Duration
@@ -65,9 +65,9 @@
 // RequiredProbes sets the number of probe tasks that must succeed before a member is Healthy again.
 func RequiredProbes(n int) Option { return func(o *Options) { o.RequiredProbes = n } }
 
-// BackOff sets the first and the longest time between ejection and probing.
-func BackOff(first, longest time.Duration) Option {
-	return func(o *Options) { o.BackOff, o.MaxBackOff = first, longest }
+// Backoff sets the first and the longest time between ejection and probing.
+func Backoff(first, longest time.Duration) Option {
+	return func(o *Options) { o.Backoff, o.MaxBackoff = first, longest }
 }
 
 // EjectionDivisor limits the ejected members to one in n.
--- a/front/options.go
+++ b/front/options.go
@@ -58,8 +58,8 @@
 	Dispatcher *dispatch.Dispatcher
 	Group      *owner.Group
 	Peers      *rpc.Pool
-	// AskPermit sends a permit request to the policy service from this VM.
-	AskPermit permit.AskFunc
+	// RequestPermit sends a permit request to the policy service from this VM.
+	RequestPermit permit.RequestFunc
 	// EvaluateRules returns the effect of the operators' rules on a work; nil means that there are no rules.
 	EvaluateRules func(w *job.Work) rule.Effect
 	// StoreLastAnswer returns when the store last answered. StoreFailing reports whether, and since when, the store
--- a/front/serve.go
+++ b/front/serve.go
@@ -18,8 +18,8 @@
 	methodCancel  = "Front.Cancel"
 	methodWaiting = "Front.Waiting"
 	methodOwner   = "Front.Owner"
-	// MethodAskPermit sends a permit request to the policy service from the callee's VM.
-	MethodAskPermit = "Front.Ask"
+	// MethodRequestPermit sends a permit request to the policy service from the callee's VM.
+	MethodRequestPermit = "Front.Ask"
 )
 
 type empty struct{}
@@ -75,7 +75,7 @@
 		return &waitingReply{Waiting: n}, err
 	})
 	rpc.Handle(s, methodOwner, f.handleOwner)
-	rpc.Handle(s, MethodAskPermit, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
-		return f.opts.AskPermit(ctx, in)
+	rpc.Handle(s, MethodRequestPermit, func(ctx context.Context, in *permit.Request) (*permit.Response, error) {
+		return f.opts.RequestPermit(ctx, in)
 	})
 }
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -11,10 +11,10 @@
 
 // The states of a VM.
 const (
-	Up     State = "up"
-	Moving State = "moving"
-	Upkeep State = "upkeep"
-	Down   State = "down"
+	Up            State = "up"
+	Moving        State = "moving"
+	InMaintenance State = "upkeep"
+	Down          State = "down"
 )
 
 // VM is a VM that runs a worker.
@@ -25,7 +25,7 @@
 	Worker string
 }
 
-// Wave is a request for the upkeep of a set of VMs within a time limit.
+// Wave is a request for the maintenance of a set of VMs within a time limit.
 type Wave struct {
 	Number int64
 	VMs    []string
@@ -34,13 +34,13 @@
 	MaxUnavailable int
 }
 
-// UpkeepOrder orders the upkeep of one VM, which immediately ends everything that runs on it.
-type UpkeepOrder struct {
+// Order orders the maintenance of one VM, which immediately ends everything that runs on it.
+type Order struct {
 	VM   string
 	Wave int64
-	// Holder is the owner of the cell, and Fence the fencing token of its tenure.
-	Holder string
-	Fence  int64
+	// Owner is the owner of the cell, and Fence the fencing token of its tenure.
+	Owner string
+	Fence int64
 }
 
 // Errors of the platform's reply to an order. After any other error the order may have been executed.
@@ -59,6 +59,6 @@
 type Cloud struct {
 	// List returns all VMs.
 	List func(ctx context.Context) ([]VM, error)
-	// Upkeep orders the upkeep of a VM. It also succeeds if the same order was executed before.
-	Upkeep func(ctx context.Context, o UpkeepOrder) error
+	// OrderMaintenance orders the maintenance of a VM. It also succeeds if the same order was executed before.
+	OrderMaintenance func(ctx context.Context, o Order) error
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -33,10 +33,10 @@
 const (
 	// DefaultTTL is how long a dead owner blocks a takeover. The store grants no lease below one second.
 	DefaultTTL = 1200 * time.Millisecond
-	// DefaultRenew is a quarter of DefaultTTL.
-	DefaultRenew = 300 * time.Millisecond
-	// DefaultDrift allows for a clock that runs 2% slower than the store's, and for timer granularity.
-	DefaultDrift = 100 * time.Millisecond
+	// DefaultRenewInterval is a quarter of DefaultTTL.
+	DefaultRenewInterval = 300 * time.Millisecond
+	// DefaultClockDrift allows for a clock that runs 2% slower than the store's, and for timer granularity.
+	DefaultClockDrift = 100 * time.Millisecond
 	// claimStagger separates the claims of VMs that see the owner vanish at the same time. It is several times the
 	// store's usual response time, so that usually only one transaction is sent.
 	claimStagger = 25 * time.Millisecond
@@ -126,7 +126,7 @@
 // New returns a group. It joins the cell when Start is called.
 func New(kv *store.Store, self Node, opts ...Option) *Group {
 	g := &Group{
-		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renew: DefaultRenew,
+		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renew: DefaultRenewInterval,
 		lead:         func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
 		onRules:      func([]byte) {},
 		client:       func(address string) *rpc.Client { return rpc.NewClient(address) },
@@ -143,7 +143,7 @@
 
 // Start joins the cell and starts the background goroutines.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultDrift), lease.Logger(g.log),
+	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
 		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the lease no longer exists at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -33,5 +33,5 @@
 	TicketTTL time.Duration `msgpack:"v"`
 }
 
-// AskFunc sends a request to the service.
-type AskFunc func(ctx context.Context, q *Request) (*Response, error)
+// RequestFunc sends a request to the service.
+type RequestFunc func(ctx context.Context, q *Request) (*Response, error)
--- a/planner/admit.go
+++ b/planner/admit.go
@@ -27,9 +27,9 @@
 		d.RefusalReason, d.Infeasible = infeasibleReason(j.Spec), true
 	case p.pending+j.Spec.Tasks > p.options.MaxPending:
 		d.RefusalReason, d.RetryAfter = "the queue is full", fullQueueRetryAfter
-	case effect.MostPending > 0 && p.pendingUnder(d.Rule)+j.Spec.Tasks > effect.MostPending:
+	case effect.MaxPending > 0 && p.pendingUnder(d.Rule)+j.Spec.Tasks > effect.MaxPending:
 		d.RefusalReason, d.RetryAfter = "the queue of rule "+d.Rule+" is full", fullQueueRetryAfter
-	case j.Spec.Gang && effect.MostRunning > 0 && j.Spec.Tasks > effect.MostRunning:
+	case j.Spec.Gang && effect.MaxRunning > 0 && j.Spec.Tasks > effect.MaxRunning:
 		d.RefusalReason = "a gang of this size exceeds the limit of rule " + d.Rule
 	case !p.quotaAllows(j.Spec, effect):
 		d.RefusalReason = "it exceeds the quota of its pool, which may not borrow"
@@ -61,7 +61,7 @@
 	if s.Gang {
 		need = need.Times(s.Tasks)
 	}
-	return e.Quota == nil || e.Quota.Borrow || need.FitsIn(e.Quota.Most)
+	return e.Quota == nil || e.Quota.Borrow || need.FitsIn(e.Quota.Limit)
 }
 
 // evaluateRules evaluates the rules for a job as of the time it was accepted.
@@ -112,7 +112,7 @@
 		if q.Pool != "" {
 			e.pool = q.Pool
 		}
-		p.ledger.SetLimit(e.pool, q.Most, q.Borrow)
+		p.ledger.SetLimit(e.pool, q.Limit, q.Borrow)
 	}
 	p.ledger.AddMember(e.pool)
 	switch {
--- a/planner/entry.go
+++ b/planner/entry.go
@@ -105,7 +105,7 @@
 	k := queue.Key{
 		Band: e.band(), Pool: e.pool, Rule: e.decision.Rule, Zone: e.spec.Zone, Request: e.charge, Spread: e.isSpread(),
 	}
-	k.Limited = e.effect.MostRunning > 0 || (e.effect.Quota != nil && !e.effect.Quota.Borrow)
+	k.Limited = e.effect.MaxRunning > 0 || (e.effect.Quota != nil && !e.effect.Quota.Borrow)
 	if e.spec.Gang {
 		k.GangSize = len(e.pending)
 	}
--- a/planner/explain.go
+++ b/planner/explain.go
@@ -47,7 +47,7 @@
 		}
 		return fmt.Sprintf("%s, for %s", what, since)
 	case waitLimit:
-		return fmt.Sprintf("the limit of %d running tasks under rule %s", e.effect.MostRunning, e.decision.Rule)
+		return fmt.Sprintf("the limit of %d running tasks under rule %s", e.effect.MaxRunning, e.decision.Rule)
 	case waitQuota:
 		return "the quota of pool " + e.pool
 	case waitGangStop:
--- a/planner/next.go
+++ b/planner/next.go
@@ -89,7 +89,7 @@
 	case e.preempting > 0 && e.spec.Gang:
 		// Starting some tasks of a preempted gang now would leave them running alone once the others stop.
 		return e.setWaitReason(now, waitGangStop)
-	case e.effect.MostRunning > 0 && p.ruleTaskCounts(e.decision.Rule).running+count > e.effect.MostRunning:
+	case e.effect.MaxRunning > 0 && p.ruleTaskCounts(e.decision.Rule).running+count > e.effect.MaxRunning:
 		return e.setWaitReason(now, waitLimit)
 	case !p.ledger.Fits(e.pool, e.charge.Times(count)) && !p.ledger.CanBorrow(e.pool):
 		return e.setWaitReason(now, waitQuota)
--- a/rule/effect.go
+++ b/rule/effect.go
@@ -15,9 +15,9 @@
 // Quota limits the resources that the requests of a pool use together.
 type Quota struct {
 	// Pool is the pool to charge; empty means the request's team.
-	Pool string
-	Most job.Resources
-	// Borrow allows the pool to use idle capacity beyond Most, which is taken back by preemption.
+	Pool  string
+	Limit job.Resources
+	// Borrow allows the pool to use idle capacity beyond Limit, which is taken back by preemption.
 	Borrow bool
 }
 
@@ -29,9 +29,9 @@
 	Refuse            string
 	RetryAfterSeconds int64
 	Priority          int
-	// MostPending limits the pending tasks under this rule, MostRunning the running ones; zero means no limit.
-	MostPending int
-	MostRunning int
+	// MaxPending limits the pending tasks under this rule, MaxRunning the running ones; zero means no limit.
+	MaxPending int
+	MaxRunning int
 	// Strategy names how workers are chosen; empty means the default for the kind of work.
 	Strategy string
 	Quota    *Quota
--- a/rule/limit/limit.go
+++ b/rule/limit/limit.go
@@ -10,7 +10,7 @@
 
 // Parameters are the parameters of the action.
 type Parameters struct {
-	MostRunning int `json:"mostRunning"`
+	MaxRunning int `json:"mostRunning"`
 }
 
 func init() { rule.Register(rule.Kind{Name: "limit", Apply: apply}) }
@@ -18,7 +18,7 @@
 func apply(with json.RawMessage, e *rule.Effect) finding.List {
 	var p Parameters
 	l := rule.Decode(with, &p)
-	rule.CheckMin(&l, "mostRunning", int64(p.MostRunning), 1)
-	e.MostRunning = p.MostRunning
+	rule.CheckMin(&l, "mostRunning", int64(p.MaxRunning), 1)
+	e.MaxRunning = p.MaxRunning
 	return l
 }
--- a/rule/queue/queue.go
+++ b/rule/queue/queue.go
@@ -17,8 +17,8 @@
 // Parameters are the parameters of the action.
 type Parameters struct {
 	Priority int `json:"priority"`
-	// MostPending limits the pending tasks under this rule; zero means no limit.
-	MostPending int `json:"mostPending,omitempty"`
+	// MaxPending limits the pending tasks under this rule; zero means no limit.
+	MaxPending int `json:"mostPending,omitempty"`
 }
 
 func init() { rule.Register(rule.Kind{Name: "queue", Apply: apply}) }
@@ -29,7 +29,7 @@
 	if p.Priority < LowestPriority || p.Priority > HighestPriority {
 		l.Add("with.priority", "must be from %d to %d", LowestPriority, HighestPriority)
 	}
-	rule.CheckMin(&l, "mostPending", int64(p.MostPending), 0)
-	e.Priority, e.MostPending = p.Priority, p.MostPending
+	rule.CheckMin(&l, "mostPending", int64(p.MaxPending), 0)
+	e.Priority, e.MaxPending = p.Priority, p.MaxPending
 	return l
 }
--- a/webcall/options.go
+++ b/webcall/options.go
@@ -8,11 +8,11 @@
 
 // Options configure a Pool.
 type Options struct {
-	Dial           func(ctx context.Context, address string) (net.Conn, error)
-	Timeout        time.Duration
-	MaxReplyBytes  int64
-	MaxIdlePerHost int
-	MaxIdle        int
+	Dial             func(ctx context.Context, address string) (net.Conn, error)
+	Timeout          time.Duration
+	MaxResponseBytes int64
+	MaxIdlePerHost   int
+	MaxIdle          int
 
 	maxConnections int
 }
@@ -28,8 +28,8 @@
 // Timeout limits a call whose context has no deadline.
 func Timeout(d time.Duration) Option { return func(o *Options) { o.Timeout = d } }
 
-// MaxReplyBytes limits the size of a reply.
-func MaxReplyBytes(n int64) Option { return func(o *Options) { o.MaxReplyBytes = n } }
+// MaxResponseBytes limits the size of a response.
+func MaxResponseBytes(n int64) Option { return func(o *Options) { o.MaxResponseBytes = n } }
 
 // MaxIdle limits the idle connections per address and in total.
 func MaxIdle(perHost, all int) Option {
--- a/webcall/webcall.go
+++ b/webcall/webcall.go
@@ -19,8 +19,8 @@
 const (
 	// DefaultTimeout limits a call whose context has no deadline.
 	DefaultTimeout = 5 * time.Second
-	// DefaultMaxReplyBytes limits the size of a reply.
-	DefaultMaxReplyBytes = 4 << 20
+	// DefaultMaxResponseBytes limits the size of a response.
+	DefaultMaxResponseBytes = 4 << 20
 	// DefaultMaxIdlePerHost limits the idle connections to one address.
 	DefaultMaxIdlePerHost = 16
 	// DefaultMaxIdle limits the idle connections to all addresses.
@@ -38,7 +38,7 @@
 // ErrNotSent means that no byte of the call left this process.
 var ErrNotSent = errors.New("not sent")
 
-// StatusError is a reply with a status other than 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Code   int
 	Reason string
@@ -76,7 +76,7 @@
 // New returns a pool that dials TCP.
 func New(opts ...Option) *Pool {
 	o := Options{
-		Dial: dialTCP, Timeout: DefaultTimeout, MaxReplyBytes: DefaultMaxReplyBytes,
+		Dial: dialTCP, Timeout: DefaultTimeout, MaxResponseBytes: DefaultMaxResponseBytes,
 		MaxIdlePerHost: DefaultMaxIdlePerHost, MaxIdle: DefaultMaxIdle,
 	}
 	for _, f := range opts {
@@ -145,7 +145,7 @@
 	Path    string
 	// In is sent as JSON by POST; if nil, the call is a GET.
 	In any
-	// Out receives the decoded JSON reply.
+	// Out receives the decoded JSON response.
 	Out any
 	// Valid, if set, is called before every write to the connection. Once it returns false, nothing
 	// more of the call is sent.
@@ -154,7 +154,7 @@
 	TraceParent string
 }
 
-// Do sends a call and waits for its reply. After an error other than ErrNotSent or a StatusError, the
+// Do sends a call and waits for its response. After an error other than ErrNotSent or a StatusError, the
 // call may have taken effect.
 func (p *Pool) Do(ctx context.Context, c *Call) error {
 	p.lastUsed.Store(time.Now().UnixNano())
@@ -205,15 +205,15 @@
 		return &StatusError{Code: resp.StatusCode, Reason: strings.TrimSpace(string(reason))}
 	}
 	// The body is read to its end even without Out, since the connection could not be reused otherwise.
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxReplyBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, p.opts.MaxResponseBytes+1))
 	if err != nil {
 		return err
 	}
 	if out == nil {
 		return nil
 	}
-	if int64(len(raw)) > p.opts.MaxReplyBytes {
-		return fmt.Errorf("reply is longer than %d bytes", p.opts.MaxReplyBytes)
+	if int64(len(raw)) > p.opts.MaxResponseBytes {
+		return fmt.Errorf("reply is longer than %d bytes", p.opts.MaxResponseBytes)
 	}
 	return json.Unmarshal(raw, out)
 }
--- a/webcall/webcall_test.go
+++ b/webcall/webcall_test.go
@@ -63,7 +63,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				server, arrived := newServer(c.do)
-				pool := New(Dial(server.Dial), MaxReplyBytes(100))
+				pool := New(Dial(server.Dial), MaxResponseBytes(100))
 				defer server.Close()
 				defer pool.Close()
 				var out body
