--- a/cmd/ctl/caller.go
+++ b/cmd/ctl/caller.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxReplyBytes = 32 << 20
+	maxResponseBytes = 32 << 20
 	// maxCheckDeadlineMillis is the longest deadline that a gate accepts for a check.
 	maxCheckDeadlineMillis = 15_000
 )
@@ -56,7 +56,7 @@
 		return nil, &exitError{exitUnknown, fmt.Errorf("the gate at %s gave no answer (%w); try another with --gate", c.Gate, err)}
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &exitError{exitUnknown, err}
 	}
@@ -127,7 +127,7 @@
 
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
-		return io.ReadAll(io.LimitReader(os.Stdin, maxReplyBytes))
+		return io.ReadAll(io.LimitReader(os.Stdin, maxResponseBytes))
 	}
 	return os.ReadFile(name)
 }
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -82,7 +82,7 @@
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Workers(platform.WorkersPrefix, platform.DecodeWorker, p.relays.Agent),
 		dispatch.Config(func() *job.Config { return p.config.Current() }), dispatch.Rules(p.rules.Current),
 		dispatch.Permits(func() []owner.Node { return p.group.Nodes() }, p.requestPermitFrom(requestPermit)),
-		dispatch.Maintenance(upkeepWaves(p.client, s)),
+		dispatch.Maintenance(maintenanceWaves(p.client, s)),
 		dispatch.Limits(s.MostHold, s.StopWithin, s.KeepEnded),
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.fetchPeerConfig, logger.Part(p.log, "configuration"))
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// upkeepWaves returns the dispatcher's settings for waves of upkeep, or nil if waves are disabled.
-func upkeepWaves(client *platform.Client, s *platform.Settings) *dispatch.Waves {
+// maintenanceWaves returns the dispatcher's settings for waves of upkeep, or nil if waves are disabled.
+func maintenanceWaves(client *platform.Client, s *platform.Settings) *dispatch.Waves {
 	if !s.Waves {
 		return nil
 	}
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -18,7 +18,7 @@
 	for i, rack := range racks {
 		n := term.nodeFor(string(rune('a' + i)))
 		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Rack: rack, Has: job.Resources{Millicores: 4000, MemoryMB: 100}}}
-		n.listed, n.synced, n.heardAt, n.free = true, true, now.Add(time.Hour), n.listing.Has
+		n.listed, n.synced, n.lastAnswerAt, n.free = true, true, now.Add(time.Hour), n.listing.Has
 		n.updateIndex()
 	}
 	return term
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -40,7 +40,7 @@
 
 // maxLeaseSpan returns how long after a hold was sent the lease may last, including the drift of the worker's clock.
 func (t *term) maxLeaseSpan() time.Duration {
-	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + lapseMargin
+	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + expiryMargin
 }
 
 // sendHolds sends the holds of one worker, one at a time.
@@ -131,7 +131,7 @@
 	if held.Clock < n.clock {
 		return
 	}
-	n.heardAt = now
+	n.lastAnswerAt = now
 	n.clock, n.clockAt = held.Clock, now
 	t.onEnds(n, held.Ended)
 	t.onActive(n, held)
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -64,11 +64,11 @@
 	// clock is the worker's clock at the local time clockAt.
 	clock   time.Duration
 	clockAt time.Time
-	// heardAt is when a hold or probe was last answered.
-	heardAt time.Time
-	// silentAt is when an order to the worker last got no answer. The worker gets nothing new until a hold or probe is
+	// lastAnswerAt is when a hold or probe was last answered.
+	lastAnswerAt time.Time
+	// noAnswerAt is when an order to the worker last got no answer. The worker gets nothing new until a hold or probe is
 	// answered again. holdDue is when the pending hold should have been answered.
-	silentAt, holdDue time.Time
+	noAnswerAt, holdDue time.Time
 	// lastEndSeen is the highest number of an end that was processed, lastEndObserved the highest that is durable.
 	lastEndSeen, lastEndObserved int64
 	// unsaved is the number of entries with processed ends that are not durable yet.
@@ -95,7 +95,7 @@
 // usable reports whether new runs may be placed on the worker.
 func (n *node) usable(now time.Time) bool {
 	return n.listed && !n.unreadable && n.synced && !n.listing.Leaving && n.unknownRuns == 0 && n.misses == 0 &&
-		now.After(n.unhealthyUntil) && n.heardAt.After(n.silentAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) &&
+		now.After(n.unhealthyUntil) && n.lastAnswerAt.After(n.noAnswerAt) && (!n.holding || now.Before(n.holdDue.Add(n.slack()))) &&
 		!n.isQuarantined(now) && !n.draining
 }
 
@@ -302,8 +302,8 @@
 	t.forgetIfIdle(n)
 }
 
-// endLapsed ends the runs on workers that were silent for longer than any lease that they may hold.
-func (t *term) endLapsed(now time.Time) {
+// endExpired ends the runs on workers that were silent for longer than any lease that they may hold.
+func (t *term) endExpired(now time.Time) {
 	for _, n := range t.nodes {
 		if len(n.runs) > 0 && (n.misses > 0 || !n.synced) && now.After(n.leaseEnd) {
 			t.endAllRuns(n, worker.OutcomeLeaseExpired, "silent until its lease had lapsed")
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -79,8 +79,8 @@
 	countGrace = time.Second
 	// clockDriftFactor allows for a worker clock that runs 2% slow, with a safety factor of two.
 	clockDriftFactor = 0.04
-	// lapseMargin allows for the network delay of a hold.
-	lapseMargin = 300 * time.Millisecond
+	// expiryMargin allows for the network delay of a hold.
+	expiryMargin = 300 * time.Millisecond
 	// launchValidity is how long a start order is valid. It leaves time for a second attempt and limits how long
 	// capacity is charged for a start without an answer.
 	launchValidity = 1500 * time.Millisecond
@@ -88,8 +88,8 @@
 	// Workers answer within milliseconds, so a worker that is silent for firstLaunchTimeout gets no new work.
 	firstLaunchTimeout = 150 * time.Millisecond
 	orderTimeout       = 400 * time.Millisecond
-	// haltRetryPause is the delay before an order to stop is sent again.
-	haltRetryPause = 400 * time.Millisecond
+	// haltRetryDelay is the delay before an order to stop is sent again.
+	haltRetryDelay = 400 * time.Millisecond
 	// unhealthyDuration is how long a worker that declined an order gets no new work.
 	unhealthyDuration = 700 * time.Millisecond
 	// observeTimeout bounds the wait for an end to become durable before the lease is extended without acknowledging
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -38,7 +38,7 @@
 		if unanswered && t.ctx.Err() == nil {
 			// A start sent to an unreachable worker stays charged there until the connection recovers or the lease
 			// lapses. Giving the worker no new work early keeps the number of affected callers small.
-			t.post(func() { r.node.silentAt = time.Now() })
+			t.post(func() { r.node.noAnswerAt = time.Now() })
 			err = t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) error {
 				_, err := agent.Launch(ctx, order)
 				return err
@@ -84,7 +84,7 @@
 		t.onNeverStarted(r, "the worker is unwell")
 	default:
 		// The order may still be carried out; later holds show the outcome.
-		r.node.silentAt = time.Now()
+		r.node.noAnswerAt = time.Now()
 	}
 }
 
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -30,7 +30,7 @@
 	for i := range workers {
 		n := t.nodeFor(fmt.Sprintf("w%04d", i))
 		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Has: job.Resources{Millicores: 16000, MemoryMB: 64000}}, Pool: "p"}
-		n.listed, n.synced, n.heardAt = true, true, now.Add(time.Second)
+		n.listed, n.synced, n.lastAnswerAt = true, true, now.Add(time.Second)
 		n.free = job.Resources{Millicores: 100, MemoryMB: 64000}
 		n.updateIndex()
 		ids = append(ids, n.id)
@@ -104,7 +104,7 @@
 	for i := range maxFullScan + 100 {
 		n := tm.nodeFor(fmt.Sprintf("w%04d", i))
 		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Zone: fmt.Sprint("z", i%2), Has: has}, Pool: "p"}
-		n.listed, n.synced, n.heardAt, n.free = true, i%2 == 1, now.Add(time.Second), has
+		n.listed, n.synced, n.lastAnswerAt, n.free = true, i%2 == 1, now.Add(time.Second), has
 		n.updateIndex()
 	}
 	s := newTestStage(&job.Work{
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -116,7 +116,7 @@
 func (r *replay) run(until time.Duration) {
 	r.ticker = time.NewTicker(tickInterval)
 	defer r.ticker.Stop()
-	r.markHeard()
+	r.markAnswered()
 	r.at(until, func() {})
 	for end := r.startedAt.Add(until); time.Now().Before(end); {
 		next := time.NewTimer(time.Until(r.events[0].at))
@@ -125,7 +125,7 @@
 			f()
 			r.term.drainEvents()
 		case <-r.ticker.C:
-			r.markHeard()
+			r.markAnswered()
 			r.term.passNeeded = r.term.passNeeded || len(r.term.waitingStages) > 0
 		case <-next.C:
 			heap.Pop(&r.events).(timedEvent).do()
@@ -139,10 +139,10 @@
 	r.term.close()
 }
 
-// markHeard makes all workers appear to have just answered.
-func (r *replay) markHeard() {
+// markAnswered makes all workers appear to have just answered.
+func (r *replay) markAnswered() {
 	for _, n := range r.term.nodes {
-		n.heardAt, n.clockAt = time.Now(), time.Now()
+		n.lastAnswerAt, n.clockAt = time.Now(), time.Now()
 	}
 }
 
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// reportEvery is the interval between two log reports on the state of the cell.
-const reportEvery = time.Second
+// reportInterval is the interval between two log reports on the state of the cell.
+const reportInterval = time.Second
 
 // report logs the cell's capacity and backlog, so that an engineer can distinguish a request that waited for capacity
 // from one that waited for a decision.
--- a/dispatch/term.go
+++ b/dispatch/term.go
@@ -80,8 +80,8 @@
 	grantShares map[string]float64
 	sizes       *aging.SizeStats
 	// tallies counts the outcomes of works by queue and size class.
-	tallies map[sizeClass]*tally
-	upkeep  upkeep
+	tallies     map[sizeClass]*tally
+	maintenance maintenanceState
 	// ruleCapacity is, for each rule with a limit, how many more tasks may run under it in the present pass.
 	ruleCapacity map[string]int
 }
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -8,7 +8,7 @@
 
 // onTick performs all time-driven checks.
 func (t *term) onTick(now time.Time) {
-	t.endLapsed(now)
+	t.endExpired(now)
 	t.endMembersOfEndedGangs()
 	t.retryHalts(now)
 	t.probeOverdue(now)
@@ -19,7 +19,7 @@
 	t.withdrawUnsent(now)
 	t.forgetEnded(now)
 	t.advanceWaves(now)
-	if now.Sub(t.reportedAt) >= reportEvery {
+	if now.Sub(t.reportedAt) >= reportInterval {
 		t.reportedAt = now
 		t.countExpired(now)
 		t.report(now)
@@ -31,7 +31,7 @@
 func (t *term) retryHalts(now time.Time) {
 	for _, n := range t.nodes {
 		for _, r := range n.runs {
-			if r.stopping && now.Sub(r.haltedAt) > haltRetryPause+t.o.StopTimeout {
+			if r.stopping && now.Sub(r.haltedAt) > haltRetryDelay+t.o.StopTimeout {
 				t.halt(r)
 			}
 		}
@@ -51,7 +51,7 @@
 // that lasts. Services are exempt: they stay at 100 percent.
 func (t *term) stopStalled(now time.Time) {
 	for _, n := range t.nodes {
-		if n.misses > 0 || !n.heardAt.After(now.Add(-holdWait-holdTimeoutSlack)) {
+		if n.misses > 0 || !n.lastAnswerAt.After(now.Add(-holdWait-holdTimeoutSlack)) {
 			continue
 		}
 		for _, r := range n.runs {
--- a/dispatch/upkeep.go
+++ b/dispatch/upkeep.go
@@ -36,15 +36,15 @@
 	// maxOwnershipAge is the maximum age of the store's confirmation that this VM owns the cell when a maintenance
 	// order is sent, by a clock that includes suspends. It is a third of the shortest lease that the platform grants.
 	maxOwnershipAge = 300 * time.Millisecond
-	// upkeepOverhead is the duration of a maintenance in addition to the VM's absence: the calls, and the first hold
+	// maintenanceOverhead is the duration of a maintenance in addition to the VM's absence: the calls, and the first hold
 	// afterwards.
-	upkeepOverhead = time.Second
+	maintenanceOverhead = time.Second
 	// readyPercent is the progress of a service task that is ready.
 	readyPercent = 100
 )
 
-// upkeep is the owner's state of maintenance waves and VMs.
-type upkeep struct {
+// maintenanceState is the owner's state of maintenance waves and VMs.
+type maintenanceState struct {
 	waves map[int64]*wave
 	// vms is the last list of VMs, which was requested at listRequestedAt. listInFlight is true while a request is
 	// pending; listAnsweredAt is when the last one ended.
@@ -56,14 +56,14 @@
 // advanceWaves requests the list of VMs if a wave is open and the list is due.
 func (t *term) advanceWaves(now time.Time) {
 	open := false
-	for _, w := range t.upkeep.waves {
+	for _, w := range t.maintenance.waves {
 		open = open || w.loaded && !w.completionSaved
 	}
-	if !open || t.upkeep.listInFlight || now.Sub(t.upkeep.listAnsweredAt) < vmListInterval ||
+	if !open || t.maintenance.listInFlight || now.Sub(t.maintenance.listAnsweredAt) < vmListInterval ||
 		now.Sub(t.startedAt) < t.o.Waves.Lease {
 		return
 	}
-	t.upkeep.listInFlight = true
+	t.maintenance.listInFlight = true
 	t.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(t.ctx, cloudTimeout)
 		defer cancel()
@@ -75,16 +75,16 @@
 // onVMs processes a list of VMs and advances the open waves.
 func (t *term) onVMs(requestedAt time.Time, vms []maintenance.VM, err error) {
 	now := time.Now()
-	t.upkeep.listInFlight, t.upkeep.listAnsweredAt = false, now
+	t.maintenance.listInFlight, t.maintenance.listAnsweredAt = false, now
 	if err != nil {
 		t.log.Info("dispatch: listing VMs failed", zap.Error(err))
 		return
 	}
-	t.upkeep.listRequestedAt, t.upkeep.vms = requestedAt, make(map[string]maintenance.VM, len(vms))
+	t.maintenance.listRequestedAt, t.maintenance.vms = requestedAt, make(map[string]maintenance.VM, len(vms))
 	for _, vm := range vms {
-		t.upkeep.vms[vm.ID] = vm
+		t.maintenance.vms[vm.ID] = vm
 	}
-	for _, w := range t.upkeep.waves {
+	for _, w := range t.maintenance.waves {
 		if w.loaded && !w.completionSaved {
 			t.advanceWave(w, now)
 		}
@@ -120,13 +120,13 @@
 func (t *term) pendingVMs(w *wave) (pending []maintenance.VM, unavailable int) {
 	unavailable = len(w.draining) + len(w.orderPending)
 	for _, id := range w.VMs {
-		vm, exists := t.upkeep.vms[id]
+		vm, exists := t.maintenance.vms[id]
 		switch {
 		case !exists:
 			t.stopDraining(w, id) // it was removed from the platform
 		case w.begun[id]:
 			t.stopDraining(w, id)
-			if vm.State != maintenance.Up || t.upkeep.listRequestedAt.Before(t.earliestReturn(w, id)) {
+			if vm.State != maintenance.Up || t.maintenance.listRequestedAt.Before(t.earliestReturn(w, id)) {
 				unavailable++
 			}
 		case !w.orderPending[id]:
@@ -157,7 +157,7 @@
 // drainTimeout returns how long a VM may take to become empty if the wave is to finish in time.
 func (w *wave) drainTimeout(upkeepDuration time.Duration) time.Duration {
 	rounds := (len(w.VMs) + w.MaxUnavailable - 1) / w.MaxUnavailable
-	return max(w.TimeLimit/time.Duration(max(rounds, 1))-upkeepDuration-upkeepOverhead, upkeepOverhead)
+	return max(w.TimeLimit/time.Duration(max(rounds, 1))-upkeepDuration-maintenanceOverhead, maintenanceOverhead)
 }
 
 // drainVM drains a VM and orders its maintenance. In the first half of the timeout, runs may end by themselves. In the
@@ -166,7 +166,7 @@
 func (t *term) drainVM(w *wave, vm maintenance.VM, waited time.Duration) {
 	n := t.nodes[vm.Worker]
 	if n == nil {
-		t.orderUpkeep(w, vm)
+		t.orderMaintenance(w, vm)
 		return
 	}
 	n.draining = true
@@ -182,7 +182,7 @@
 		}
 	}
 	if len(n.runs) == 0 || waited >= timeout && !blocked {
-		t.orderUpkeep(w, vm)
+		t.orderMaintenance(w, vm)
 	}
 }
 
@@ -205,15 +205,15 @@
 // stopDraining stops the draining of a VM.
 func (t *term) stopDraining(w *wave, id string) {
 	delete(w.draining, id)
-	if n := t.nodes[t.upkeep.vms[id].Worker]; n != nil {
+	if n := t.nodes[t.maintenance.vms[id].Worker]; n != nil {
 		n.draining = false
 	}
 }
 
-// orderUpkeep orders the maintenance of a VM. The platform may not compare fencing tokens, and this VM may have been
+// orderMaintenance orders the maintenance of a VM. The platform may not compare fencing tokens, and this VM may have been
 // suspended since its ownership was last confirmed. The store therefore confirms it first, and the order is sent only
 // if that confirmation is fresh by a clock that includes suspends.
-func (t *term) orderUpkeep(w *wave, vm maintenance.VM) {
+func (t *term) orderMaintenance(w *wave, vm maintenance.VM) {
 	if w.orderPending[vm.ID] {
 		return
 	}
@@ -232,14 +232,14 @@
 			err = waves.Cloud.OrderMaintenance(ctx, maintenance.Order{VM: vm.ID, Wave: w.Number, Owner: waves.Self, Fence: t.tenure.Fence})
 			cancel()
 		}
-		t.post(func() { t.onUpkeepOrdered(w, vm, err) })
+		t.post(func() { t.onMaintenanceOrdered(w, vm, err) })
 	})
 }
 
 var errOwnershipStale = errors.New("the store took too long to confirm the ownership")
 
-// onUpkeepOrdered processes the answer to a maintenance order.
-func (t *term) onUpkeepOrdered(w *wave, vm maintenance.VM, err error) {
+// onMaintenanceOrdered processes the answer to a maintenance order.
+func (t *term) onMaintenanceOrdered(w *wave, vm maintenance.VM, err error) {
 	delete(w.orderPending, vm.ID)
 	t.log.Info("dispatch: upkeep ordered", zap.Int64("wave", w.Number), zap.String("vm", vm.ID), zap.String("worker", vm.Worker), zap.Error(err))
 	switch {
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	wavesPrefix    = "waves/"
-	holderLease    = 3 * time.Second
-	upkeepDuration = 2 * time.Second
+	wavesPrefix         = "waves/"
+	holderLease         = 3 * time.Second
+	maintenanceDuration = 2 * time.Second
 )
 
 var errCloudSilent = errors.New("no answer")
@@ -42,19 +42,19 @@
 	// listDelay delays the answer to a list after the list was made, orderDelay an order before it is executed.
 	listDelay, orderDelay time.Duration
 	// suspendPerRead is the suspend time to add at each read of the clock that counts suspends, clockOffset its total.
-	suspendPerRead time.Duration
-	clockOffset    time.Duration
-	maxInUpkeep    int
-	inUpkeep       int
-	violations     []string
-	startedAt      time.Time
-	holder         string
-	lastOrderAt    time.Time
-	fence          int64
+	suspendPerRead   time.Duration
+	clockOffset      time.Duration
+	maxInMaintenance int
+	inMaintenance    int
+	violations       []string
+	startedAt        time.Time
+	holder           string
+	lastOrderAt      time.Time
+	fence            int64
 }
 
 func newFakeCloud(c *cell, ws []*floor.Worker, maxInUpkeep int) *fakeCloud {
-	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxInUpkeep: maxInUpkeep, startedAt: time.Now()}
+	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxInMaintenance: maxInUpkeep, startedAt: time.Now()}
 	for i, w := range ws {
 		id := fmt.Sprint("host", i)
 		k.vms[id] = &maintenance.VM{ID: id, Pool: pool, State: maintenance.Up, Worker: w.Info().ID}
@@ -65,12 +65,12 @@
 
 func (k *fakeCloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, MaintenanceDuration: upkeepDuration,
+		Prefix: wavesPrefix, Self: self, Lease: holderLease, MaintenanceDuration: maintenanceDuration,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
 		},
-		Cloud:     maintenance.Cloud{List: k.list, OrderMaintenance: k.upkeep},
+		Cloud:     maintenance.Cloud{List: k.list, OrderMaintenance: k.orderMaintenance},
 		SinceBoot: k.sinceBoot,
 	}
 }
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.Order) error {
+func (k *fakeCloud) orderMaintenance(ctx context.Context, o maintenance.Order) error {
 	time.Sleep(k.orderDelay)
 	lost, err := k.execute(o)
 	if lost {
@@ -130,14 +130,14 @@
 	if vm.State != maintenance.Up {
 		return false, maintenance.ErrBusy
 	}
-	if k.inUpkeep++; k.inUpkeep > k.maxInUpkeep {
+	if k.inMaintenance++; k.inMaintenance > k.maxInMaintenance {
 		k.violations = append(k.violations, "too many VMs are in upkeep")
 	}
 	k.serviced[o.VM] = true
 	vm.State, vm.Worker = maintenance.InMaintenance, ""
 	oldWorker := k.workers[o.VM]
 	oldWorker.Crash(true)
-	time.AfterFunc(upkeepDuration, func() { k.returnVM(vm, oldWorker) })
+	time.AfterFunc(maintenanceDuration, func() { k.returnVM(vm, oldWorker) })
 	k.answersToDrop--
 	return k.answersToDrop >= 0, nil
 }
@@ -154,7 +154,7 @@
 	k.c.put(store.Op{Delete: true, Key: workersPrefix + oldWorker.Info().ID})
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.inUpkeep--
+	k.inMaintenance--
 	k.generation++
 	w := k.c.addWorker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
 	k.workers[vm.ID] = w
--- a/dispatch/wave.go
+++ b/dispatch/wave.go
@@ -54,17 +54,17 @@
 
 // openWave begins a wave, or continues one that a former owner began.
 func (t *term) openWave(m maintenance.Wave) {
-	if t.upkeep.waves == nil {
-		t.upkeep.waves = make(map[int64]*wave)
+	if t.maintenance.waves == nil {
+		t.maintenance.waves = make(map[int64]*wave)
 	}
-	if t.upkeep.waves[m.Number] != nil {
+	if t.maintenance.waves[m.Number] != nil {
 		return
 	}
 	w := &wave{
 		Wave: m, since: time.Now(), begun: make(map[string]bool), draining: make(map[string]time.Time), orderPending: make(map[string]bool),
 		answeredAt: make(map[string]time.Time),
 	}
-	t.upkeep.waves[m.Number] = w
+	t.maintenance.waves[m.Number] = w
 	t.log.Info("dispatch: wave of upkeep", zap.Int64("wave", m.Number), zap.Int("vms", len(m.VMs)), zap.Duration("within", m.TimeLimit), zap.Int("most", m.MaxUnavailable))
 	t.wg.Go(func() { t.readWave(w) })
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxBackOffLevel keeps the shift of the back-off from overflowing.
-const maxBackOffLevel = 16
+// maxBackoffLevel keeps the shift of the back-off from overflowing.
+const maxBackoffLevel = 16
 
 // failure is one failed task of a member; job is empty for a job of a single task.
 type failure struct {
@@ -40,7 +40,7 @@
 	// probeAt is when probing begins, reinstatedAt when probing last succeeded.
 	probeAt        time.Time
 	reinstatedAt   time.Time
-	backOffLevel   int
+	backoffLevel   int
 	probeSuccesses int
 	// ejectionFailures are the failures that ejected the member.
 	ejectionFailures []failure
@@ -65,8 +65,8 @@
 	m.leaving = leaving
 }
 
-// inBackOff reports whether the member is ejected and not being probed yet.
-func (m *member) inBackOff(now time.Time) bool { return m.ejected && now.Before(m.probeAt) }
+// inBackoff reports whether the member is ejected and not being probed yet.
+func (m *member) inBackoff(now time.Time) bool { return m.ejected && now.Before(m.probeAt) }
 
 // since returns when the member entered the state.
 func (m *member) since(s State) time.Time {
@@ -95,7 +95,7 @@
 		return Gone, "no longer listed"
 	case m.leaving:
 		return Draining, "leaving"
-	case m.inBackOff(now):
+	case m.inBackoff(now):
 		return Ejected, describeFailures(m.ejectionFailures)
 	case m.missed >= f.opts.MissedThreshold:
 		return Suspect, fmt.Sprintf("%d heartbeats in a row failed", m.missed)
@@ -120,7 +120,7 @@
 
 // applySuccess clears the member's failures and counts the success as a probe if the member is being probed.
 func (f *Fleet) applySuccess(now time.Time, m *member) {
-	if m.inBackOff(now) {
+	if m.inBackoff(now) {
 		return // The task was started before the ejection, so it is not a probe.
 	}
 	m.lastSuccess = now
@@ -137,7 +137,7 @@
 // applyFailure counts a failure against the member, unless the job or the class is at fault.
 func (f *Fleet) applyFailure(now time.Time, m *member, x failure) {
 	m.failures = slices.DeleteFunc(m.failures, func(o failure) bool { return now.Sub(o.at) > f.opts.FailureWindow })
-	if m.inBackOff(now) || !f.countsAgainst(m, x) {
+	if m.inBackoff(now) || !f.countsAgainst(m, x) {
 		return
 	}
 	if len(m.failures) < f.opts.FailureThreshold {
@@ -164,11 +164,11 @@
 // eject denies new work to the member until its back-off has passed. Each further ejection doubles the back-off.
 func (f *Fleet) eject(now time.Time, m *member) {
 	if !m.ejected && now.Sub(m.reinstatedAt) > f.opts.MaxBackoff {
-		m.backOffLevel = 0
+		m.backoffLevel = 0
 	}
-	backOff := min(f.opts.Backoff<<m.backOffLevel, f.opts.MaxBackoff)
-	m.backOffLevel = min(m.backOffLevel+1, maxBackOffLevel)
-	m.ejected, m.ejectedAt, m.probeAt, m.probeSuccesses = true, now, now.Add(backOff), 0
+	backoff := min(f.opts.Backoff<<m.backoffLevel, f.opts.MaxBackoff)
+	m.backoffLevel = min(m.backoffLevel+1, maxBackoffLevel)
+	m.ejected, m.ejectedAt, m.probeAt, m.probeSuccesses = true, now, now.Add(backoff), 0
 	m.ejectionFailures, m.failures = m.failures, nil
 }
 
@@ -210,9 +210,9 @@
 		m.failures = slices.DeleteFunc(m.failures, own)
 		before := len(m.ejectionFailures)
 		m.ejectionFailures = slices.DeleteFunc(m.ejectionFailures, own)
-		if m.inBackOff(now) && len(m.ejectionFailures) < before {
+		if m.inBackoff(now) && len(m.ejectionFailures) < before {
 			m.probeAt = now
-			m.backOffLevel = max(0, m.backOffLevel-1)
+			m.backoffLevel = max(0, m.backoffLevel-1)
 		}
 	}
 }
--- a/front/front.go
+++ b/front/front.go
@@ -24,8 +24,8 @@
 	unknown  unknownIDs
 	// ownerCache holds the owner that other VMs reported.
 	ownerCache ownerCache
-	// unresponsive is the last owner that did not answer a call.
-	unresponsive atomic.Pointer[unresponsiveOwner]
+	// silent is the last owner that did not answer a call.
+	silent atomic.Pointer[silentOwner]
 }
 
 // New returns a Front that accepts submissions immediately.
@@ -125,8 +125,8 @@
 	return err
 }
 
-// unresponsiveOwner is an owner that did not answer, with the time from which it may be called again.
-type unresponsiveOwner struct {
+// silentOwner is an owner that did not answer, with the time from which it may be called again.
+type silentOwner struct {
 	id      string
 	retryAt time.Time
 }
@@ -134,7 +134,7 @@
 // checkBackoff returns an error if the owner did not answer recently. On a VM that is cut off from the owner, each
 // caller would otherwise wait for the timeout before the store is asked.
 func (f *Front) checkBackoff(peer *owner.Node) error {
-	s := f.unresponsive.Load()
+	s := f.silent.Load()
 	if s != nil && s.id == peer.ID && time.Now().Before(s.retryAt) {
 		return rpc.Refused(time.Until(s.retryAt), "the owner of the cell did not answer lately")
 	}
@@ -144,7 +144,7 @@
 // recordOwnerCall starts the backoff of an owner that did not answer a call.
 func (f *Front) recordOwnerCall(peer *owner.Node, err error) {
 	if err != nil && rpc.AsFault(err) == nil {
-		f.unresponsive.Store(&unresponsiveOwner{peer.ID, time.Now().Add(ownerBackoff)})
+		f.silent.Store(&silentOwner{peer.ID, time.Now().Add(ownerBackoff)})
 	}
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -25,7 +25,7 @@
 type Holder struct {
 	store         *store.Store
 	ttl           time.Duration
-	drift         time.Duration
+	clockDrift    time.Duration
 	renewInterval time.Duration
 	// overlapRenewals allows a renewal to be sent while earlier ones are unanswered.
 	overlapRenewals bool
@@ -47,7 +47,7 @@
 // New returns a holder that requests its lease at once and then keeps it alive.
 func New(s *store.Store, opts ...Option) *Holder {
 	h := &Holder{
-		store: s, ttl: DefaultTTL, drift: DefaultClockDrift, onLost: func(int64) {}, log: zap.NewNop(),
+		store: s, ttl: DefaultTTL, clockDrift: DefaultClockDrift, onLost: func(int64) {}, log: zap.NewNop(),
 		done: make(chan struct{}), changed: make(chan struct{}),
 	}
 	for _, o := range opts {
@@ -211,7 +211,7 @@
 func (h *Holder) extend(id int64, sent time.Time, ttl time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	deadline := sent.Add(ttl - h.drift)
+	deadline := sent.Add(ttl - h.clockDrift)
 	if h.id == id && deadline.Before(h.deadline) || id == h.lastLost {
 		return
 	}
--- a/lease/options.go
+++ b/lease/options.go
@@ -13,7 +13,7 @@
 func TTL(d time.Duration) Option { return func(h *Holder) { h.ttl = d } }
 
 // ClockDrift sets how much earlier than the store the holder stops trusting the lease.
-func ClockDrift(d time.Duration) Option { return func(h *Holder) { h.drift = d } }
+func ClockDrift(d time.Duration) Option { return func(h *Holder) { h.clockDrift = d } }
 
 // RenewInterval sets the time between renewals; the default is a third of the TTL.
 func RenewInterval(d time.Duration) Option { return func(h *Holder) { h.renewInterval = d } }
--- a/member/member.go
+++ b/member/member.go
@@ -24,7 +24,7 @@
 	// StoreCallTimeout bounds one call to the store, which may be slow.
 	StoreCallTimeout = 5 * time.Second
 
-	driftDivisor      = 20
+	clockDriftDivisor = 20
 	suspectHeartbeats = 4
 	// writeStagger separates the writes of members that see the same key disappear at the same time.
 	writeStagger = 200 * time.Millisecond
@@ -96,7 +96,7 @@
 // holding the address proves that an earlier process that listened there has ended.
 func New(s *store.Store, self Member, opts ...Option) *Group {
 	o := Options{
-		TTL: DefaultTTL, ClockDrift: DefaultTTL / driftDivisor, HeartbeatInterval: DefaultHeartbeatInterval,
+		TTL: DefaultTTL, ClockDrift: DefaultTTL / clockDriftDivisor, HeartbeatInterval: DefaultHeartbeatInterval,
 		PromiseDuration: DefaultPromiseDuration, PollInterval: DefaultPollInterval, ListLag: DefaultListLag,
 		ElectsOwner: self.Role == RoleScheduler, Logger: zap.NewNop(), Metrics: metric.New(),
 		Rules: func() int64 { return 0 }, OnNewerRules: func(Member, int64) {}, OnChange: func(Table) {},
--- a/member/options.go
+++ b/member/options.go
@@ -43,7 +43,7 @@
 
 // TTL sets the duration of the lease and sets the drift allowance to a twentieth of it.
 func TTL(d time.Duration) Option {
-	return func(o *Options) { o.TTL, o.ClockDrift = d, d/driftDivisor }
+	return func(o *Options) { o.TTL, o.ClockDrift = d, d/clockDriftDivisor }
 }
 
 // ClockDrift sets the drift allowance; it must follow TTL.
--- a/owner/options.go
+++ b/owner/options.go
@@ -40,5 +40,5 @@
 
 // TTL sets the duration of the lease and the pause between its renewals.
 func TTL(ttl, renew time.Duration) Option {
-	return func(g *Group) { g.ttl, g.renew = ttl, renew }
+	return func(g *Group) { g.ttl, g.renewInterval = ttl, renew }
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -81,13 +81,13 @@
 // Group tracks the nodes and the owner. It claims the cell if the cell has no owner and no stronger VM has claimed it,
 // or if the owner is silent.
 type Group struct {
-	store   *store.Store
-	self    Node
-	log     *zap.Logger
-	lead    func(ctx context.Context, t *Tenure)
-	onRules func(raw []byte)
-	ttl     time.Duration
-	renew   time.Duration
+	store         *store.Store
+	self          Node
+	log           *zap.Logger
+	lead          func(ctx context.Context, t *Tenure)
+	onRules       func(raw []byte)
+	ttl           time.Duration
+	renewInterval time.Duration
 	// client opens a separate connection to another VM.
 	client func(address string) *rpc.Client
 	// storeFailing reports since when the store does not answer this VM, overloaded that this VM's work lags.
@@ -126,7 +126,7 @@
 // New returns a group. It joins the cell when Start is called.
 func New(kv *store.Store, self Node, opts ...Option) *Group {
 	g := &Group{
-		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renew: DefaultRenewInterval,
+		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renewInterval: DefaultRenewInterval,
 		lead:         func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
 		onRules:      func([]byte) {},
 		client:       func(address string) *rpc.Client { return rpc.NewClient(address) },
@@ -143,7 +143,7 @@
 
 // Start joins the cell and starts the background goroutines.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
+	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renewInterval), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
 		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the lease no longer exists at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
@@ -219,7 +219,7 @@
 		}
 		if id == registeredLease && g.registered() {
 			b.Reset()
-			g.pause(g.renew)
+			g.pause(g.renewInterval)
 			continue
 		}
 		if err := g.writeEntry(id); err != nil {
@@ -230,7 +230,7 @@
 		registeredLease = id
 		// The watch may not have delivered the entry's event yet. If the entry is missing after this pause, it was
 		// removed.
-		g.pause(g.renew)
+		g.pause(g.renewInterval)
 	}
 }
 
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -21,8 +21,8 @@
 type connection struct {
 	*netrpc.Client
 	conn net.Conn
-	// lastReply is when the last reply arrived, in Unix nanoseconds.
-	lastReply atomic.Int64
+	// lastResponse is when the last reply arrived, in Unix nanoseconds.
+	lastResponse atomic.Int64
 }
 
 // dialing is a connection being opened, shared by all calls that wait for it.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -211,7 +211,7 @@
 		span.SetStatus(codes.Error, err.Error())
 		return nil, fmt.Errorf("%s to %s: %w", name, c.address, err)
 	}
-	conn.lastReply.Store(time.Now().UnixNano())
+	conn.lastResponse.Store(time.Now().UnixNano())
 	if out.Fault != nil {
 		span.SetStatus(codes.Error, out.Fault.Reason)
 		return nil, out.Fault
@@ -233,7 +233,7 @@
 // network partition a connection may stay open and silent for good. Without this check every later call
 // on it would time out, although a new connection would work.
 func (c *connection) silentSince(sent time.Time) bool {
-	return time.Since(sent) > silentAfter && c.lastReply.Load() < sent.UnixNano()
+	return time.Since(sent) > silentAfter && c.lastResponse.Load() < sent.UnixNano()
 }
 
 func withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -104,8 +104,8 @@
 	return id
 }
 
-// removeLapsed removes the first gate with an expired lease from the table.
-func (sim *simulation) removeLapsed() {
+// removeExpired removes the first gate with an expired lease from the table.
+func (sim *simulation) removeExpired() {
 	for _, id := range sim.table().Gates {
 		if !sim.now.Before(sim.gates[id].leaseUntil) {
 			sim.setGates(slices.DeleteFunc(slices.Clone(sim.table().Gates), func(g string) bool { return g == id }))
@@ -220,7 +220,7 @@
 	case k < 1:
 		sim.join()
 	case k < 4:
-		sim.removeLapsed()
+		sim.removeExpired()
 	case k < 24:
 		sim.renewLeases()
 		sim.advance(time.Duration(1+sim.draw(200)) * time.Millisecond)
