--- a/cmd/ctl/caller.go
+++ b/cmd/ctl/caller.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// reply is the gate's answer to a request.
+// reply is the gate's response to a request.
 type reply struct {
 	gate.Body
 	status int
--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// maintenanceWaves returns the dispatcher's settings for waves of upkeep, or nil if waves are disabled.
+// maintenanceWaves returns the dispatcher's settings for maintenance waves, or nil if waves are disabled.
 func maintenanceWaves(client *platform.Client, s *platform.Settings) *dispatch.Waves {
 	if !s.Waves {
 		return nil
--- a/dispatch/accept.go
+++ b/dispatch/accept.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// unsentTimeout is how long a new work may wait unsent while the store is unresponsive before its caller is told
+	// unsentTimeout is how long a new work may wait unsent while the store is failing before its caller is told
 	// that it will never run. A slow store answers within this time.
 	unsentTimeout = 350 * time.Millisecond
 	// storeRetryAfter is the retry hint for a caller whose work the store could not take. Outages last a few seconds,
@@ -77,7 +77,7 @@
 	})
 }
 
-// errStoreUnavailable is returned to a caller whose work was not sent because the store is unresponsive.
+// errStoreUnavailable is returned to a caller whose work was not sent because the store is failing.
 var errStoreUnavailable = rpc.Refused(storeRetryAfter, "the store does not answer the owner of the cell")
 
 // canCommit reports whether an entry may be part of a commit now.
@@ -85,7 +85,7 @@
 	return !e.committing && !e.awaitsPermits(now) && !t.isHeldBack(e)
 }
 
-// isHeldBack reports whether an entry must not be sent now. A request to an unresponsive store has an unknown outcome:
+// isHeldBack reports whether an entry must not be sent now. A request to a failing store may have an unknown outcome:
 // the caller could be told neither that the work is accepted nor that it will never run, and could not safely resubmit
 // it. Changes of known works are still sent, since no caller waits for them.
 func (t *term) isHeldBack(e *entry) bool {
@@ -117,7 +117,7 @@
 	return false
 }
 
-// withdrawUnsent withdraws new works that were not sent in time while the store is unresponsive.
+// withdrawUnsent withdraws new works that were not sent in time while the store is failing.
 func (t *term) withdrawUnsent(now time.Time) {
 	left := t.unsent[:0]
 	for _, e := range t.unsent {
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -52,7 +52,7 @@
 	onExamined func(examined int)
 	// directWorkers is how many workers a VM calls directly; zero means all of them, without relays.
 	directWorkers int
-	// cloud carries out upkeep orders; nil if the test has no upkeep.
+	// cloud carries out maintenance orders; nil if the test has no maintenance.
 	cloud *fakeCloud
 
 	mu  sync.Mutex
--- a/dispatch/gang.go
+++ b/dispatch/gang.go
@@ -26,7 +26,7 @@
 	}
 	if !s.attemptsLeft(now) {
 		s.waitReason = gangWaitLastRun
-		return // a run that may still be reported as failed has not lapsed yet
+		return // a run that may still be reported as failed has not expired yet
 	}
 	if !t.ruleAllows(s.entry, len(s.tasks)) {
 		s.waitReason = gangWaitRule
--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -34,7 +34,7 @@
 	t.wg.Go(func() { t.sendHolds(ctx, n) })
 }
 
-// initialLeaseEnd returns when a lease from a former owner has certainly lapsed on a worker that this term has never
+// initialLeaseEnd returns when a lease from a former owner has certainly expired on a worker that this term has never
 // reached. The former owner may have extended it for extendGrace.
 func (t *term) initialLeaseEnd() time.Time { return t.startedAt.Add(extendGrace + t.maxLeaseSpan()) }
 
--- a/dispatch/node.go
+++ b/dispatch/node.go
@@ -293,7 +293,7 @@
 	t.removeNode(n)
 }
 
-// endAllRuns ends all runs of a worker instance that has ended or whose lease has lapsed.
+// endAllRuns ends all runs of a worker instance that has ended or whose lease has expired.
 func (t *term) endAllRuns(n *node, ending worker.RunOutcome, reason string) {
 	t.log.Info("dispatch: worker's runs are over", zap.String("worker", n.id), zap.String("reason", reason), zap.Int("runs", len(n.runs)))
 	for _, r := range n.runs {
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -18,7 +18,7 @@
 // Options configures a Dispatcher.
 type Options struct {
 	Store *store.Store
-	// StoreFailing reports whether the store is unresponsive, and since when.
+	// StoreFailing reports whether the store is failing, and since when.
 	StoreFailing func() (since time.Time, failing bool)
 	// WorkersPrefix is the key prefix of the worker entries; DecodeWorker decodes one entry.
 	WorkersPrefix string
@@ -68,11 +68,11 @@
 	holdRetryMin = 100 * time.Millisecond
 	holdRetryMax = 800 * time.Millisecond
 	// extendMissLimit is the number of consecutive failed holds after which the owner stops extending the worker's
-	// lease. Each of them may have reached the worker, so the time until the lease lapses counts from the last one.
+	// lease. Each of them may have reached the worker, so the time until the lease expires counts from the last one.
 	extendMissLimit = 2
 	// extendGrace is how long an owner keeps extending worker leases after its tenure was last confirmed. It keeps work
 	// running through a store outage. A successor waits as long before it treats the lease of an unreachable worker as
-	// lapsed.
+	// expired.
 	extendGrace = 5 * time.Second
 	// countGrace is how long after its tenure was last confirmed an owner still counts waiting work: the count may be
 	// up to two seconds old.
@@ -112,7 +112,7 @@
 // Store sets the key-value store.
 func Store(s *store.Store) Option { return func(o *Options) { o.Store = s } }
 
-// StoreFailing sets the function that reports whether the store is unresponsive, and since when.
+// StoreFailing sets the function that reports whether the store is failing, and since when.
 func StoreFailing(f func() (since time.Time, failing bool)) Option {
 	return func(o *Options) { o.StoreFailing = f }
 }
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -37,7 +37,7 @@
 		unanswered := err != nil && !isDefinite(err)
 		if unanswered && t.ctx.Err() == nil {
 			// A start sent to an unreachable worker stays charged there until the connection recovers or the lease
-			// lapses. Giving the worker no new work early keeps the number of affected callers small.
+			// expires. Giving the worker no new work early keeps the number of affected callers small.
 			t.post(func() { r.node.noAnswerAt = time.Now() })
 			err = t.call(t.ctx, agent, orderTimeout, func(ctx context.Context) error {
 				_, err := agent.Launch(ctx, order)
--- a/dispatch/unresolved.go
+++ b/dispatch/unresolved.go
@@ -10,12 +10,12 @@
 )
 
 // unresolvedRun is a run of a gang that is over although one of its workers could not report how it ended there. The
-// worker may still report a failure once it is reachable again, which counts as an attempt, unless its lease lapses
+// worker may still report a failure once it is reachable again, which counts as an attempt, unless its lease expires
 // first.
 type unresolvedRun struct {
 	number int64
 	worker string
-	// until is when the worker's lease has certainly lapsed.
+	// until is when the worker's lease has certainly expired.
 	until time.Time
 }
 
@@ -55,7 +55,7 @@
 }
 
 // endMembersOfEndedGangs ends gang members on silent workers if another member has proved that the run is over. A
-// worker that crashed reports nothing; without this the gang would wait until its lease lapses although no member can
+// worker that crashed reports nothing; without this the gang would wait until its lease expires although no member can
 // still be running.
 func (t *term) endMembersOfEndedGangs() {
 	for _, n := range t.nodes {
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -27,12 +27,12 @@
 
 var errCloudSilent = errors.New("no answer")
 
-// fakeCloud stands in for the platform's VM service: an upkeep order ends all runs on a VM, which returns with another
-// worker. It records orders that violate the protocol.
+// fakeCloud stands in for the platform's VM service: a maintenance order ends all runs on a VM, which returns with
+// another worker. It records orders that violate the protocol.
 type fakeCloud struct {
 	c  *cell
 	mu sync.Mutex
-	// vms holds the VMs, workers the current worker of each, and serviced those that have had their upkeep.
+	// vms holds the VMs, workers the current worker of each, and serviced those that have had their maintenance.
 	vms        map[string]*maintenance.VM
 	workers    map[string]*floor.Worker
 	serviced   map[string]bool
@@ -142,7 +142,7 @@
 	return k.answersToDrop >= 0, nil
 }
 
-// servicedCount returns how many VMs have had their upkeep.
+// servicedCount returns how many VMs have had their maintenance.
 func (k *fakeCloud) servicedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -175,9 +175,9 @@
 	return err == nil && len(res.Pairs) == 1 && string(res.Pairs[0].Value) == "true"
 }
 
-// Guards against upkeep that loses work, violates the limit of the wave or ends late: VMs are drained one at a time
-// while batches run. It must also hold when the owner dies, whose successor has to wait for a lease before its own
-// orders, and when orders or their answers are lost, since a repeated order changes nothing.
+// Guards against maintenance that loses work, violates the limit of the wave or ends late: VMs are drained one at a
+// time while batches run. It must also hold when the owner dies, whose successor has to wait for a lease before its
+// own orders, and when orders or their answers are lost, since a repeated order changes nothing.
 func TestWaveOfUpkeep(t *testing.T) {
 	cases := []struct {
 		name                        string
@@ -232,8 +232,8 @@
 	}
 }
 
-// Guards against ordering upkeep of both VMs of a service that may miss one task at a time: the second VM must wait
-// until the first task runs elsewhere, although the wave allows two VMs at once.
+// Guards against ordering maintenance of both VMs of a service that may miss one task at a time: the second VM must
+// wait until the first task runs elsewhere, although the wave allows two VMs at once.
 func TestUpkeepLeavesServices(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -262,7 +262,7 @@
 	})
 }
 
-// newIdleCell returns a cell of four idle hosts, two of which may be in upkeep at a time.
+// newIdleCell returns a cell of four idle hosts, two of which may be in maintenance at a time.
 func newIdleCell(t *testing.T, vms ...string) (*cell, *fakeCloud) {
 	c := newCell(t, runsFor(time.Second))
 	k := newFakeCloud(c, c.addWorkers(4, 4), 2)
@@ -299,8 +299,8 @@
 	})
 }
 
-// Guards against upkeep orders of an owner that is cut off from the store and the workers, hears of no successor and
-// still reaches the platform: the next owner orders as well, and more VMs than allowed go down.
+// Guards against maintenance orders of an owner that is cut off from the store and the workers, hears of no successor
+// and still reaches the platform: the next owner orders as well, and more VMs than allowed go down.
 func TestCutOwnerOrdersNoUpkeep(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,7 +19,7 @@
 	Healthy State = "open"
 	// Suspect means that the member's heartbeats fail, or that its tasks fail but the ejection limit is reached.
 	Suspect State = "suspect"
-	// Ejected means that the member gets nothing until its back-off has passed.
+	// Ejected means that the member gets nothing until its backoff has passed.
 	Ejected State = "ejected"
 	// Probing means that the member gets a limited number of tasks until enough of them have succeeded.
 	Probing State = "probing"
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// A worker is ejected, fails some probes and recovers. It must get nothing during its back-off, a limited number
+// A worker is ejected, fails some probes and recovers. It must get nothing during its backoff, a limited number
 // of tasks while it is probed, and everything after enough probes have succeeded.
 func TestRecoveredWorkerReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// maxBackoffLevel keeps the shift of the back-off from overflowing.
+// maxBackoffLevel keeps the shift of the backoff from overflowing.
 const maxBackoffLevel = 16
 
 // failure is one failed task of a member; job is empty for a job of a single task.
@@ -161,7 +161,7 @@
 	return !f.jobFailing(x.job) && !f.classFailing(x.class)
 }
 
-// eject denies new work to the member until its back-off has passed. Each further ejection doubles the back-off.
+// eject denies new work to the member until its backoff has passed. Each further ejection doubles the backoff.
 func (f *Fleet) eject(now time.Time, m *member) {
 	if !m.ejected && now.Sub(m.reinstatedAt) > f.opts.MaxBackoff {
 		m.backoffLevel = 0
@@ -175,7 +175,7 @@
 // canEject limits the ejected fraction of the fleet and keeps one member of each zone in use.
 //
 // If a dependency of all tasks is down, every task fails on every member. Without the limit all members would be
-// ejected, and nothing would run for the whole back-off after the dependency has recovered. The remaining
+// ejected, and nothing would run for the whole backoff after the dependency has recovered. The remaining
 // members stay in use, one task at a time, and are Healthy again after their first success.
 func (f *Fleet) canEject(m *member) bool {
 	all, ejected, inZone, zoneEjected := 0, 0, 0, 0
--- a/gate/api.go
+++ b/gate/api.go
@@ -32,7 +32,7 @@
 	reasonInvalid = "request is not valid"
 )
 
-// Body is the JSON reply to a check, a session request or a failed job call.
+// Body is the JSON response to a check, a session request or a failed job call.
 type Body struct {
 	Outcome job.Outcome `json:"outcome"`
 	Reason  string      `json:"reason,omitempty"`
@@ -123,7 +123,7 @@
 }
 
 // reserveBody reserves memory for the body of a request and returns the number of bytes to release.
-// If the memory budget is exhausted it replies to the caller and returns false.
+// If the memory budget is exhausted it responds to the caller and returns false.
 func (g *Gate) reserveBody(ctx iris.Context) (int64, bool) {
 	size := ctx.Request().ContentLength
 	if size < 0 || size > g.opts.Limits.BodyBytes {
--- a/gate/jobs.go
+++ b/gate/jobs.go
@@ -60,7 +60,7 @@
 	g.callOwner(ctx, func(in context.Context) (*job.Status, error) { return call(in, ctx.Params().Get("id")) })
 }
 
-// callOwner calls the owner of a job and replies with the job's status or the fault.
+// callOwner calls the owner of a job and responds with the job's status or the fault.
 func (g *Gate) callOwner(ctx iris.Context, call func(context.Context) (*job.Status, error)) {
 	if !g.admitJobCall(ctx) {
 		return
@@ -72,7 +72,7 @@
 	replyJob(ctx, s, err)
 }
 
-// admitJobCall admits a job call as a request in progress, or replies that it was not run.
+// admitJobCall admits a job call as a request in progress, or responds that it was not run.
 func (g *Gate) admitJobCall(ctx iris.Context) bool {
 	if g.opts.Jobs.Submit == nil {
 		reply(ctx, notRun(reasonNoService, 0))
@@ -152,7 +152,7 @@
 	}
 }
 
-// replyFault maps an rpc fault to an HTTP reply. Any other error means that the outcome is unknown.
+// replyFault maps an rpc fault to an HTTP response. Any other error means that the outcome is unknown.
 func replyFault(ctx iris.Context, err error) {
 	fault := rpc.AsFault(err)
 	if fault == nil {
--- a/gate/sessions.go
+++ b/gate/sessions.go
@@ -26,7 +26,7 @@
 	reasonMove      = "gate is stopping; go on with the token at another one"
 )
 
-// OpenedSession is the reply to a request that opens a session.
+// OpenedSession is the response to a request that opens a session.
 type OpenedSession struct {
 	Token   string    `json:"token"`
 	Session string    `json:"session"`
@@ -111,7 +111,7 @@
 }
 
 // verifySession verifies the session token of a request and returns the session and its check. If
-// the token is not accepted it replies to the caller and returns false.
+// the token is not accepted it responds to the caller and returns false.
 func (g *Gate) verifySession(ctx iris.Context) (*session.Session, *Check, bool) {
 	s, err := g.tokens.Verify(ctx.GetHeader(HeaderSession), time.Now())
 	if errors.Is(err, session.ErrExpired) {
@@ -210,7 +210,7 @@
 	control := http.NewResponseController(out.Naive())
 	// Answers are written while requests are read.
 	_ = control.EnableFullDuplex()
-	// The write deadline of an earlier reply on this connection may have passed.
+	// The write deadline of an earlier response on this connection may have passed.
 	_ = control.SetWriteDeadline(time.Now().Add(g.opts.Limits.ReadTimeout))
 	ctx.ContentType("application/x-ndjson")
 	// Data that the caller sends after the last answer must not be parsed as another HTTP request.
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -43,7 +43,7 @@
 	Fence int64
 }
 
-// Errors of the platform's reply to an order. After any other error the order may have been executed.
+// Errors of the platform's response to an order. After any other error the order may have been executed.
 var (
 	// ErrBusy means that the VM is not up or is leaving; nothing was done.
 	ErrBusy = errors.New("the VM is busy")
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -300,7 +300,7 @@
 		left := make(chan error)
 		go func() { left <- c.nodes["1"].Leave(context.Background(), true) }()
 		gap := c.waitUntil(time.Second, func() bool { c.True(c.ownerCount() <= 1); return c.nodes["2"].isOwner() })
-		t.Log("without an owner at a hand-over:", gap)
+		t.Log("without an owner at a handover:", gap)
 		c.NoErr(<-left)
 		c.True(!c.nodes["1"].Valid())
 		c.waitUntil(5*time.Second, func() bool { return len(c.nodes["3"].Table().Members) == 2 })
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -21,7 +21,7 @@
 type connection struct {
 	*netrpc.Client
 	conn net.Conn
-	// lastResponse is when the last reply arrived, in Unix nanoseconds.
+	// lastResponse is when the last response arrived, in Unix nanoseconds.
 	lastResponse atomic.Int64
 }
 
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -170,7 +170,7 @@
 	s.mu.Unlock()
 }
 
-// Close closes all connections; calls in progress get no reply.
+// Close closes all connections; calls in progress get no response.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -225,11 +225,11 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// silentAfter is how long a call must have waited, with no reply on its connection, before the connection
+// silentAfter is how long a call must have waited, with no response on its connection, before the connection
 // is dropped. It is many times the round trip between zones.
 const silentAfter = 250 * time.Millisecond
 
-// silentSince reports whether no reply arrived on the connection since a call was sent on it. After a
+// silentSince reports whether no response arrived on the connection since a call was sent on it. After a
 // network partition a connection may stay open and silent for good. Without this check every later call
 // on it would time out, although a new connection would work.
 func (c *connection) silentSince(sent time.Time) bool {
--- a/rpc/rpc_test.go
+++ b/rpc/rpc_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The peer handles a request and the connection is closed before its reply. The request has run, so the
+// The peer handles a request and the connection is closed before its response. The request has run, so the
 // error must be neither a fault nor ErrNotSent. The next call must open a new connection.
 func TestCallCutBeforeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -15,7 +15,7 @@
 
 // Defaults.
 const (
-	// DefaultWorkerLease is how long a worker runs a task without renewal. It is longer than a take-over by another
+	// DefaultWorkerLease is how long a worker runs a task without renewal. It is longer than a takeover by another
 	// scheduler, so that the death of an owner ends no task.
 	DefaultWorkerLease = 40 * time.Second
 	DefaultWorkerDrift = 2 * time.Second
--- a/vmlist/web/web.go
+++ b/vmlist/web/web.go
@@ -14,12 +14,12 @@
 // Path and query of the request.
 const (
 	ListPath = "/list"
-	// AfterQuery holds the version that the reader has; the reply is 304 if the list has not changed since.
+	// AfterQuery holds the version that the reader has; the response is 304 if the list has not changed since.
 	AfterQuery = "after"
 )
 
 // New returns a source of the list at address. It caches the last list, so that an unchanged list takes
-// only an empty reply.
+// only an empty response.
 func New(pool *webcall.Pool, address string) *vmlist.Source {
 	r := &reader{pool: pool, address: address}
 	return &vmlist.Source{Read: r.read}
--- a/webcall/webcall.go
+++ b/webcall/webcall.go
@@ -213,7 +213,7 @@
 		return nil
 	}
 	if int64(len(raw)) > p.opts.MaxResponseBytes {
-		return fmt.Errorf("reply is longer than %d bytes", p.opts.MaxResponseBytes)
+		return fmt.Errorf("response is longer than %d bytes", p.opts.MaxResponseBytes)
 	}
 	return json.Unmarshal(raw, out)
 }
