--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -216,11 +216,11 @@
 
 // requestPermitFrom returns a function that sends a permit request to the policy service from a given VM of the cell.
 func (p *program) requestPermitFrom(local permit.RequestFunc) func(context.Context, owner.Node, *permit.Request) (*permit.Response, error) {
-	return func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
+	return func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error) {
 		if from.ID == p.settings.ID {
-			return local(ctx, q)
+			return local(ctx, req)
 		}
-		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodRequestPermit, q)
+		return rpc.Call[permit.Request, permit.Response](ctx, p.peers.Get(from.Address), front.MethodRequestPermit, req)
 	}
 }
 
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -22,7 +22,7 @@
 		is := is.New(t)
 		c := newCell(t, runsFor(800*time.Millisecond), "vm1")
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 8 * time.Millisecond, PerWorker: time.Millisecond}
-		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 18 * time.Millisecond }
+		c.permits = func(req *permit.Request) ([]string, time.Duration) { return req.Workers, 18 * time.Millisecond }
 		c.addWorkers(16, 16)
 		v := c.waitForOwner()
 		time.Sleep(time.Second)
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -46,7 +46,7 @@
 	cluster *floor.Cluster
 	config  *job.Config
 	// permits returns the workers that the policy service allows and its latency; nil allows every worker at once.
-	permits func(q *permit.Request) ([]string, time.Duration)
+	permits func(req *permit.Request) ([]string, time.Duration)
 
 	// onExamined is called with the number of workers that the owner has examined, to simulate CPU time; nil uses none.
 	onExamined func(examined int)
@@ -121,7 +121,9 @@
 	v.peers = rpc.NewPool(dial)
 	log := zap.NewNop()
 	rules := configuration.NewRules(log)
-	askPermit := func(ctx context.Context, q *permit.Request) (*permit.Response, error) { return c.answerPermit(ctx, q) }
+	requestPermit := func(ctx context.Context, req *permit.Request) (*permit.Response, error) {
+		return c.answerPermit(ctx, req)
+	}
 	var waves *dispatch.Waves
 	if c.cloud != nil {
 		waves = c.cloud.waves(id)
@@ -138,17 +140,17 @@
 		dispatch.Store(kv), dispatch.StoreFailing(monitor.Failing), dispatch.Config(func() *job.Config { return c.config }), dispatch.Rules(rules.Current), dispatch.Logger(log),
 		dispatch.Workers(workersPrefix, decodeWorker, v.relays.Agent),
 		dispatch.Permits(func() []owner.Node { return v.group.Nodes() },
-			func(ctx context.Context, from owner.Node, q *permit.Request) (*permit.Response, error) {
+			func(ctx context.Context, from owner.Node, req *permit.Request) (*permit.Response, error) {
 				if from.ID == id {
-					return askPermit(ctx, q)
+					return requestPermit(ctx, req)
 				}
-				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodRequestPermit, q)
+				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodRequestPermit, req)
 			}),
 		dispatch.Limits(maxHold, 200*time.Millisecond, 2*time.Minute))
 	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.dispatcher.Lead), owner.Rules(rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.probeCPU), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
-		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, RequestPermit: askPermit, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
+		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, RequestPermit: requestPermit, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
 	})
 	v.front.Register(v.server)
 	v.group.Register(v.server)
@@ -257,21 +259,21 @@
 	}
 }
 
-func (c *cell) answerPermit(ctx context.Context, q *permit.Request) (*permit.Response, error) {
-	names, delay := q.Workers, time.Duration(0)
+func (c *cell) answerPermit(ctx context.Context, req *permit.Request) (*permit.Response, error) {
+	names, delay := req.Workers, time.Duration(0)
 	if c.permits != nil {
-		names, delay = c.permits(q)
+		names, delay = c.permits(req)
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(delay):
 	}
-	a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
+	resp := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 	for _, id := range names {
-		a.Grants = append(a.Grants, permit.Grant{Worker: id, Ticket: "t-" + id})
+		resp.Grants = append(resp.Grants, permit.Grant{Worker: id, Ticket: "t-" + id})
 	}
-	return a, nil
+	return resp, nil
 }
 
 // kill stops a VM at once, without releasing its lease.
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -77,16 +77,16 @@
 }
 
 // allowQuarter allows each step about one worker in four, after the time that the request costs.
-func allowQuarter(q *permit.Request) ([]string, time.Duration) {
+func allowQuarter(req *permit.Request) ([]string, time.Duration) {
 	var names []string
-	for _, id := range q.Workers {
+	for _, id := range req.Workers {
 		h := fnv.New32a()
-		fmt.Fprint(h, q.Work, q.Step, id)
+		fmt.Fprint(h, req.Work, req.Step, id)
 		if h.Sum32()%4 == 0 {
 			names = append(names, id)
 		}
 	}
-	return names, rosterPermitBase + time.Duration(len(q.Workers))*rosterPermitPerWorker
+	return names, rosterPermitBase + time.Duration(len(req.Workers))*rosterPermitPerWorker
 }
 
 // Guards against starving large rosters when callers submit more than the policy service can answer for. Its few
--- a/dispatch/crowded_test.go
+++ b/dispatch/crowded_test.go
@@ -112,9 +112,9 @@
 	c.config.Queues = append(c.config.Queues,
 		job.Queue{Name: "check", Pool: pool, Priority: 0, MaxAttempts: 2, SlackFactor: 1.5, Objective: 250 * time.Millisecond},
 		job.Queue{Name: "batch", Pool: pool, Priority: 2, MaxAttempts: 2, SlackFactor: 4, Objective: 3 * time.Second})
-	c.permits = func(q *permit.Request) ([]string, time.Duration) {
-		names, _ := allowQuarter(q)
-		return names, crowdedPermitBase + time.Duration(len(q.Workers))*crowdedPermitPerWorker
+	c.permits = func(req *permit.Request) ([]string, time.Duration) {
+		names, _ := allowQuarter(req)
+		return names, crowdedPermitBase + time.Duration(len(req.Workers))*crowdedPermitPerWorker
 	}
 	c.addWorkers(crowdedWorkers, crowdedCores)
 	return c
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -78,17 +78,17 @@
 }
 
 // allowTwoInFive allows each step about two workers in five, after the time that the request costs.
-func allowTwoInFive(q *permit.Request) ([]string, time.Duration) {
+func allowTwoInFive(req *permit.Request) ([]string, time.Duration) {
 	var names []string
-	for _, id := range q.Workers {
+	for _, id := range req.Workers {
 		h := fnv.New32a()
-		fmt.Fprint(h, q.Work, q.Step, id)
+		fmt.Fprint(h, req.Work, req.Step, id)
 		if h.Sum32()%5 < 2 {
 			names = append(names, id)
 		}
 	}
-	cost := map[byte]*job.PermitCost{'c': &checkCost, 'b': &batchCost, 'r': &rosterCost}[q.Work[0]]
-	return names, cost.Base + time.Duration(len(q.Workers))*cost.PerWorker
+	cost := map[byte]*job.PermitCost{'c': &checkCost, 'b': &batchCost, 'r': &rosterCost}[req.Work[0]]
+	return names, cost.Base + time.Duration(len(req.Workers))*cost.PerWorker
 }
 
 // addWorkers adds workers in three zones, five per rack.
--- a/dispatch/gang_test.go
+++ b/dispatch/gang_test.go
@@ -85,15 +85,15 @@
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		allowed := []string{"w06", "w07", "w08", "w09"}
 		requests := 0
-		c.permits = func(q *permit.Request) ([]string, time.Duration) {
+		c.permits = func(req *permit.Request) ([]string, time.Duration) {
 			requests++
 			var names []string
 			for _, id := range allowed {
-				if slices.Contains(q.Workers, id) {
+				if slices.Contains(req.Workers, id) {
 					names = append(names, id)
 				}
 			}
-			return names, 600*time.Millisecond + time.Duration(len(q.Workers))*10*time.Millisecond
+			return names, 600*time.Millisecond + time.Duration(len(req.Workers))*10*time.Millisecond
 		}
 		c.addWorkers(10, 4)
 		v := c.waitForOwner()
@@ -283,7 +283,7 @@
 		c.config.Queues[0].Priority, c.config.Queues[0].Objective = 1, time.Millisecond
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 600 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		c.config.Queues = append(c.config.Queues, job.Queue{Name: "check", Pool: pool, MaxAttempts: 2, SlackFactor: 20, Objective: time.Minute})
-		c.permits = func(q *permit.Request) ([]string, time.Duration) { return q.Workers, 620 * time.Millisecond }
+		c.permits = func(req *permit.Request) ([]string, time.Duration) { return req.Workers, 620 * time.Millisecond }
 		c.addWorkers(2, 4)
 		v := c.waitForOwner()
 		time.Sleep(5 * time.Second)
@@ -323,17 +323,17 @@
 		c.config.Queues[0].Permit = &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		var mu sync.Mutex
 		named := make(map[string]int)
-		c.permits = func(q *permit.Request) ([]string, time.Duration) {
+		c.permits = func(req *permit.Request) ([]string, time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			var names []string
-			for _, id := range q.Workers {
+			for _, id := range req.Workers {
 				named[id]++
 				if len(named)%4 == 0 {
 					names = append(names, id)
 				}
 			}
-			return names, 700*time.Millisecond + time.Duration(len(q.Workers))*10*time.Millisecond
+			return names, 700*time.Millisecond + time.Duration(len(req.Workers))*10*time.Millisecond
 		}
 		c.addWorkers(300, 4)
 		v := c.waitForOwner()
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -57,12 +57,12 @@
 	for i := range vms {
 		nodes = append(nodes, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
 	}
-	requestPermit := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
-		names, delay := answer(q)
+	requestPermit := func(ctx context.Context, _ owner.Node, req *permit.Request) (*permit.Response, error) {
+		names, delay := answer(req)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(delay + jitter(q.Work, q.Step, q.Workers[0])):
+		case <-time.After(delay + jitter(req.Work, req.Step, req.Workers[0])):
 		}
 		a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 		for _, id := range names {
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -21,7 +21,7 @@
 
 const (
 	wavesPrefix         = "waves/"
-	holderLease         = 3 * time.Second
+	ownerLease          = 3 * time.Second
 	maintenanceDuration = 2 * time.Second
 )
 
@@ -65,7 +65,7 @@
 
 func (k *fakeCloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, MaintenanceDuration: maintenanceDuration,
+		Prefix: wavesPrefix, Self: self, Lease: ownerLease, MaintenanceDuration: maintenanceDuration,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
@@ -119,7 +119,7 @@
 	if o.Fence < k.fence {
 		k.violations = append(k.violations, "an order with a lower fence after one with a higher fence")
 	}
-	if k.holder != "" && k.holder != o.Owner && now.Sub(k.lastOrderAt) < holderLease {
+	if k.holder != "" && k.holder != o.Owner && now.Sub(k.lastOrderAt) < ownerLease {
 		k.violations = append(k.violations, "an order of a second holder within the lease of the first")
 	}
 	k.holder, k.lastOrderAt, k.fence = o.Owner, now, o.Fence
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -67,8 +67,8 @@
 	g.mu.Unlock()
 	switch {
 	case p == nil || !idle || node.ID != g.self.ID:
-	case p.Lease != g.holder.ID():
-		if !leaving && g.holder.Valid() {
+	case p.Lease != g.lease.ID():
+		if !leaving && g.lease.Valid() {
 			g.replaceStaleKey(p)
 		}
 	case p.ModRevision > lost && !leaving:
@@ -88,14 +88,14 @@
 func (g *Group) vacant() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.synced && g.ownerPair == nil && g.tenure == nil && !g.leaving && g.holder.Valid()
+	return g.synced && g.ownerPair == nil && g.tenure == nil && !g.leaving && g.lease.Valid()
 }
 
 // mayClaim reports whether this VM may take the cell from another owner.
 func (g *Group) mayClaim() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tenure == nil && !g.leaving && g.holder.Valid()
+	return g.tenure == nil && !g.leaving && g.lease.Valid()
 }
 
 // claimRank returns the number of nodes that may claim before this one: stronger nodes, and equally strong nodes
@@ -120,7 +120,7 @@
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, callTimeout)
 	defer cancel()
-	leaseID := g.holder.ID()
+	leaseID := g.lease.ID()
 	res, err := g.store.Txn(ctx, store.Txn{
 		Compares: []store.Compare{{Key: ownerKey, Target: store.ModRevision, Revision: expectedRevision}},
 		Then:     []store.Op{{Key: ownerKey, Value: raw, Lease: leaseID}},
@@ -157,7 +157,7 @@
 	}
 	ctx, cancel := context.WithCancel(g.ctx)
 	t := &Tenure{
-		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.holder.ValidWithGrace,
+		Fence: revision, Key: ownerKey, Revision: revision, Confirmed: g.lease.ValidWithGrace,
 		ReportLost: func() { go g.endTenure("reported lost") },
 	}
 	done := make(chan struct{})
--- a/owner/options.go
+++ b/owner/options.go
@@ -38,7 +38,7 @@
 // CPUProbe sets the function that times a fixed amount of CPU work on this VM.
 func CPUProbe(f func() time.Duration) Option { return func(g *Group) { g.cpuProbe = f } }
 
-// TTL sets the duration of the lease and the pause between its renewals.
-func TTL(ttl, renew time.Duration) Option {
-	return func(g *Group) { g.ttl, g.renewInterval = ttl, renew }
+// TTL sets the duration of the lease and the interval between its renewals.
+func TTL(ttl, renewInterval time.Duration) Option {
+	return func(g *Group) { g.ttl, g.renewInterval = ttl, renewInterval }
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -99,7 +99,7 @@
 	probedAt   time.Time
 	searchedAt time.Time
 
-	holder *lease.Holder
+	lease  *lease.Holder
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -143,7 +143,7 @@
 
 // Start joins the cell and starts the background goroutines.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renewInterval), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
+	g.lease = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renewInterval), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
 		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the lease no longer exists at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
@@ -195,7 +195,7 @@
 	g.Resign(ctx)
 	g.cancel()
 	g.wg.Wait()
-	return g.holder.Close(ctx)
+	return g.lease.Close(ctx)
 }
 
 // Kill stops at once and lets the lease and the keys expire, like a crash of the process.
@@ -205,7 +205,7 @@
 	g.wg.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = g.holder.Close(ctx)
+	_ = g.lease.Close(ctx)
 }
 
 // registerLoop keeps this VM's node entry in the store, also after the lease was lost.
@@ -213,7 +213,7 @@
 	b := retry.New()
 	var registeredLease int64
 	for g.ctx.Err() == nil {
-		id, err := g.holder.Wait(g.ctx)
+		id, err := g.lease.Wait(g.ctx)
 		if err != nil {
 			return
 		}
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -34,4 +34,4 @@
 }
 
 // RequestFunc sends a request to the service.
-type RequestFunc func(ctx context.Context, q *Request) (*Response, error)
+type RequestFunc func(ctx context.Context, req *Request) (*Response, error)
--- a/soak/cell_test.go
+++ b/soak/cell_test.go
@@ -73,7 +73,7 @@
 func NewCell(o *Options) (*Cell, error) {
 	c := &Cell{opts: o, standin: platform.NewStandin(), works: make(map[string]*job.Work), queues: queues()}
 	c.cluster = floor.New(c.behave)
-	c.standin.AllowWorkers = func(q *permit.Request) []string { return allowedWorkers(q.Work, q.Workers) }
+	c.standin.AllowWorkers = func(req *permit.Request) []string { return allowedWorkers(req.Work, req.Workers) }
 	if err := c.build(); err != nil {
 		c.Close()
 		return nil, err
