--- a/cmd/entry/wire.go
+++ b/cmd/entry/wire.go
@@ -87,7 +87,7 @@
 		dispatch.Logger(logger.Part(p.log, "dispatch")), dispatch.Metrics(service.Metrics()))
 	p.config = configuration.New(kv, platform.ConfigKey, platform.DecodeConfig, p.fetchPeerConfig, logger.Part(p.log, "configuration"))
 	p.group = owner.New(kv, owner.Node{ID: s.ID, Zone: s.Zone, Address: s.Peers, Strength: capacityScore(s)},
-		owner.Logger(logger.Part(p.log, "owner")), owner.Lead(p.dispatch.Lead), owner.Rules(p.rules.Apply),
+		owner.Logger(logger.Part(p.log, "owner")), owner.RunTenure(p.dispatch.RunTenure), owner.Rules(p.rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(p.dispatch.Overloaded))
 	p.front = front.New(front.Options{
 		Store: kv, Dispatcher: p.dispatch, Group: p.group, Peers: p.peers, RequestPermit: requestPermit,
--- a/dispatch/cell_test.go
+++ b/dispatch/cell_test.go
@@ -147,7 +147,7 @@
 				return rpc.Call[permit.Request, permit.Response](ctx, v.peers.Get(from.Address), front.MethodRequestPermit, req)
 			}),
 		dispatch.Limits(maxHold, 200*time.Millisecond, 2*time.Minute))
-	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.Lead(v.dispatcher.Lead), owner.Rules(rules.Apply),
+	v.group = owner.New(kv, owner.Node{ID: id, Zone: "kochi-hall", Address: id, Strength: strength}, owner.Logger(log), owner.RunTenure(v.dispatcher.RunTenure), owner.Rules(rules.Apply),
 		owner.StoreFailing(monitor.Failing), owner.Overloaded(v.overloaded.Load), owner.CPUProbe(v.probeCPU), owner.Dial(func(address string) *rpc.Client { return rpc.NewClient(address, dial) }))
 	v.front = front.New(front.Options{
 		Store: kv, Dispatcher: v.dispatcher, Group: v.group, Peers: v.peers, RequestPermit: requestPermit, EvaluateRules: rules.Decide, StoreLastAnswer: monitor.LastAnswer, StoreFailing: monitor.Failing, StoreSilent: monitor.Silent, Logger: log,
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -27,8 +27,8 @@
 // New returns a Dispatcher that is idle until its first tenure.
 func New(opts ...Option) *Dispatcher { return &Dispatcher{o: newOptions(opts)} }
 
-// Lead runs the cell's work until ctx ends. An owner.Group calls it at the start of each tenure.
-func (d *Dispatcher) Lead(ctx context.Context, tenure *owner.Tenure) {
+// RunTenure runs the cell's work until ctx ends. An owner.Group calls it at the start of each tenure.
+func (d *Dispatcher) RunTenure(ctx context.Context, tenure *owner.Tenure) {
 	t := newTerm(ctx, d.o, tenure)
 	defer t.close()
 	if !t.recover() {
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// beginTenure starts a tenure and runs the lead function in it.
+// beginTenure starts a tenure and runs the RunTenure function in it.
 func (g *Group) beginTenure(revision int64) {
 	g.mu.Lock()
 	if g.tenure != nil || g.leaving || revision <= g.lostRevision {
@@ -166,11 +166,11 @@
 	g.log.Info("owner: this VM owns the cell", zap.Int64("fence", revision))
 	g.wg.Go(func() {
 		defer close(done)
-		g.lead(ctx, t)
+		g.runTenure(ctx, t)
 	})
 }
 
-// endTenure ends the tenure, waits until its lead function has returned, and removes the key.
+// endTenure ends the tenure, waits until its RunTenure function has returned, and removes the key.
 func (g *Group) endTenure(reason string) {
 	g.mu.Lock()
 	t := g.tenure
@@ -181,7 +181,7 @@
 	}
 }
 
-// stopTenure ends a tenure and waits until its lead function has returned. It returns false if the tenure had
+// stopTenure ends a tenure and waits until its RunTenure function has returned. It returns false if the tenure had
 // already ended.
 func (g *Group) stopTenure(t *Tenure, reason string) bool {
 	g.mu.Lock()
--- a/owner/options.go
+++ b/owner/options.go
@@ -15,9 +15,11 @@
 // Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(g *Group) { g.log = l } }
 
-// Lead sets the function that the owner runs. Its context ends with the tenure, and the next tenure starts only
+// RunTenure sets the function that the owner runs. Its context ends with the tenure, and the next tenure starts only
 // after it has returned.
-func Lead(f func(ctx context.Context, t *Tenure)) Option { return func(g *Group) { g.lead = f } }
+func RunTenure(f func(ctx context.Context, t *Tenure)) Option {
+	return func(g *Group) { g.runTenure = f }
+}
 
 // Rules sets the function that receives the operators' rules as stored. It must not call the group.
 func Rules(take func(raw []byte)) Option { return func(g *Group) { g.onRules = take } }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -84,7 +84,7 @@
 	store         *store.Store
 	self          Node
 	log           *zap.Logger
-	lead          func(ctx context.Context, t *Tenure)
+	runTenure     func(ctx context.Context, t *Tenure)
 	onRules       func(raw []byte)
 	ttl           time.Duration
 	renewInterval time.Duration
@@ -127,7 +127,7 @@
 func New(kv *store.Store, self Node, opts ...Option) *Group {
 	g := &Group{
 		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renewInterval: DefaultRenewInterval,
-		lead:         func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
+		runTenure:    func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
 		onRules:      func([]byte) {},
 		client:       func(address string) *rpc.Client { return rpc.NewClient(address) },
 		storeFailing: func() (time.Time, bool) { return time.Time{}, false }, overloaded: func() bool { return false },
