--- a/dispatch/hold.go
+++ b/dispatch/hold.go
@@ -34,13 +34,13 @@
 	t.wg.Go(func() { t.sendHolds(ctx, n) })
 }
 
-// initialLeaseEnd returns when a lease from a former owner has certainly lapsed on a worker that this term has never
+// initialLeaseEnd returns when a lease from a former owner has certainly expired on a worker that this term has never
 // reached. The former owner may have extended it for extendGrace.
 func (t *term) initialLeaseEnd() time.Time { return t.startedAt.Add(extendGrace + t.maxLeaseSpan()) }
 
 // maxLeaseSpan returns how long after a hold was sent the lease may last, including the drift of the worker's clock.
 func (t *term) maxLeaseSpan() time.Duration {
-	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + lapseMargin
+	return t.o.MaxHold + time.Duration(clockDriftFactor*float64(t.o.MaxHold)) + expiryMargin
 }
 
 // sendHolds sends the holds of one worker, one at a time.
@@ -131,7 +131,7 @@
 	if held.Clock < n.clock {
 		return
 	}
-	n.heardAt = now
+	n.lastAnswerAt = now
 	n.clock, n.clockAt = held.Clock, now
 	t.onEnds(n, held.Ended)
 	t.onActive(n, held)
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -18,7 +18,7 @@
 // Options configures a Dispatcher.
 type Options struct {
 	Store *store.Store
-	// StoreFailing reports whether the store is unresponsive, and since when.
+	// StoreFailing reports whether the store is failing, and since when.
 	StoreFailing func() (since time.Time, failing bool)
 	// WorkersPrefix is the key prefix of the worker entries; DecodeWorker decodes one entry.
 	WorkersPrefix string
@@ -68,19 +68,19 @@
 	holdRetryMin = 100 * time.Millisecond
 	holdRetryMax = 800 * time.Millisecond
 	// extendMissLimit is the number of consecutive failed holds after which the owner stops extending the worker's
-	// lease. Each of them may have reached the worker, so the time until the lease lapses counts from the last one.
+	// lease. Each of them may have reached the worker, so the time until the lease expires counts from the last one.
 	extendMissLimit = 2
 	// extendGrace is how long an owner keeps extending worker leases after its tenure was last confirmed. It keeps work
 	// running through a store outage. A successor waits as long before it treats the lease of an unreachable worker as
-	// lapsed.
+	// expired.
 	extendGrace = 5 * time.Second
 	// countGrace is how long after its tenure was last confirmed an owner still counts waiting work: the count may be
 	// up to two seconds old.
 	countGrace = time.Second
 	// clockDriftFactor allows for a worker clock that runs 2% slow, with a safety factor of two.
 	clockDriftFactor = 0.04
-	// lapseMargin allows for the network delay of a hold.
-	lapseMargin = 300 * time.Millisecond
+	// expiryMargin allows for the network delay of a hold.
+	expiryMargin = 300 * time.Millisecond
 	// launchValidity is how long a start order is valid. It leaves time for a second attempt and limits how long
 	// capacity is charged for a start without an answer.
 	launchValidity = 1500 * time.Millisecond
@@ -88,8 +88,8 @@
 	// Workers answer within milliseconds, so a worker that is silent for firstLaunchTimeout gets no new work.
 	firstLaunchTimeout = 150 * time.Millisecond
 	orderTimeout       = 400 * time.Millisecond
-	// haltRetryPause is the delay before an order to stop is sent again.
-	haltRetryPause = 400 * time.Millisecond
+	// haltRetryDelay is the delay before an order to stop is sent again.
+	haltRetryDelay = 400 * time.Millisecond
 	// unhealthyDuration is how long a worker that declined an order gets no new work.
 	unhealthyDuration = 700 * time.Millisecond
 	// observeTimeout bounds the wait for an end to become durable before the lease is extended without acknowledging
@@ -112,7 +112,7 @@
 // Store sets the key-value store.
 func Store(s *store.Store) Option { return func(o *Options) { o.Store = s } }
 
-// StoreFailing sets the function that reports whether the store is unresponsive, and since when.
+// StoreFailing sets the function that reports whether the store is failing, and since when.
 func StoreFailing(f func() (since time.Time, failing bool)) Option {
 	return func(o *Options) { o.StoreFailing = f }
 }
@@ -133,8 +133,8 @@
 	return func(o *Options) { o.Nodes, o.RequestPermit = nodes, send }
 }
 
-// Upkeep sets the source of maintenance waves and the service that carries them out.
-func Upkeep(w *Waves) Option { return func(o *Options) { o.Waves = w } }
+// Maintenance sets the source of maintenance waves and the service that carries them out.
+func Maintenance(w *Waves) Option { return func(o *Options) { o.Waves = w } }
 
 // Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(o *Options) { o.Logger = l } }
--- a/dispatch/replay_test.go
+++ b/dispatch/replay_test.go
@@ -57,12 +57,12 @@
 	for i := range vms {
 		nodes = append(nodes, owner.Node{ID: fmt.Sprintf("vm%03d", i)})
 	}
-	requestPermit := func(ctx context.Context, _ owner.Node, q *permit.Request) (*permit.Response, error) {
-		names, delay := answer(q)
+	requestPermit := func(ctx context.Context, _ owner.Node, req *permit.Request) (*permit.Response, error) {
+		names, delay := answer(req)
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(delay + jitter(q.Work, q.Step, q.Workers[0])):
+		case <-time.After(delay + jitter(req.Work, req.Step, req.Workers[0])):
 		}
 		a := &permit.Response{TicketTTL: 1500 * time.Millisecond}
 		for _, id := range names {
@@ -116,7 +116,7 @@
 func (r *replay) run(until time.Duration) {
 	r.ticker = time.NewTicker(tickInterval)
 	defer r.ticker.Stop()
-	r.markHeard()
+	r.markAnswered()
 	r.at(until, func() {})
 	for end := r.startedAt.Add(until); time.Now().Before(end); {
 		next := time.NewTimer(time.Until(r.events[0].at))
@@ -125,7 +125,7 @@
 			f()
 			r.term.drainEvents()
 		case <-r.ticker.C:
-			r.markHeard()
+			r.markAnswered()
 			r.term.passNeeded = r.term.passNeeded || len(r.term.waitingStages) > 0
 		case <-next.C:
 			heap.Pop(&r.events).(timedEvent).do()
@@ -139,10 +139,10 @@
 	r.term.close()
 }
 
-// markHeard makes all workers appear to have just answered.
-func (r *replay) markHeard() {
+// markAnswered makes all workers appear to have just answered.
+func (r *replay) markAnswered() {
 	for _, n := range r.term.nodes {
-		n.heardAt, n.clockAt = time.Now(), time.Now()
+		n.lastAnswerAt, n.clockAt = time.Now(), time.Now()
 	}
 }
 
--- a/dispatch/upkeep_test.go
+++ b/dispatch/upkeep_test.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	wavesPrefix    = "waves/"
-	holderLease    = 3 * time.Second
-	upkeepDuration = 2 * time.Second
+	wavesPrefix         = "waves/"
+	ownerLease          = 3 * time.Second
+	maintenanceDuration = 2 * time.Second
 )
 
 var errCloudSilent = errors.New("no answer")
 
-// fakeCloud stands in for the platform's VM service: an upkeep order ends all runs on a VM, which returns with another
-// worker. It records orders that violate the protocol.
+// fakeCloud stands in for the platform's VM service: a maintenance order ends all runs on a VM, which returns with
+// another worker. It records orders that violate the protocol.
 type fakeCloud struct {
 	c  *cell
 	mu sync.Mutex
-	// vms holds the VMs, workers the current worker of each, and serviced those that have had their upkeep.
+	// vms holds the VMs, workers the current worker of each, and serviced those that have had their maintenance.
 	vms        map[string]*maintenance.VM
 	workers    map[string]*floor.Worker
 	serviced   map[string]bool
@@ -42,19 +42,19 @@
 	// listDelay delays the answer to a list after the list was made, orderDelay an order before it is executed.
 	listDelay, orderDelay time.Duration
 	// suspendPerRead is the suspend time to add at each read of the clock that counts suspends, clockOffset its total.
-	suspendPerRead time.Duration
-	clockOffset    time.Duration
-	maxInUpkeep    int
-	inUpkeep       int
-	violations     []string
-	startedAt      time.Time
-	holder         string
-	lastOrderAt    time.Time
-	fence          int64
+	suspendPerRead   time.Duration
+	clockOffset      time.Duration
+	maxInMaintenance int
+	inMaintenance    int
+	violations       []string
+	startedAt        time.Time
+	holder           string
+	lastOrderAt      time.Time
+	fence            int64
 }
 
 func newFakeCloud(c *cell, ws []*floor.Worker, maxInUpkeep int) *fakeCloud {
-	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxInUpkeep: maxInUpkeep, startedAt: time.Now()}
+	k := &fakeCloud{c: c, vms: make(map[string]*maintenance.VM), workers: make(map[string]*floor.Worker), serviced: make(map[string]bool), maxInMaintenance: maxInUpkeep, startedAt: time.Now()}
 	for i, w := range ws {
 		id := fmt.Sprint("host", i)
 		k.vms[id] = &maintenance.VM{ID: id, Pool: pool, State: maintenance.Up, Worker: w.Info().ID}
@@ -65,12 +65,12 @@
 
 func (k *fakeCloud) waves(self string) *dispatch.Waves {
 	return &dispatch.Waves{
-		Prefix: wavesPrefix, Self: self, Lease: holderLease, UpkeepDuration: upkeepDuration,
+		Prefix: wavesPrefix, Self: self, Lease: ownerLease, MaintenanceDuration: maintenanceDuration,
 		Decode: func(_ string, raw []byte) (w maintenance.Wave, err error) { return w, json.Unmarshal(raw, &w) },
 		Status: func(n int64, completed bool) (string, []byte) {
 			return fmt.Sprint("wavestatus/", n), fmt.Append(nil, completed)
 		},
-		Cloud:     maintenance.Cloud{List: k.list, Upkeep: k.upkeep},
+		Cloud:     maintenance.Cloud{List: k.list, OrderMaintenance: k.orderMaintenance},
 		SinceBoot: k.sinceBoot,
 	}
 }
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (k *fakeCloud) upkeep(ctx context.Context, o maintenance.UpkeepOrder) error {
+func (k *fakeCloud) orderMaintenance(ctx context.Context, o maintenance.Order) error {
 	time.Sleep(k.orderDelay)
 	lost, err := k.execute(o)
 	if lost {
@@ -109,7 +109,7 @@
 }
 
 // execute carries out an order; lost reports that its answer never arrives.
-func (k *fakeCloud) execute(o maintenance.UpkeepOrder) (lost bool, err error) {
+func (k *fakeCloud) execute(o maintenance.Order) (lost bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ordersToDrop--; k.ordersToDrop >= 0 {
@@ -119,10 +119,10 @@
 	if o.Fence < k.fence {
 		k.violations = append(k.violations, "an order with a lower fence after one with a higher fence")
 	}
-	if k.holder != "" && k.holder != o.Holder && now.Sub(k.lastOrderAt) < holderLease {
+	if k.holder != "" && k.holder != o.Owner && now.Sub(k.lastOrderAt) < ownerLease {
 		k.violations = append(k.violations, "an order of a second holder within the lease of the first")
 	}
-	k.holder, k.lastOrderAt, k.fence = o.Holder, now, o.Fence
+	k.holder, k.lastOrderAt, k.fence = o.Owner, now, o.Fence
 	vm := k.vms[o.VM]
 	if k.serviced[o.VM] {
 		return false, nil
@@ -130,19 +130,19 @@
 	if vm.State != maintenance.Up {
 		return false, maintenance.ErrBusy
 	}
-	if k.inUpkeep++; k.inUpkeep > k.maxInUpkeep {
+	if k.inMaintenance++; k.inMaintenance > k.maxInMaintenance {
 		k.violations = append(k.violations, "too many VMs are in upkeep")
 	}
 	k.serviced[o.VM] = true
-	vm.State, vm.Worker = maintenance.Upkeep, ""
+	vm.State, vm.Worker = maintenance.InMaintenance, ""
 	oldWorker := k.workers[o.VM]
 	oldWorker.Crash(true)
-	time.AfterFunc(upkeepDuration, func() { k.returnVM(vm, oldWorker) })
+	time.AfterFunc(maintenanceDuration, func() { k.returnVM(vm, oldWorker) })
 	k.answersToDrop--
 	return k.answersToDrop >= 0, nil
 }
 
-// servicedCount returns how many VMs have had their upkeep.
+// servicedCount returns how many VMs have had their maintenance.
 func (k *fakeCloud) servicedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -154,7 +154,7 @@
 	k.c.put(store.Op{Delete: true, Key: workersPrefix + oldWorker.Info().ID})
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.inUpkeep--
+	k.inMaintenance--
 	k.generation++
 	w := k.c.addWorker(fmt.Sprintf("%s-%d", vm.ID, k.generation), 4)
 	k.workers[vm.ID] = w
@@ -175,9 +175,9 @@
 	return err == nil && len(res.Pairs) == 1 && string(res.Pairs[0].Value) == "true"
 }
 
-// Guards against upkeep that loses work, violates the limit of the wave or ends late: VMs are drained one at a time
-// while batches run. It must also hold when the owner dies, whose successor has to wait for a lease before its own
-// orders, and when orders or their answers are lost, since a repeated order changes nothing.
+// Guards against maintenance that loses work, violates the limit of the wave or ends late: VMs are drained one at a
+// time while batches run. It must also hold when the owner dies, whose successor has to wait for a lease before its
+// own orders, and when orders or their answers are lost, since a repeated order changes nothing.
 func TestWaveOfUpkeep(t *testing.T) {
 	cases := []struct {
 		name                        string
@@ -232,8 +232,8 @@
 	}
 }
 
-// Guards against ordering upkeep of both VMs of a service that may miss one task at a time: the second VM must wait
-// until the first task runs elsewhere, although the wave allows two VMs at once.
+// Guards against ordering maintenance of both VMs of a service that may miss one task at a time: the second VM must
+// wait until the first task runs elsewhere, although the wave allows two VMs at once.
 func TestUpkeepLeavesServices(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -262,7 +262,7 @@
 	})
 }
 
-// newIdleCell returns a cell of four idle hosts, two of which may be in upkeep at a time.
+// newIdleCell returns a cell of four idle hosts, two of which may be in maintenance at a time.
 func newIdleCell(t *testing.T, vms ...string) (*cell, *fakeCloud) {
 	c := newCell(t, runsFor(time.Second))
 	k := newFakeCloud(c, c.addWorkers(4, 4), 2)
@@ -299,8 +299,8 @@
 	})
 }
 
-// Guards against upkeep orders of an owner that is cut off from the store and the workers, hears of no successor and
-// still reaches the platform: the next owner orders as well, and more VMs than allowed go down.
+// Guards against maintenance orders of an owner that is cut off from the store and the workers, hears of no successor
+// and still reaches the platform: the next owner orders as well, and more VMs than allowed go down.
 func TestCutOwnerOrdersNoUpkeep(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,7 +19,7 @@
 	Healthy State = "open"
 	// Suspect means that the member's heartbeats fail, or that its tasks fail but the ejection limit is reached.
 	Suspect State = "suspect"
-	// Ejected means that the member gets nothing until its back-off has passed.
+	// Ejected means that the member gets nothing until its backoff has passed.
 	Ejected State = "ejected"
 	// Probing means that the member gets a limited number of tasks until enough of them have succeeded.
 	Probing State = "probing"
@@ -84,7 +84,7 @@
 func New(opts ...Option) *Fleet {
 	o := Options{
 		FailureThreshold: DefaultFailureThreshold, FailureWindow: DefaultFailureWindow, MissedThreshold: DefaultMissedThreshold,
-		RequiredProbes: DefaultRequiredProbes, BackOff: DefaultBackOff, MaxBackOff: DefaultMaxBackOff,
+		RequiredProbes: DefaultRequiredProbes, Backoff: DefaultBackoff, MaxBackoff: DefaultMaxBackoff,
 		EjectionDivisor: DefaultEjectionDivisor, MinHealthyFailures: DefaultMinHealthyFailures,
 		Retention: DefaultRetention, ListLag: DefaultListLag,
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// A worker is ejected, fails some probes and recovers. It must get nothing during its back-off, a limited number
+// A worker is ejected, fails some probes and recovers. It must get nothing during its backoff, a limited number
 // of tasks while it is probed, and everything after enough probes have succeeded.
 func TestRecoveredWorkerReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -137,7 +137,7 @@
 			is.Equal(f.Admission(now, ids[0]).Decision, AllowProbes)
 			f.RecordOutcome(now, ids[0], fmt.Sprint("probe", i), "roster", false)
 		}
-		is.True(f.Ejections()[0].Until.Sub(now) <= DefaultMaxBackOff)
+		is.True(f.Ejections()[0].Until.Sub(now) <= DefaultMaxBackoff)
 		now = f.Ejections()[0].Until
 		for i := range DefaultRequiredProbes {
 			is.Equal(f.Admission(now, ids[0]).Limit, 1<<i)
@@ -284,7 +284,7 @@
 				fails[id] = 0
 			}
 			if fails[id] >= DefaultFailureThreshold {
-				fails[id], until[id] = 0, now.Add(DefaultBackOff)
+				fails[id], until[id] = 0, now.Add(DefaultBackoff)
 			}
 		},
 	}
--- a/owner/options.go
+++ b/owner/options.go
@@ -15,9 +15,11 @@
 // Logger sets the logger.
 func Logger(l *zap.Logger) Option { return func(g *Group) { g.log = l } }
 
-// Lead sets the function that the owner runs. Its context ends with the tenure, and the next tenure starts only
+// RunTenure sets the function that the owner runs. Its context ends with the tenure, and the next tenure starts only
 // after it has returned.
-func Lead(f func(ctx context.Context, t *Tenure)) Option { return func(g *Group) { g.lead = f } }
+func RunTenure(f func(ctx context.Context, t *Tenure)) Option {
+	return func(g *Group) { g.runTenure = f }
+}
 
 // Rules sets the function that receives the operators' rules as stored. It must not call the group.
 func Rules(take func(raw []byte)) Option { return func(g *Group) { g.onRules = take } }
@@ -38,7 +40,7 @@
 // CPUProbe sets the function that times a fixed amount of CPU work on this VM.
 func CPUProbe(f func() time.Duration) Option { return func(g *Group) { g.cpuProbe = f } }
 
-// TTL sets the duration of the lease and the pause between its renewals.
-func TTL(ttl, renew time.Duration) Option {
-	return func(g *Group) { g.ttl, g.renew = ttl, renew }
+// TTL sets the duration of the lease and the interval between its renewals.
+func TTL(ttl, renewInterval time.Duration) Option {
+	return func(g *Group) { g.ttl, g.renewInterval = ttl, renewInterval }
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -33,10 +33,10 @@
 const (
 	// DefaultTTL is how long a dead owner blocks a takeover. The store grants no lease below one second.
 	DefaultTTL = 1200 * time.Millisecond
-	// DefaultRenew is a quarter of DefaultTTL.
-	DefaultRenew = 300 * time.Millisecond
-	// DefaultDrift allows for a clock that runs 2% slower than the store's, and for timer granularity.
-	DefaultDrift = 100 * time.Millisecond
+	// DefaultRenewInterval is a quarter of DefaultTTL.
+	DefaultRenewInterval = 300 * time.Millisecond
+	// DefaultClockDrift allows for a clock that runs 2% slower than the store's, and for timer granularity.
+	DefaultClockDrift = 100 * time.Millisecond
 	// claimStagger separates the claims of VMs that see the owner vanish at the same time. It is several times the
 	// store's usual response time, so that usually only one transaction is sent.
 	claimStagger = 25 * time.Millisecond
@@ -81,13 +81,13 @@
 // Group tracks the nodes and the owner. It claims the cell if the cell has no owner and no stronger VM has claimed it,
 // or if the owner is silent.
 type Group struct {
-	store   *store.Store
-	self    Node
-	log     *zap.Logger
-	lead    func(ctx context.Context, t *Tenure)
-	onRules func(raw []byte)
-	ttl     time.Duration
-	renew   time.Duration
+	store         *store.Store
+	self          Node
+	log           *zap.Logger
+	runTenure     func(ctx context.Context, t *Tenure)
+	onRules       func(raw []byte)
+	ttl           time.Duration
+	renewInterval time.Duration
 	// client opens a separate connection to another VM.
 	client func(address string) *rpc.Client
 	// storeFailing reports since when the store does not answer this VM, overloaded that this VM's work lags.
@@ -99,7 +99,7 @@
 	probedAt   time.Time
 	searchedAt time.Time
 
-	holder *lease.Holder
+	lease  *lease.Holder
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -126,8 +126,8 @@
 // New returns a group. It joins the cell when Start is called.
 func New(kv *store.Store, self Node, opts ...Option) *Group {
 	g := &Group{
-		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renew: DefaultRenew,
-		lead:         func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
+		store: kv, self: self, log: zap.NewNop(), ttl: DefaultTTL, renewInterval: DefaultRenewInterval,
+		runTenure:    func(ctx context.Context, _ *Tenure) { <-ctx.Done() },
 		onRules:      func([]byte) {},
 		client:       func(address string) *rpc.Client { return rpc.NewClient(address) },
 		storeFailing: func() (time.Time, bool) { return time.Time{}, false }, overloaded: func() bool { return false },
@@ -143,7 +143,7 @@
 
 // Start joins the cell and starts the background goroutines.
 func (g *Group) Start() {
-	g.holder = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renew), lease.OverlapRenewals(), lease.ClockDrift(DefaultDrift), lease.Logger(g.log),
+	g.lease = lease.New(g.store, lease.TTL(g.ttl), lease.RenewInterval(g.renewInterval), lease.OverlapRenewals(), lease.ClockDrift(DefaultClockDrift), lease.Logger(g.log),
 		lease.OnLost(func(id int64) {
 			g.log.Warn("owner: the lease no longer exists at the store", zap.Int64("lease", id))
 			g.endTenure("lease gone")
@@ -195,7 +195,7 @@
 	g.Resign(ctx)
 	g.cancel()
 	g.wg.Wait()
-	return g.holder.Close(ctx)
+	return g.lease.Close(ctx)
 }
 
 // Kill stops at once and lets the lease and the keys expire, like a crash of the process.
@@ -205,7 +205,7 @@
 	g.wg.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = g.holder.Close(ctx)
+	_ = g.lease.Close(ctx)
 }
 
 // registerLoop keeps this VM's node entry in the store, also after the lease was lost.
@@ -213,13 +213,13 @@
 	b := retry.New()
 	var registeredLease int64
 	for g.ctx.Err() == nil {
-		id, err := g.holder.Wait(g.ctx)
+		id, err := g.lease.Wait(g.ctx)
 		if err != nil {
 			return
 		}
 		if id == registeredLease && g.registered() {
 			b.Reset()
-			g.pause(g.renew)
+			g.pause(g.renewInterval)
 			continue
 		}
 		if err := g.writeEntry(id); err != nil {
@@ -230,7 +230,7 @@
 		registeredLease = id
 		// The watch may not have delivered the entry's event yet. If the entry is missing after this pause, it was
 		// removed.
-		g.pause(g.renew)
+		g.pause(g.renewInterval)
 	}
 }
 
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -170,7 +170,7 @@
 	s.mu.Unlock()
 }
 
-// Close closes all connections; calls in progress get no reply.
+// Close closes all connections; calls in progress get no response.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -211,7 +211,7 @@
 		span.SetStatus(codes.Error, err.Error())
 		return nil, fmt.Errorf("%s to %s: %w", name, c.address, err)
 	}
-	conn.lastReply.Store(time.Now().UnixNano())
+	conn.lastResponse.Store(time.Now().UnixNano())
 	if out.Fault != nil {
 		span.SetStatus(codes.Error, out.Fault.Reason)
 		return nil, out.Fault
@@ -225,15 +225,15 @@
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// silentAfter is how long a call must have waited, with no reply on its connection, before the connection
+// silentAfter is how long a call must have waited, with no response on its connection, before the connection
 // is dropped. It is many times the round trip between zones.
 const silentAfter = 250 * time.Millisecond
 
-// silentSince reports whether no reply arrived on the connection since a call was sent on it. After a
+// silentSince reports whether no response arrived on the connection since a call was sent on it. After a
 // network partition a connection may stay open and silent for good. Without this check every later call
 // on it would time out, although a new connection would work.
 func (c *connection) silentSince(sent time.Time) bool {
-	return time.Since(sent) > silentAfter && c.lastReply.Load() < sent.UnixNano()
+	return time.Since(sent) > silentAfter && c.lastResponse.Load() < sent.UnixNano()
 }
 
 func withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
