--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -69,7 +69,7 @@
 	}
 	if n.isOnTrial() {
 		k = min(k, 1)
-		if !n.canTry(s) {
+		if !n.acceptsTrial(s) {
 			k = 0
 		}
 	}
@@ -160,7 +160,7 @@
 
 // suspicion returns how much a worker is to be avoided for this stage because of failures; 0 is best.
 func (s *stage) suspicion(n *node) int {
-	d := 2 * s.failedOn[n.id]
+	d := 2 * s.failuresByWorker[n.id]
 	if n.isSuspect() {
 		d++
 	}
--- a/dispatch/commit.go
+++ b/dispatch/commit.go
@@ -197,7 +197,7 @@
 		t.addEnded(e.work.ID, Ended{State: e.state, At: time.Now(), Queue: e.work.Queue.Name})
 		t.log.Info("dispatch: work ended", zap.String("id", e.work.ID), zap.String("queue", e.work.Queue.Name),
 			zap.String("state", string(e.state)), zap.Duration("took", time.Since(e.work.Accepted)),
-			zap.Stringer("class", e.class), zap.Duration("beforeGoal", time.Until(e.doneBy())))
+			zap.Stringer("class", e.class), zap.Duration("beforeGoal", time.Until(e.lastDue())))
 	}
 	for _, e := range b.created {
 		e.waiters = nil
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,8 +14,8 @@
 // errTermClosed is returned when this VM no longer owns the cell.
 var errTermClosed = errors.New("this entry VM no longer owns the cell")
 
-// ownerRetry is the retry hint while the cell has no owner, about the duration of a takeover.
-const ownerRetry = time.Second
+// ownerRetryAfter is the retry hint while the cell has no owner, about the duration of a takeover.
+const ownerRetryAfter = time.Second
 
 // Dispatcher serves requests for the cell while this entry VM owns it.
 type Dispatcher struct {
@@ -49,7 +49,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.term == nil {
-		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetry}
+		return nil, &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM does not own the cell", RetryAfter: ownerRetryAfter}
 	}
 	return d.term, nil
 }
@@ -78,7 +78,7 @@
 func (d *Dispatcher) Accept(ctx context.Context, w *job.Work) error {
 	accepted, err := d.decideDurably(ctx, func(t *term) (bool, chan error) { return t.accept(w) })
 	if err == nil && !accepted {
-		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetry}
+		return &rpc.Fault{Code: rpc.CodeNotOwner, Reason: "this entry VM cannot accept work just now", RetryAfter: ownerRetryAfter}
 	}
 	return err
 }
@@ -148,7 +148,7 @@
 		return 0, err
 	}
 	if !t.isTenureConfirmed() {
-		return 0, rpc.Refused(ownerRetry,
+		return 0, rpc.Refused(ownerRetryAfter,
 			"the store has not confirmed for a while that this entry VM owns the cell")
 	}
 	return callLoop(ctx, t, func() int { return t.countWaiting(queue) })
--- a/dispatch/ends.go
+++ b/dispatch/ends.go
@@ -195,10 +195,10 @@
 }
 
 func (s *stage) recordFailureOn(workerID string) {
-	if s.failedOn == nil {
-		s.failedOn = make(map[string]int)
+	if s.failuresByWorker == nil {
+		s.failuresByWorker = make(map[string]int)
 	}
-	s.failedOn[workerID]++
+	s.failuresByWorker[workerID]++
 }
 
 // keepCheckpoint records a checkpoint. A checkpoint of one gang member applies to all members.
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -82,8 +82,8 @@
 	waitReason gangWaitReason
 	// reservedCapacity is the capacity reserved for the gang in the latest pass.
 	reservedCapacity []allocation
-	// failedOn counts the failures of the stage's tasks by worker ID.
-	failedOn map[string]int
+	// failuresByWorker counts the failures of the stage's tasks by worker ID.
+	failuresByWorker map[string]int
 }
 
 type task struct {
@@ -157,8 +157,10 @@
 // deadline is when an occurrence should be done.
 func (o *occurrence) deadline(e *entry) time.Time { return e.work.DueAt(o.number).Add(e.objective) }
 
-// doneBy returns the deadline of the last occurrence of a work.
-func (e *entry) doneBy() time.Time { return e.work.DueAt(e.work.NumOccurrences() - 1).Add(e.objective) }
+// lastDue returns the deadline of the last occurrence of a work.
+func (e *entry) lastDue() time.Time {
+	return e.work.DueAt(e.work.NumOccurrences() - 1).Add(e.objective)
+}
 
 // expiry is when the result of an occurrence becomes worthless.
 func (o *occurrence) expiry(e *entry) time.Time {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -55,9 +55,11 @@
 	return h.isOnTrial() && (h.trial != nil || now.Before(h.quarantinedUntil))
 }
 
-// canTry reports whether a stage may start a trial run on this worker. The stage must not have failed yet, so
+// acceptsTrial reports whether a stage may start a trial run on this worker. The stage must not have failed yet, so
 // that the trial cannot cost its last attempt, and must not be a gang, which needs other workers too.
-func (h *health) canTry(s *stage) bool { return h.trial == nil && !s.spec.Gang && len(s.failedOn) == 0 }
+func (h *health) acceptsTrial(s *stage) bool {
+	return h.trial == nil && !s.spec.Gang && len(s.failuresByWorker) == 0
+}
 
 // recordEnding updates the health of a worker after the end of a run.
 func (t *term) recordEnding(r *run, ending worker.RunOutcome) {
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -38,11 +38,11 @@
 	failed := newTestStage(&job.Work{Steps: []job.Step{{Tasks: 1}}})
 	failed.recordFailureOn("another")
 	u := &health{failedInARow: quarantineAfter}
-	is.True(u.canTry(fresh))
-	is.True(!u.canTry(failed))
-	is.True(!u.canTry(newTestStage(gangOfTwo(nil))))
+	is.True(u.acceptsTrial(fresh))
+	is.True(!u.acceptsTrial(failed))
+	is.True(!u.acceptsTrial(newTestStage(gangOfTwo(nil))))
 	u.trial = &run{}
-	is.True(!u.canTry(fresh))
+	is.True(!u.acceptsTrial(fresh))
 }
 
 // Guards against quarantining most workers when every task fails everywhere, as with a broken program: work that could
--- a/dispatch/pass_test.go
+++ b/dispatch/pass_test.go
@@ -101,7 +101,7 @@
 	now := time.Now()
 	tm := newTerm(t.Context(), newOptions(nil), &owner.Tenure{Fence: 1})
 	has := job.Resources{Millicores: 16000, MemoryMB: 64000}
-	for i := range maxScan + 100 {
+	for i := range maxFullScan + 100 {
 		n := tm.nodeFor(fmt.Sprintf("w%04d", i))
 		n.listing = worker.ListedWorker{Info: worker.Info{ID: n.id, Zone: fmt.Sprint("z", i%2), Has: has}, Pool: "p"}
 		n.listed, n.synced, n.lastAnswerAt, n.free = true, i%2 == 1, now.Add(time.Second), has
--- a/dispatch/permitrequest.go
+++ b/dispatch/permitrequest.go
@@ -28,13 +28,15 @@
 	return s.outsideZone(c.node)
 }
 
-// maxScan is the largest number of workers that are all examined for a first request. In larger cells a full scan
+// maxFullScan is the largest number of workers that are all examined for a first request. In larger cells a full scan
 // would use more of the owner's CPU than everything else, and a partial one is as good where capacity is not scarce.
-const maxScan = 400
+const maxFullScan = 400
 
 // scansAll reports whether unnamedCandidates examines all workers. For a stage with local data it does so in a cell of
 // any size, as the few workers near the data may be anywhere.
-func (t *term) scansAll(s *stage) bool { return len(t.sortedNodes) <= maxScan || s.spec.DataRack != "" }
+func (t *term) scansAll(s *stage) bool {
+	return len(t.sortedNodes) <= maxFullScan || s.spec.DataRack != ""
+}
 
 // unnamedCandidates returns workers that were not yet named, sorted by distance from the data, zone rank and free
 // capacity. In a small cell it returns all of them, in a large one as many as a request may need. The list is valid
@@ -89,7 +91,8 @@
 	}
 	offset := int(t.pass.number)
 	minBucket := bucketOf(s.taskResources().Millicores)
-	t.capacity.visit(s.entry.work.Zone, minBucket, offset, collectUntil(func() bool { return withCapacity >= names && free >= tasks }))
+	t.capacity.visit(s.entry.work.Zone, minBucket, offset,
+		collectUntil(func() bool { return withCapacity >= names && free >= tasks }))
 	if withCapacity < names || free < tasks {
 		// Gangs must also know workers without capacity in order to wait for them. Skip the ones already found.
 		seen := make(map[*node]bool, len(list))
--- a/dispatch/size.go
+++ b/dispatch/size.go
@@ -96,7 +96,7 @@
 		t.countOutcomeOnce(e, outcomeCancelled)
 	case e.state == job.WorkFailed:
 		t.countOutcomeOnce(e, outcomeFailed)
-	case now.After(e.doneBy()):
+	case now.After(e.lastDue()):
 		t.countOutcomeOnce(e, outcomeLate)
 	default:
 		t.countOutcomeOnce(e, outcomeInTime)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -51,7 +51,9 @@
 	}
 }
 
-func ack(s *SubmitRequest) (*job.Status, error) { return &job.Status{ID: "id", Zone: s.Spec.Zone}, nil }
+func accept(s *SubmitRequest) (*job.Status, error) {
+	return &job.Status{ID: "id", Zone: s.Spec.Zone}, nil
+}
 
 func failWith(err error) func(*SubmitRequest) (*job.Status, error) {
 	return func(*SubmitRequest) (*job.Status, error) { return nil, err }
@@ -68,13 +70,13 @@
 		fault rpc.Code
 		calls int
 	}{
-		{"accepted", owner{answer: ack}, owner{}, "", "", 1},
-		{"moved to another zone", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: ack}, "b", "", 1},
+		{"accepted", owner{answer: accept}, owner{}, "", "", 1},
+		{"moved to another zone", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: accept}, "b", "", 1},
 		{"moved, and refused by the new zone", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeMoved, Zone: "b"})}, owner{answer: failWith(rpc.Refused(0, "full"))}, "", rpc.CodeRefused, 1},
 		{"not the owner", owner{answer: failWith(&rpc.Fault{Code: rpc.CodeNotOwner})}, owner{}, "", rpc.CodeRefused, maxAttempts},
 		{"refused is final", owner{answer: failWith(rpc.Refused(0, "full"))}, owner{}, "", rpc.CodeRefused, 1},
 		{"owner unreachable", owner{unreachable: true}, owner{}, "", rpc.CodeRefused, 0},
-		{"answer lost", owner{answer: ack, cutAnswer: true}, owner{}, "", rpc.CodeUnknown, maxAttempts},
+		{"answer lost", owner{answer: accept, cutAnswer: true}, owner{}, "", rpc.CodeUnknown, maxAttempts},
 		{"outcome unknown to the owner", owner{answer: failWith(errors.New("disk"))}, owner{}, "", rpc.CodeUnknown, maxAttempts},
 	}
 	for _, tc := range cases {
