--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,7 +12,7 @@
 
 // Guards against accepting work that no worker can ever run. Work that only has to wait for free capacity must
 // be accepted.
-func TestHopeless(t *testing.T) {
+func TestInfeasibleReason(t *testing.T) {
 	capacity := job.Resources{Millicores: 16000, MemoryMB: 64000}
 	workers := []Worker{
 		{Pool: "desk", Labels: []string{"a", "r1"}, Capacity: capacity},
--- a/dispatch/accept_test.go
+++ b/dispatch/accept_test.go
@@ -54,7 +54,7 @@
 
 // Guards against accepting work that no worker can run: it would wait forever. Every VM must refuse it at once and
 // without a retry time, and a worker with the label that registers later must be used.
-func TestHopelessWorkIsRefused(t *testing.T) {
+func TestInfeasibleWorkIsRefused(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCell(t, runsFor(time.Second), "vm1", "vm2")
--- a/dispatch/classes_test.go
+++ b/dispatch/classes_test.go
@@ -91,9 +91,9 @@
 
 // Guards against starving large rosters when callers submit more than the policy service can answer for. Its few
 // answers go to small rosters; a large one gets its permit request after its deadline, ranks behind all work that can
-// still be on time, and expires. Gangs then wait for a VM that is free to send their request (3,632 of 4,827
-// gang-seconds), hardly ever for capacity (4). The owner must not rely on expired works to see this: a new owner sees
-// none for three objectives, more than a minute.
+// still be on time, and expires. Gangs then wait mostly for a VM that is free to send their request, hardly ever for
+// capacity. The owner must not rely on expired works to see this: a new owner sees none for three objectives, more than
+// a minute.
 func TestEachClassOfSizesIsServed(t *testing.T) {
 	for name, tenure := range map[string]time.Duration{"one owner": time.Hour, "an owner every 15 s": 15 * time.Second} {
 		t.Run(name, func(t *testing.T) {
--- a/dispatch/lateness_test.go
+++ b/dispatch/lateness_test.go
@@ -12,7 +12,7 @@
 
 // Guards against classifying a gang as on time while its permit request and later steps no longer fit into its
 // objective: it would be started first, end late, and delay newer work that could still be on time.
-func TestHopeCountsAllThatIsLeft(t *testing.T) {
+func TestLatenessCountsRemainingTime(t *testing.T) {
 	gang := &job.Work{
 		Queue: job.Queue{SlackFactor: 2, Objective: time.Second, Permit: &job.PermitCost{Base: 700 * time.Millisecond, PerWorker: 10 * time.Millisecond}},
 		Steps: []job.Step{{Tasks: 4, Gang: true, Estimate: 2 * time.Second}, {Tasks: 4, Gang: true, Estimate: 3 * time.Second, DependsOn: []int{0}}},
--- a/permit/selector_test.go
+++ b/permit/selector_test.go
@@ -9,7 +9,7 @@
 
 // Guards against checks that are queued after the request of a roster. Such requests must go only to the first half of
 // the VMs, even if only VMs of the other half are idle.
-func TestPickKeepsLongQuestionsApart(t *testing.T) {
+func TestPickSeparatesLongRequests(t *testing.T) {
 	is := is.New(t)
 	s, now := NewVMSelector(), time.Now()
 	vms := []string{"vm1", "vm2", "vm3", "vm4"}
